--- a/harriertide/__init__.py
+++ b/harriertide/__init__.py
@@ -5,7 +5,7 @@
 
 from harriertide.decide import api
 from harriertide.decide.api import Settings
-from harriertide.decide.rules import Scheduler
+from harriertide.decide.scheduler import Scheduler
 
 if TYPE_CHECKING:
     from harriertide.library import Ask, Broker, FailedError, RefusedError
--- a/harriertide/cli/benchlink.py
+++ b/harriertide/cli/benchlink.py
@@ -12,15 +12,15 @@
 import orjson
 
 from harriertide.decide import api
-from harriertide.decide.rules import Scheduler
+from harriertide.decide.scheduler import Scheduler
 from harriertide.decide.settings import Fields, from_wire
 
 _KINDS = {
-    0: "ok", 5: "error", 11: "full", 110: "timeout", 111: "connect_failed",
-    104: "reset", 125: "cancelled", 114: "moot",
+    0: "ok", 5: "error", 11: "rejected", 110: "timeout", 111: "connect_failed",
+    104: "reset", 125: "cancelled", 114: "not_sent",
 }  # fmt: skip
 _STATES = {"live": "live", "quiescing": "draining", "dead": "gone"}
-_LISTS = {"delta": "changes", "full": "whole", "cached": "held", "failed": "failed"}
+_LISTS = {"delta": "delta", "full": "full", "cached": "cached", "failed": "failed"}
 
 
 class WireError(Exception):
@@ -29,7 +29,7 @@
 
 def _entry(raw: Fields) -> api.NodeEntry:
     return api.NodeEntry(
-        node=raw["shelf"],
+        node_id=raw["shelf"],
         shard=raw["pod"],
         state=_STATES[raw["state"]],  # type: ignore[arg-type]
         zone=raw["zone"],
@@ -39,27 +39,27 @@
 
 def _demand(raw: Fields) -> api.Event:
     return api.Arrival(
-        request=raw["req"],
+        request_id=raw["req"],
         request_class=raw["band"],
         plan=raw["policyNo"],
         volume=raw["owner"],
         shard=int(raw["slotNo"]),
-        give_up_us=raw["validUntilUs"],
+        deadline_at_us=raw["validUntilUs"],
         units=raw["costUnits"],
         key=raw.get("item") or "",
-        hosts=int(raw["writers"]),
-        repeated=bool(raw.get("resent")),
+        sharing_broker_count=int(raw["writers"]),
+        is_retry=bool(raw.get("resent")),
     )
 
 
 def _done(raw: Fields) -> api.Event:
-    return api.Outcome(
-        request=raw["req"],
+    return api.AttemptFinished(
+        request_id=raw["req"],
         attempt=raw["sendNo"],
-        node=raw["shelf"],
+        node_id=raw["shelf"],
         kind=_KINDS[raw["code"]],  # type: ignore[arg-type]
-        took_us=raw.get("delaySeenUs") or 0,
-        over=bool(raw.get("complete")),
+        latency_us=raw.get("delaySeenUs") or 0,
+        is_final=bool(raw.get("complete")),
     )
 
 
@@ -68,28 +68,28 @@
         body = base64.b64decode(raw["body"], validate=True)
     except (binascii.Error, ValueError):
         body = b""
-    return api.PeerNote(head=raw["neighbour"], body=body)
+    return api.PeerMessageReceived(sender_index=raw["neighbour"], body=body)
 
 
 _EVENTS: dict[str, Callable[[Fields], api.Event]] = {
     "demand": _demand,
     "done": _done,
-    "established": lambda raw: api.AnswerBegan(request=raw["req"], attempt=raw["sendNo"]),
-    "aborted": lambda raw: api.Departed(request=raw["req"]),
-    "sampled": lambda raw: api.Probed(raw["shelf"], _KINDS[raw["code"]]),  # type: ignore[arg-type]
-    "wake": lambda raw: api.Woke(token=raw["ctx"]),
+    "established": lambda raw: api.ResponseStarted(request_id=raw["req"], attempt=raw["sendNo"]),
+    "aborted": lambda raw: api.ClientDisconnected(request_id=raw["req"]),
+    "sampled": lambda raw: api.ProbeFinished(raw["shelf"], _KINDS[raw["code"]]),  # type: ignore[arg-type]
+    "wake": lambda raw: api.TimerFired(token=raw["ctx"]),
     "noteFrom": _note,
 }
 _ACTIONS: dict[type, Callable[[Any], tuple[str, Fields]]] = {
-    api.Send: lambda a: ("try", {"req": a.request, "stopAtUs": a.stop_at_us, "shelf": a.node}),
-    api.Cancel: lambda a: ("undoSend", {"req": a.request, "sendNo": a.attempt}),
-    api.Refuse: lambda a: ("decline", {"req": a.request, "notBeforeForUs": a.retry_after_us}),
+    api.StartAttempt: lambda a: ("try", {"req": a.request, "stopAtUs": a.stop_at_us, "shelf": a.node}),
+    api.CancelAttempt: lambda a: ("undoSend", {"req": a.request, "sendNo": a.attempt}),
+    api.Reject: lambda a: ("decline", {"req": a.request, "notBeforeForUs": a.retry_after_us}),
     api.Fail: lambda a: ("lose", {"req": a.request}),
-    api.Wake: lambda a: ("wakeMe", {"sleepForUs": a.after_us, "ctx": a.token}),
-    api.Subscribe: lambda a: ("tail", {"enable": True}),
-    api.Tell: lambda a: ("announce", {"whom": a.head, "body": base64.b64encode(a.body).decode()}),
-    api.Probe: lambda a: ("askLoad", {"shelf": a.node}),
-    api.Log: lambda a: ("journalLine", {"message": a.text}),
+    api.SetTimer: lambda a: ("wakeMe", {"sleepForUs": a.after_us, "ctx": a.token}),
+    api.WatchEndpoints: lambda a: ("tail", {"enable": True}),
+    api.SendPeerMessage: lambda a: ("announce", {"whom": a.head, "body": base64.b64encode(a.body).decode()}),
+    api.StartProbe: lambda a: ("askLoad", {"shelf": a.node}),
+    api.LogLine: lambda a: ("journalLine", {"message": a.text}),
 }
 
 
@@ -160,7 +160,7 @@
         elif name == "view":
             kind = _LISTS[raw["mode"]]
             nodes = () if kind == "failed" else self._pages[raw["page"]]
-            batch.setdefault(raw["who"], []).append(api.NodeList(kind=kind, nodes=nodes))  # type: ignore[arg-type]
+            batch.setdefault(raw["who"], []).append(api.EndpointUpdate(kind=kind, entries=nodes))  # type: ignore[arg-type]
         elif name in _EVENTS:
             batch.setdefault(raw["who"], []).append(_EVENTS[name](raw))
         elif name not in self._named:
--- a/harriertide/cli/box.py
+++ b/harriertide/cli/box.py
@@ -23,7 +23,7 @@
 from aiohttp import web
 from xxhash import xxh3_64_hexdigest
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 
 BLOB_BYTES = 1 << 30
@@ -120,10 +120,10 @@
     for name, least in (("--slots", 1), ("--queue", 0), ("--took-ms", 0), ("--most-mb", 1)):
         text = str(given[name])
         if not text.isdigit() or int(text) < least:
-            raise PlainError(f"{name}: {text} is no whole number of at least {least}")
+            raise SettingsError(f"{name}: {text} is no whole number of at least {least}")
         numbers[name] = int(text)
     if not host.startswith("127.") or not port.isdigit():
-        raise PlainError(f"--listen: {given['--listen']} is no loopback address with a port")
+        raise SettingsError(f"--listen: {given['--listen']} is no loopback address with a port")
 
     async def serve() -> None:
         box = Box(*numbers.values())
@@ -133,7 +133,7 @@
         try:
             runner, chosen = await listen(box, host, int(port))
         except OSError as fault:
-            raise PlainError(f"--listen: {given['--listen']}: {fault.strerror}") from None
+            raise SettingsError(f"--listen: {given['--listen']}: {fault.strerror}") from None
         print(f"box on {host}:{chosen}", flush=True)
         await ended.wait()
         await runner.cleanup()
--- a/harriertide/cli/counters.py
+++ b/harriertide/cli/counters.py
@@ -8,7 +8,7 @@
 import os
 import signal
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 
 def main(given: dict[str, str]) -> int:
@@ -16,5 +16,5 @@
     try:
         os.kill(int(given["PID"]), signal.SIGUSR1)
     except (ValueError, OSError) as fault:
-        raise PlainError(f"PID {given['PID']}: {fault}") from None
+        raise SettingsError(f"PID {given['PID']}: {fault}") from None
     return 0
--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -15,7 +15,7 @@
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
-from harriertide.decide.settings import Names, PlainError
+from harriertide.decide.settings import Names, SettingsError
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.counts import fields
 from harriertide.engine.log import adopt_libraries, log
@@ -36,9 +36,9 @@
 if TYPE_CHECKING:  # a broker of the platform does without the object front, and starts the sooner
     from harriertide.cli.replacement import Replacement
     from harriertide.config.model import Maintenance, Operator
+    from harriertide.control.maintenance_service import Service
     from harriertide.lifecycle.operator_api import OperatorApi
     from harriertide.objects.service import ObjectService
-    from harriertide.upkeep.service import Service
 
 # After SIGTERM: new connections are taken this long. Then those that clients keep are served on, as long as
 # a request may take (LONGEST_S at most) and a little less than SLACK_S more; what is open by then is refused.
@@ -94,9 +94,9 @@
         self.runtime.probe = self.probes.start
         if config is not None:
             self.watch = Watch(config.discovery, self.directory, self.runtime.post)
-            self.peers = Peers(config.peers, config.settings.head, self.runtime.post)
+            self.peers = Peers(config.peers, config.settings.broker_index, self.runtime.post)
             self.runtime.watch, self.runtime.tell = self.watch.open, self.peers.tell
-            self.runtime.post(ev.Listed(self.directory.read(known, "held")))
+            self.runtime.post(ev.EndpointsUpdated(self.directory.read(known, "cached")))
         if operator is not None:
             from harriertide.objects.service import ObjectService
 
@@ -109,7 +109,7 @@
 
     def _agree(self, settings: Maintenance, objects: ObjectService, hooks: dict[str, Any]) -> Service:
         """Take part in what brokers agree on. hooks: in place of the disk's sync and the wall's clock."""
-        from harriertide.upkeep.service import Service
+        from harriertide.control.maintenance_service import Service
 
         def ready(on: bool) -> None:
             self.life.in_maintenance = not on
@@ -155,7 +155,7 @@
             return
         try:
             fresh = read_config(environment, held)
-            self.peers.relist(fresh.peers, fresh.settings.head)
+            self.peers.relist(fresh.peers, fresh.settings.broker_index)
         except (BadConfigError, ValueError) as fault:
             log("reload refused, what was configured before stays in force", reason=str(fault))
             return
@@ -164,12 +164,12 @@
         self.front.names, self.directory.zones = names, names.zones
         self.client.connect_us = names.connect_us
         self.apply_limits()
-        self.runtime.post(ev.Resettled(self.settings_in_force()))
+        self.runtime.post(ev.SettingsChanged(self.settings_in_force()))
         if self.objects is not None:
             self.objects.replan(names.plans)
         if fresh.discovery != self.watch.address:
             self.watch.move(fresh.discovery)
-        self.watch.follow(not fresh.settings.ask_for_list)
+        self.watch.follow(not fresh.settings.polls_endpoint_list)
         addresses = [(each.listen, each.peer_listen, each.operator) for each in (fresh, held)]
         if addresses[0] != addresses[1]:
             log("listen, peer_listen and operator take effect at the next start")
@@ -208,9 +208,9 @@
             if config.operator is not None:
                 await self._serve_operators(config.operator)
             if self.watch is not None:
-                if not config.settings.ask_for_list:
+                if not config.settings.polls_endpoint_list:
                     self._wait_for_list(self.watch)
-                self.watch.follow(not config.settings.ask_for_list)
+                self.watch.follow(not config.settings.polls_endpoint_list)
             if isinstance(self._door, socket.socket):
                 await self._take_over(config)
             await self.open_door()
@@ -343,7 +343,7 @@
             self.clients.close_idle()  # also what was about to be read the last time
             await until(loop.time() + 0.02)
         self.front.stopped = True  # what is still read is refused, never sent on
-        self.runtime.post(ev.Closing())
+        self.runtime.post(ev.ShutdownStarted())
         await until(loop.time() + 0.02)
         while len(self.clients) and loop.time() < finish_by + LINGER_S:
             self.clients.close_idle()
@@ -398,7 +398,7 @@
         if record is None:
             await daemon.serve(environment)
             return
-        from harriertide.engine.record import Recorder  # its library is loaded only where it is wanted
+        from harriertide.engine.workload import Recorder  # its library is loaded only where it is wanted
 
         with open(record, "wb") as file:
             clock = daemon.runtime.clock
@@ -413,7 +413,7 @@
             operator = model.load(objects)
         config = read_config(environment) if environment.get("LB_CONFIG") or operator is None else None
         asyncio.run(main())
-    except (PlainError, OSError, sqlite3.Error) as fault:
+    except (SettingsError, OSError, sqlite3.Error) as fault:
         print(f"harriertide: {fault}", file=sys.stderr)
         return 2
     return 0
--- a/harriertide/cli/demo.py
+++ b/harriertide/cli/demo.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 STOP_S = 10.0
 FILE = """\
@@ -74,16 +74,16 @@
         if mark in line:
             return line.partition(mark)[2].strip()
         print(line, end="", file=sys.stderr)
-    raise PlainError("demo: a part of it did not start")
+    raise SettingsError("demo: a part of it did not start")
 
 
 def main(given: dict[str, Any]) -> int:
     """Until it is interrupted."""
     if given["--brokers"] not in ("1", "3", "5"):
-        raise PlainError(f"--brokers: {given['--brokers']} is none of 1, 3 and 5")
+        raise SettingsError(f"--brokers: {given['--brokers']} is none of 1, 3 and 5")
     for name, least, most in (("--port", 0, 65535), ("--boxes", 1, 32)):
         if not str(given[name]).isdigit() or not least <= int(given[name]) <= most:
-            raise PlainError(f"{name}: {given[name]} is no whole number from {least} to {most}")
+            raise SettingsError(f"{name}: {given[name]} is no whole number from {least} to {most}")
 
     def interrupted(number: int, frame: object) -> None:
         raise KeyboardInterrupt
@@ -103,13 +103,13 @@
 
 
 def _free(port: int) -> None:
-    """PlainError where the port is taken, before anything is started."""
+    """SettingsError where the port is taken, before anything is started."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind(("127.0.0.1", port))
         except OSError as fault:
-            raise PlainError(f"--port: 127.0.0.1:{port} can't be had: {fault.strerror}") from None
+            raise SettingsError(f"--port: 127.0.0.1:{port} can't be had: {fault.strerror}") from None
 
 
 def _boxes(stack: ExitStack, count: int) -> str:
@@ -153,7 +153,7 @@
     print("\nCtrl-C ends it.", flush=True)
     while all(daemon.poll() is None for daemon in daemons):
         time.sleep(0.2)
-    raise PlainError("demo: a broker has ended")
+    raise SettingsError("demo: a broker has ended")
 
 
 def _play(stack: ExitStack, folder: Path, port: int, count: int) -> None:
@@ -175,4 +175,4 @@
     assert daemon.stderr is not None
     for line in daemon.stderr:
         print(line, end="", file=sys.stderr, flush=True)
-    raise PlainError("demo: the daemon has ended")
+    raise SettingsError("demo: the daemon has ended")
--- a/harriertide/cli/lab.py
+++ b/harriertide/cli/lab.py
@@ -21,7 +21,7 @@
 from importlib import import_module
 from typing import Any
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 EXPERIMENTS = {
     "bench-library": "bench_library",
@@ -41,7 +41,9 @@
 def main(given: dict[str, Any]) -> int:
     """Run one."""
     if given["EXPERIMENT"] not in EXPERIMENTS:
-        raise PlainError(f"lab: {given['EXPERIMENT']}: no such experiment; there is {', '.join(EXPERIMENTS)}")
+        raise SettingsError(
+            f"lab: {given['EXPERIMENT']}: no such experiment; there is {', '.join(EXPERIMENTS)}"
+        )
     # by name: experiments start whole daemons, so their floor is above this one
     module = import_module(f"harriertide.lab.{EXPERIMENTS[given['EXPERIMENT']]}")
     return int(module.main(given["ARGUMENT"]))
--- a/harriertide/cli/main.py
+++ b/harriertide/cli/main.py
@@ -18,7 +18,7 @@
 
 from docopt import DocoptExit, DocoptLanguageError, docopt
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 # A command's module has a page for docopt as its docstring and a main(given) that returns an exit status.
 COMMANDS = {
@@ -60,7 +60,7 @@
         return 2
     try:
         return run(asked)
-    except PlainError as fault:
+    except SettingsError as fault:
         print(f"harriertide: {fault}", file=sys.stderr)
         return 2
 
--- a/harriertide/cli/replacement.py
+++ b/harriertide/cli/replacement.py
@@ -12,7 +12,7 @@
 
 from harriertide.core import events as ev
 from harriertide.decide import handover
-from harriertide.decide.rules import Scheduler
+from harriertide.decide.scheduler import Scheduler
 from harriertide.engine.log import log
 from harriertide.http.limits import Limits
 from harriertide.http.listening import IN_FLIGHT
@@ -80,7 +80,7 @@
         daemon.apply_life()
         self._part = self._rest_of(record.clients, record.nodes)
         daemon.apply_limits()
-        daemon.runtime.post(ev.Listed(daemon.directory.import_state(record.directory)))
+        daemon.runtime.post(ev.EndpointsUpdated(daemon.directory.import_state(record.directory)))
         daemon.runtime.flush()
         clock.adopt(record.monotonic_s, record.unix_us)
         if isinstance(scheduler, Scheduler):
@@ -155,7 +155,7 @@
         self.alone = False
         self._part = self._limits().part(self._clients_kept(), self._nodes_kept())
         daemon.apply_limits()
-        daemon.runtime.at_once(ev.Resettled(daemon.settings_in_force()))
+        daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
         log("superseded by a newer process", open=daemon.core.owed(), connections=len(daemon.clients))
 
     def _take_back(self) -> None:
@@ -164,7 +164,7 @@
         daemon.life.take_back()
         daemon.apply_life()
         daemon.apply_limits()
-        daemon.runtime.at_once(ev.Resettled(daemon.settings_in_force()))
+        daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
         self._opening = asyncio.get_running_loop().create_task(daemon.open_door())
 
     def _share(self, alone: bool) -> None:
--- a/harriertide/cli/serve.py
+++ b/harriertide/cli/serve.py
@@ -13,13 +13,13 @@
 import os
 from typing import Any
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 
 def main(given: dict[str, Any]) -> int:
     """Until it is told to stop."""
     if given["--log"] not in ("text", "json"):
-        raise PlainError(f"--log: {given['--log']} is neither text nor json")
+        raise SettingsError(f"--log: {given['--log']} is neither text nor json")
     from harriertide.cli.daemon import run
     from harriertide.engine.log import log
 
--- a/harriertide/config/model.py
+++ b/harriertide/config/model.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from harriertide.decide import api
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 Row = dict[str, Any]
 State = dict[str, dict[str, Any]]
 SECTIONS = ("boxes", "grades", "volumes", "limits")  # what plan and apply change
 
 
-class OperatorFileError(PlainError):
+class OperatorFileError(SettingsError):
     """What cannot be used, in one plain line that names the key."""
 
 
@@ -258,33 +258,40 @@
     limits = state["limits"]
 
     def kind(name: str, worth: float) -> api.RequestClass:
-        aim_us, deadline_us = limits[f"{name}_aim_ms"] * 1000, limits[f"{name}_deadline_ms"] * 1000
-        return api.RequestClass(aim_us, deadline_us, worth=worth, late_worth=worth / 10)
+        latency_objective_us, deadline_us = (
+            limits[f"{name}_aim_ms"] * 1000,
+            limits[f"{name}_deadline_ms"] * 1000,
+        )
+        return api.RequestClass(
+            latency_objective_us, deadline_us, priority_weight=worth, late_priority_weight=worth / 10
+        )
 
     plans = []
     for name in grades:
         row = state["grades"].get(name)
         plans.append(
-            api.Plan(reserve=row["reserve"], weight=row["weight"], price=row["worth"]) if row else api.Plan()
+            api.Plan(reserved_rate=row["reserve"], weight=row["weight"], priority_factor=row["worth"])
+            if row
+            else api.Plan()
         )
     return api.Settings(
-        head=0,
-        heads=1,
+        broker_index=0,
+        broker_count=1,
         classes=(kind("read", 3.0), kind("write", 3.0), kind("bulk", 3.0)),
         plans=tuple(plans),
-        shards=1 + max([box["shard"] for box in state["boxes"].values()], default=0),
-        mean_units=max(1.0, limits["most_units"] / 4),
-        most_units=limits["most_units"],
-        share_worth=0.35,
-        spare_worth=0.08,
-        may_say_when=True,
+        shard_count=1 + max([box["shard"] for box in state["boxes"].values()], default=0),
+        mean_request_units=max(1.0, limits["most_units"] / 4),
+        max_request_units=limits["most_units"],
+        within_quota_weight=0.35,
+        beyond_quota_weight=0.08,
+        retry_after_allowed=True,
         max_retry_after_us=limits["retry_after_ms"] * 1000,
         max_attempts=limits["attempts"],
         tick_us=2_000,
     )
 
 
-def news(old: State, new: State, started_us: dict[str, int] | None = None) -> api.NodeList:
+def news(old: State, new: State, started_us: dict[str, int] | None = None) -> api.EndpointUpdate:
     """What the core is told of the boxes: a change of the list. started_us: of boxes that came back cold."""
     started_us = started_us or {}
     changed = [
@@ -302,4 +309,4 @@
         for name, box in old["boxes"].items()
         if name not in new["boxes"]
     ]
-    return api.NodeList("changes", (*gone, *changed))
+    return api.EndpointUpdate("delta", (*gone, *changed))
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -57,7 +57,7 @@
 }
 
 
-class BrokenError(Exception):
+class InvariantViolationError(Exception):
     """An invariant does not hold: this member must not go on."""
 
 
@@ -510,7 +510,7 @@
 
     def _leader_heard(self, message: Append | Piece) -> None:
         if self.role == "leader":
-            raise BrokenError(f"ELECTION: {message.sender} leads term {self.term} too")
+            raise InvariantViolationError(f"ELECTION: {message.sender} leads term {self.term} too")
         if self.role != "follower" or self.leader != message.sender:
             self._follow(self.term, message.sender)
         self.heard_us = self._now
@@ -543,7 +543,9 @@
                 continue  # MATCH
             if term is not None:
                 if entry.index <= self.commit:
-                    raise BrokenError(f"COMPLETE: entry {entry.index} was committed and is to change")
+                    raise InvariantViolationError(
+                        f"COMPLETE: entry {entry.index} was committed and is to change"
+                    )
                 cut = entry.index
                 self._cut(cut)
             self.log.append(entry)
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -13,7 +13,7 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.messages import Entry, Member, Message, Proposal, ReadAnswer, ReadAsk
-from harriertide.consensus.node import NEVER_US, BrokenError, Node
+from harriertide.consensus.node import NEVER_US, InvariantViolationError, Node
 from harriertide.consensus.sessions import Sessions
 
 AGAIN_US = 250_000  # a proposal or read that is not answered goes out again, perhaps to another leader
@@ -74,14 +74,14 @@
     client: str
     serial: int
     data: bytes
-    give_up_us: int
+    deadline_at_us: int
     again_us: int = 0
     to: Member | None = None
 
 
 @dataclass(slots=True)
 class _Query:
-    give_up_us: int
+    deadline_at_us: int
     again_us: int = 0
     to: Member | None = None
     index: int = -1  # known by now: right once this is applied
@@ -161,7 +161,7 @@
         due = self.node.due_us
         rows: list[_Call | _Query] = [*self._calls.values(), *self._queries.values()]
         for row in rows:
-            due = min(due, row.give_up_us, row.again_us)
+            due = min(due, row.deadline_at_us, row.again_us)
         return due
 
     # --- the way in -----------------------------------------------------------------------------------
@@ -175,26 +175,26 @@
             else:
                 self._do(now_us, self.node.step(now_us, event))
             self._again(now_us)
-        except BrokenError as fault:
+        except InvariantViolationError as fault:
             self._break(now_us, str(fault))
         return self._out
 
     def call(
-        self, now_us: int, number: int, client: str, serial: int, data: bytes, give_up_us: int
+        self, now_us: int, number: int, client: str, serial: int, data: bytes, deadline_at_us: int
     ) -> list[Effect]:
         """Agree on a command. client and serial: the same for each try of one command, and of no other."""
         self._out = []
         known = self.sessions.find(client, serial)
         if known is not None:
             return [Done(number, self.applied, known)]
-        self._calls[number] = _Call(client, serial, data, give_up_us)
+        self._calls[number] = _Call(client, serial, data, deadline_at_us)
         self._again(now_us)
         return self._out
 
-    def query(self, now_us: int, number: int, give_up_us: int) -> list[Effect]:
+    def query(self, now_us: int, number: int, deadline_at_us: int) -> list[Effect]:
         """Ask when the state may be read."""
         self._out = []
-        self._queries[number] = _Query(give_up_us)
+        self._queries[number] = _Query(deadline_at_us)
         self._again(now_us)
         return self._out
 
@@ -234,7 +234,7 @@
         """Send on what waits: to a leader that is new, and again after a while."""
         node, leader = self.node, self.node.leader
         rows: dict[int, _Call | _Query] = {**self._calls, **self._queries}
-        for number in [n for n, row in rows.items() if row.give_up_us <= now_us]:
+        for number in [n for n, row in rows.items() if row.deadline_at_us <= now_us]:
             self._calls.pop(number, None)
             self._queries.pop(number, None)
             self._out.append(GaveUp(number))
--- a/harriertide/consensus/store.py
+++ b/harriertide/consensus/store.py
@@ -27,7 +27,7 @@
 
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import VERSION, Entry, Member, Snapshot
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 _HEAD = struct.Struct("<IQ")
 MOST_BYTES = 64 * 1024 * 1024  # of one frame
@@ -38,7 +38,7 @@
     """What was promised can't be read any more: where and how, in one plain line."""
 
 
-class StoreError(PlainError):
+class StoreError(SettingsError):
     """The disk can't be used: why, in one plain line."""
 
 
--- a/harriertide/upkeep/service.py
+++ b/harriertide/control/maintenance_service.py
@@ -21,6 +21,7 @@
 from harriertide.config.model import Maintenance, State
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.fanout import Report, Round, Sums, bits
+from harriertide.control.member import Broker, CallError, Events, Outside
 from harriertide.decide import api
 from harriertide.engine.log import log
 from harriertide.maintenance import orders, view
@@ -40,7 +41,6 @@
     read_answer,
 )
 from harriertide.platform.peers import address
-from harriertide.upkeep.member import Broker, CallError, Events, Outside
 
 LOOK_US = 200_000
 CALL_S = 5.0
--- a/harriertide/core/events.py
+++ b/harriertide/core/events.py
@@ -9,18 +9,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class RequestArrived:
     """A front has taken a request. streams: its body is sent on as it comes, and its last byte may be far."""
 
     arrival: api.Arrival
-    streams: bool = False
+    streams_body: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptFinished:
     """An attempt is over; reply is what the front may pass on, unread by the core."""
 
-    request: str
+    request_id: str
     attempt: int
     kind: api.OutcomeKind
     reply: object = None
@@ -28,93 +28,104 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class ResponseStarted:
     """The answer of an attempt has begun to go to the client: it is the client's, and no attempt follows."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ClientDisconnected:
     """The client is gone; no answer is owed any more."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class EndpointsUpdated:
     """News of the list of nodes."""
 
-    news: api.NodeList
+    update: api.EndpointUpdate
 
 
 @dataclass(frozen=True, slots=True)
-class Fired:
+class TimerFired:
     """A timer has run out."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class PeerMessageReceived:
     """Bytes from another broker, by its number."""
 
-    head: int
+    sender_index: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeFinished:
     """A probe of a node has ended."""
 
-    node: str
+    node_id: str
     kind: api.OutcomeKind
 
 
 @dataclass(frozen=True, slots=True)
-class Resettled:
+class SettingsChanged:
     """The operator has changed the settings."""
 
     settings: api.Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShutdownStarted:
     """The process ends: whatever is open is answered now."""
 
 
-Event: TypeAlias = Arrived | Ended | Began | Left | Listed | Fired | Heard | Probed | Resettled | Closing
+Event: TypeAlias = (
+    RequestArrived
+    | AttemptFinished
+    | ResponseStarted
+    | ClientDisconnected
+    | EndpointsUpdated
+    | TimerFired
+    | PeerMessageReceived
+    | ProbeFinished
+    | SettingsChanged
+    | ShutdownStarted
+)
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
     """Send the request to the node; ask may_write at the moment of writing; end by stop_at_us.
 
-    from_us: no byte leaves before; 0: at once.
+    not_before_us: no byte leaves before; 0: at once.
     """
 
-    request: str
+    request_id: str
     attempt: int
-    node: str
+    node_id: str
     stop_at_us: int
-    from_us: int = 0
+    not_before_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class StopAttempt:
+class CancelAttempt:
     """Stop an attempt that is out; it ends as cancelled, unless it has ended already."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Respond:
     """The one final answer. reply: of the attempt that served it."""
 
-    request: str
-    kind: Literal["served", "refused", "failed"]
+    request_id: str
+    kind: Literal["served", "rejected", "failed"]
     reply: object = None
     retry_after_us: int = 0
 
@@ -128,39 +139,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendPeerMessage:
     """Bytes for another broker, by its number."""
 
-    head: int
+    recipient_index: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class OpenWatch:
+class WatchEndpoints:
     """Watch the list of nodes from what is known on."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartProbe:
-    """Probe a node; say Probed when that has ended."""
+    """Probe a node; say ProbeFinished when that has ended."""
 
-    node: str
+    node_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogLine:
     """A line for the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unwanted:
+class DiscardReply:
     """A reply of an attempt that came too late to be the final answer."""
 
     reply: object
 
 
 Effect: TypeAlias = (
-    StartAttempt | StopAttempt | Answer | SetTimer | TellPeer | OpenWatch | StartProbe | Say | Unwanted
+    StartAttempt
+    | CancelAttempt
+    | Respond
+    | SetTimer
+    | SendPeerMessage
+    | WatchEndpoints
+    | StartProbe
+    | LogLine
+    | DiscardReply
 )
--- a/harriertide/core/reducer.py
+++ b/harriertide/core/reducer.py
@@ -1,6 +1,6 @@
-"""All changes of state: events in, effects out. The decisions are the module's (harriertide/decide/rules.py);
+"""All changes of state: events in, effects out. The decisions are those of `harriertide.decide.scheduler`;
 this owns the requests, their attempts and their final answers, and keeps the rules about those even
-where the module or a front errs."""
+where the decision module or a front errs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from harriertide.core import events as ev
 from harriertide.decide import api
-from harriertide.decide.rules import MARGIN_US, Scheduler
+from harriertide.decide.scheduler import MARGIN_US, Scheduler
 from harriertide.decide.state import Cell
 
 # Guards against a cold node's budget being booked in one window and spent in the next: an attempt that
@@ -34,7 +34,11 @@
 
     A window longer by that keeps two windows' budgets from meeting in one window of real sends.
     """
-    return replace(settings, fall_us=settings.fall_us + COLD_WRITE_US) if settings.fall_us else settings
+    return (
+        replace(settings, collapse_window_us=settings.collapse_window_us + COLD_WRITE_US)
+        if settings.collapse_window_us
+        else settings
+    )
 
 
 class Decider(Protocol):
@@ -129,29 +133,32 @@
         """
         taken = self._taken.get(request)
         if taken is None or taken.answered or taken.out != attempt:
-            return "moot"
+            return "not_sent"
         node = self._nodes.get(taken.node)
         if node is None or node.state != "live":
-            return "full"
+            return "rejected"
         if self.barred is not None and self.barred(taken.node):
             self.counts["barred"] += 1
-            return "full"
+            return "rejected"
         kind = self.settings.classes[taken.arrival.request_class]
         if taken.maybe_us and (
-            kind.effect == "unsafe"
-            or (kind.effect == "keyed" and now_us + MARGIN_US > taken.maybe_us + kind.window_us)
+            kind.idempotency == "non_idempotent"
+            or (
+                kind.idempotency == "keyed"
+                and now_us + MARGIN_US > taken.maybe_us + kind.deduplication_window_us
+            )
         ):
             # it was in its window when it was decided, and has waited for a connection since
             self.counts["window_over"] += 1
-            return "moot"
+            return "not_sent"
         if now_us >= taken.stop_us:
-            return "full"  # it would be closed at once: nothing ran, and nothing is wrong with the box
-        limited = self.settings.plans[taken.arrival.plan].limit > 0 and not taken.reached
+            return "rejected"  # it would be closed at once: nothing ran, and nothing is wrong with the box
+        limited = self.settings.plans[taken.arrival.plan].rate_limit > 0 and not taken.reached
         if limited and now_us - taken.first_us > LIMIT_WRITE_US:
-            return "moot"
-        cold = node.started_us > 0 and now_us < node.started_us + self.settings.cold_us
+            return "not_sent"
+        cold = node.started_us > 0 and now_us < node.started_us + self.settings.slow_start_us
         if taken.streams and (cold or limited):
-            return "full"  # its last byte comes any time later: what it may take of a budget is of now
+            return "rejected"  # its last byte comes any time later: what it may take of a budget is of now
         if cold and now_us - taken.sent_us > COLD_WRITE_US:
             return "connect_failed"
         return None
@@ -172,72 +179,74 @@
 
     def _take(self, now_us: int, event: ev.Event) -> list[api.Event]:
         """Book one event; what the module hears of it."""
-        if isinstance(event, ev.Arrived):
-            return self._arrive(event.arrival, event.streams)
-        if isinstance(event, ev.Ended):
+        if isinstance(event, ev.RequestArrived):
+            return self._arrive(event.arrival, event.streams_body)
+        if isinstance(event, ev.AttemptFinished):
             return self._end(now_us, event)
-        if isinstance(event, ev.Began):
-            taken = self._taken.get(event.request)
+        if isinstance(event, ev.ResponseStarted):
+            taken = self._taken.get(event.request_id)
             at_work = taken is not None and taken.out == event.attempt
-            return [api.AnswerBegan(event.request, event.attempt)] if at_work else []
-        if isinstance(event, ev.Left):
-            return self._leave(event.request)
-        if isinstance(event, ev.Listed):
-            return self._list(event.news)
-        if isinstance(event, ev.Heard):
+            return [api.ResponseStarted(event.request_id, event.attempt)] if at_work else []
+        if isinstance(event, ev.ClientDisconnected):
+            return self._leave(event.request_id)
+        if isinstance(event, ev.EndpointsUpdated):
+            return self._list(event.update)
+        if isinstance(event, ev.PeerMessageReceived):
             self.counts["peer_in"] += 1
-            return [api.PeerNote(event.head, event.body)]
-        if isinstance(event, ev.Probed):
+            return [api.PeerMessageReceived(event.sender_index, event.body)]
+        if isinstance(event, ev.ProbeFinished):
             self.counts[f"probe_{event.kind}"] += 1
-            return [api.Probed(event.node, event.kind)]
-        if isinstance(event, ev.Resettled):
+            return [api.ProbeFinished(event.node_id, event.kind)]
+        if isinstance(event, ev.SettingsChanged):
             self.settings = event.settings
-            return [api.Resettled(_for_module(event.settings))]
-        if isinstance(event, ev.Closing):
+            return [api.SettingsChanged(_for_module(event.settings))]
+        if isinstance(event, ev.ShutdownStarted):
             self._answer_all()
             return []
-        return [api.Woke(event.token)]
+        return [api.TimerFired(event.token)]
 
     def _arrive(self, arrival: api.Arrival, streams: bool) -> list[api.Event]:
         self.counts["taken"] += 1
-        if arrival.request in self._taken:
+        if arrival.request_id in self._taken:
             # a front checks holds() first; the first holder of the id keeps its one answer
             self.counts["same_id"] += 1
             return []
         self.offered_units += arrival.units
-        settled_us = self._settling.pop(arrival.request, 0)
-        self._taken[arrival.request] = Taken(arrival, settled_us=settled_us, streams=streams)
+        settled_us = self._settling.pop(arrival.request_id, 0)
+        self._taken[arrival.request_id] = Taken(arrival, settled_us=settled_us, streams=streams)
         return [arrival]
 
-    def _end(self, now_us: int, event: ev.Ended) -> list[api.Event]:
-        taken = self._taken.get(event.request)
+    def _end(self, now_us: int, event: ev.AttemptFinished) -> list[api.Event]:
+        taken = self._taken.get(event.request_id)
         if taken is None or taken.out != event.attempt:
             self.counts["stray_outcome"] += 1
             if event.reply is not None:
-                self._effects.append(ev.Unwanted(event.reply))
+                self._effects.append(ev.DiscardReply(event.reply))
             return []
         self.counts[f"outcome_{event.kind}"] += 1
         node, taken.out = taken.node, -1
-        taken.reached = taken.reached or event.kind not in api.NEVER_RAN
+        taken.reached = taken.reached or event.kind not in api.NOT_EXECUTED_OUTCOMES
         if taken.reached and not taken.maybe_us:
             taken.maybe_us = taken.sent_us
         if self.barred is None or node not in self._nodes:
             pass  # nobody asks
-        elif event.kind in api.NO_LIFE:
+        elif event.kind in api.UNRESPONSIVE_OUTCOMES:
             # one that can't be reached is tried seldom from then on: that alone says as much as two others
             self.lifeless[node] += 2 if event.kind == "connect_failed" else 1
-        elif event.kind not in api.NEVER_RAN:
+        elif event.kind not in api.NOT_EXECUTED_OUTCOMES:
             self.lifeless.pop(node, None)
         if event.kind in _UNSETTLED:
             taken.settled_us = now_us + SETTLE_US
         if event.kind == "ok" and not taken.answered:
-            self._answer(taken, ev.Answer(event.request, "served", event.reply))
+            self._answer(taken, ev.Respond(event.request_id, "served", event.reply))
         elif event.reply is not None:
-            self._effects.append(ev.Unwanted(event.reply))
+            self._effects.append(ev.DiscardReply(event.reply))
         if taken.answered:
             self._let_go(taken)
         took_us = now_us - max(taken.sent_us, event.written_us)
-        return [api.Outcome(event.request, event.attempt, node, event.kind, took_us, taken.answered)]
+        return [
+            api.AttemptFinished(event.request_id, event.attempt, node, event.kind, took_us, taken.answered)
+        ]
 
     def _leave(self, request: str) -> list[api.Event]:
         taken = self._taken.get(request)
@@ -247,26 +256,26 @@
         taken.answered = True
         if taken.out < 0:
             self._let_go(taken)
-        return [api.Departed(request)]
+        return [api.ClientDisconnected(request)]
 
     def _let_go(self, taken: Taken) -> None:
         """It is answered and no attempt of it is out."""
-        request = taken.arrival.request
+        request = taken.arrival.request_id
         del self._taken[request]
         if taken.settled_us:
             self._settling[request] = taken.settled_us
 
-    def _list(self, news: api.NodeList) -> list[api.Event]:
+    def _list(self, news: api.EndpointUpdate) -> list[api.Event]:
         self.counts[f"list_{news.kind}"] += 1
-        if news.kind in ("whole", "held"):
+        if news.kind in ("full", "cached"):
             self._nodes = {}
             self.lifeless.clear()
-        for entry in news.nodes:
+        for entry in news.entries:
             if entry.state == "gone":
-                self._nodes.pop(entry.node, None)
-                self.lifeless.pop(entry.node, None)
+                self._nodes.pop(entry.node_id, None)
+                self.lifeless.pop(entry.node_id, None)
             else:
-                self._nodes[entry.node] = entry
+                self._nodes[entry.node_id] = entry
         return [news]
 
     # --- the module's actions ------------------------------------------------------------------
@@ -282,63 +291,65 @@
         return back
 
     def _do(self, now_us: int, action: api.Action) -> list[api.Event]:
-        if isinstance(action, api.Send):
+        if isinstance(action, api.StartAttempt):
             return self._send(now_us, action)
-        if isinstance(action, api.Cancel):
+        if isinstance(action, api.CancelAttempt):
             self._cancel(action)
-        elif isinstance(action, api.Refuse):
-            self._final(ev.Answer(action.request, "refused", None, action.retry_after_us))
+        elif isinstance(action, api.Reject):
+            self._final(ev.Respond(action.request_id, "rejected", None, action.retry_after_us))
         elif isinstance(action, api.Fail):
-            self._final(ev.Answer(action.request, "failed"))
-        elif isinstance(action, api.Wake):
+            self._final(ev.Respond(action.request_id, "failed"))
+        elif isinstance(action, api.SetTimer):
             self._effects.append(ev.SetTimer(now_us + action.after_us, action.token))
-        elif isinstance(action, api.Tell):
+        elif isinstance(action, api.SendPeerMessage):
             self.counts["peer_out"] += 1
-            self._effects.append(ev.TellPeer(action.head, action.body))
-        elif isinstance(action, api.Subscribe):
+            self._effects.append(ev.SendPeerMessage(action.recipient_index, action.body))
+        elif isinstance(action, api.WatchEndpoints):
             self.counts["watches"] += 1
-            self._effects.append(ev.OpenWatch())
-        elif isinstance(action, api.Probe):
+            self._effects.append(ev.WatchEndpoints())
+        elif isinstance(action, api.StartProbe):
             self.counts["probes"] += 1
-            self._effects.append(ev.StartProbe(action.node))
+            self._effects.append(ev.StartProbe(action.node_id))
         else:
-            self._effects.append(ev.Say(action.text))
+            self._effects.append(ev.LogLine(action.text))
         return []
 
-    def _send(self, now_us: int, action: api.Send) -> list[api.Event]:
+    def _send(self, now_us: int, action: api.StartAttempt) -> list[api.Event]:
         """Start an attempt; one that would break a rule is turned back as moot, never sent."""
-        taken = self._taken.get(action.request)
+        taken = self._taken.get(action.request_id)
         if taken is None:
             return []
-        number, node = taken.made, self._nodes.get(action.node)
+        number, node = taken.made, self._nodes.get(action.node_id)
         taken.made += 1
         fit = node is not None and node.state == "live" and number < self.settings.max_attempts
         if taken.answered or taken.out >= 0 or not fit:
             self.counts["turned_back"] += 1
-            return [api.Outcome(action.request, number, action.node, "moot", 0, taken.answered)]
-        taken.out, taken.node, taken.sent_us = number, action.node, now_us
+            return [
+                api.AttemptFinished(action.request_id, number, action.node_id, "not_sent", 0, taken.answered)
+            ]
+        taken.out, taken.node, taken.sent_us = number, action.node_id, now_us
         taken.first_us = taken.first_us or now_us
-        taken.stop_us = min(action.stop_at_us or taken.arrival.give_up_us, taken.arrival.give_up_us)
+        taken.stop_us = min(action.stop_at_us or taken.arrival.deadline_at_us, taken.arrival.deadline_at_us)
         self.counts["attempts"] += 1
         from_us = taken.settled_us if taken.settled_us > now_us else 0
-        start = ev.StartAttempt(action.request, number, action.node, taken.stop_us, from_us)
+        start = ev.StartAttempt(action.request_id, number, action.node_id, taken.stop_us, from_us)
         self._effects.append(start)
         return []
 
-    def _cancel(self, action: api.Cancel) -> None:
-        taken = self._taken.get(action.request)
+    def _cancel(self, action: api.CancelAttempt) -> None:
+        taken = self._taken.get(action.request_id)
         if taken is not None and taken.out == action.attempt and not taken.streams:
             self.counts["cancels"] += 1
-            self._effects.append(ev.StopAttempt(action.request, action.attempt))
+            self._effects.append(ev.CancelAttempt(action.request_id, action.attempt))
 
-    def _final(self, answer: ev.Answer) -> None:
-        taken = self._taken.get(answer.request)
+    def _final(self, answer: ev.Respond) -> None:
+        taken = self._taken.get(answer.request_id)
         if taken is not None and not taken.answered:
             self._answer(taken, answer)
             if taken.out < 0:
                 self._let_go(taken)
 
-    def _answer(self, taken: Taken, answer: ev.Answer) -> None:
+    def _answer(self, taken: Taken, answer: ev.Respond) -> None:
         taken.answered = True
         self.counts[answer.kind] += 1
         self._effects.append(answer)
@@ -346,21 +357,21 @@
     def _start_over(self, now_us: int, trace: str) -> None:
         """The module broke: log it, answer all it held, start a fresh one on the list as known."""
         self.counts["module_faults"] += 1
-        self._effects.append(ev.Say("the decision module failed; open requests are answered:\n" + trace))
+        self._effects.append(ev.LogLine("the decision module failed; open requests are answered:\n" + trace))
         self._answer_all()
         self._seed += 1
         self._scheduler = self._make(_for_module(self.settings), self._seed)
-        held = api.NodeList("held", tuple(self._nodes.values()))
+        held = api.EndpointUpdate("cached", tuple(self._nodes.values()))
         try:
             for action in self._scheduler.decide(now_us, [held]):
                 self._do(now_us, action)
         except Exception:
-            self._effects.append(ev.Say("the fresh decision module failed too"))
+            self._effects.append(ev.LogLine("the fresh decision module failed too"))
 
     def _answer_all(self) -> None:
         """A final answer to whatever is open: a refusal where it is true that trying again is harmless."""
         for taken in list(self._taken.values()):
-            effect = self.settings.classes[taken.arrival.request_class].effect
-            kind = "refused" if effect == "safe" or not taken.made else "failed"
-            wait_us = self.settings.max_retry_after_us if kind == "refused" else 0
-            self._final(ev.Answer(taken.arrival.request, kind, None, wait_us))  # type: ignore[arg-type]
+            effect = self.settings.classes[taken.arrival.request_class].idempotency
+            kind = "rejected" if effect == "idempotent" or not taken.made else "failed"
+            wait_us = self.settings.max_retry_after_us if kind == "rejected" else 0
+            self._final(ev.Respond(taken.arrival.request_id, kind, None, wait_us))  # type: ignore[arg-type]
--- a/harriertide/decide/api.py
+++ b/harriertide/decide/api.py
@@ -27,85 +27,122 @@
 class RequestClass:
     """A class of requests: how soon it is wanted, what it is worth, whether it may run again."""
 
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    group: Literal["all", "zone", "cell"] = "all"
-    window_us: int = 0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Literal["idempotent", "keyed", "non_idempotent"] = "idempotent"
+    deduplication_scope: Literal["all", "zone", "shard"] = "all"
+    deduplication_window_us: int = 0
     in_order: bool = False
 
     def __post_init__(self) -> None:
-        _at_least(self, 1, "aim_us", "deadline_us")
-        _at_least(self, 0, "worth", "late_worth", "window_us")
-        _need(self.effect in ("safe", "keyed", "unsafe"), "effect", "must be safe, keyed or unsafe")
-        _need(self.group in ("all", "zone", "cell"), "group", "must be all, zone or cell")
+        _at_least(self, 1, "latency_objective_us", "deadline_us")
+        _at_least(self, 0, "priority_weight", "late_priority_weight", "deduplication_window_us")
+        _need(
+            self.idempotency in ("idempotent", "keyed", "non_idempotent"),
+            "idempotency",
+            "must be idempotent, keyed or non_idempotent",
+        )
+        _need(
+            self.deduplication_scope in ("all", "zone", "shard"),
+            "deduplication_scope",
+            "must be all, zone or shard",
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
     """A plan: figures of each of its volumes, over all heads and nodes, in units a second."""
 
-    reserve: float = 0.0
+    reserved_rate: float = 0.0
     weight: float = 1.0
-    price: float = 1.0
-    limit: float = 0.0
-    limit_burst: float = 0.0
+    priority_factor: float = 1.0
+    rate_limit: float = 0.0
+    burst_limit_units: float = 0.0
 
     def __post_init__(self) -> None:
-        _at_least(self, 0, "reserve", "weight", "price", "limit", "limit_burst")
+        _at_least(self, 0, "reserved_rate", "weight", "priority_factor", "rate_limit", "burst_limit_units")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     """What a head is told at its start."""
 
-    head: int
-    heads: int
+    broker_index: int
+    broker_count: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    shards: int
-    mean_units: float = 1.0
-    most_units: float = 1.0
-    share_worth: float = 1.0
-    spare_worth: float = 0.0
-    cold_units: float = 0.0
-    cold_from: float = 1.0
-    cold_us: int = 0
-    fall_us: int = 0
-    fall_multiple: float = 1.0  # a cold node falls over when sent so many times what it can do for fall_us
-    ask_for_list: bool = False
-    ask_within_us: int = 10_000_000  # unasked so long, a head counts as told; after a failure four times
-    may_tell: bool = False
-    may_say_when: bool = False
-    may_cancel: bool = False
+    shard_count: int
+    mean_request_units: float = 1.0
+    max_request_units: float = 1.0
+    within_quota_weight: float = 1.0
+    beyond_quota_weight: float = 0.0
+    slow_start_units: float = 0.0
+    slow_start_initial_ratio: float = 1.0
+    slow_start_us: int = 0
+    collapse_window_us: int = 0
+    collapse_load_ratio: float = (
+        1.0  # a cold node falls over when sent so many times what it can do for collapse_window_us
+    )
+    polls_endpoint_list: bool = False
+    poll_interval_us: int = 10_000_000  # unasked so long, a head counts as told; after a failure four times
+    peer_messages_allowed: bool = False
+    retry_after_allowed: bool = False
+    cancel_allowed: bool = False
     max_retry_after_us: int = 0
     max_attempts: int = 1
-    may_probe: bool = False
+    probes_allowed: bool = False
     tick_us: int = 1_000
-    key_rest_us: int = 0
-    extra_floor: float | None = None
-    extra_share: float = 0.0
-    extra_span_us: int = 0
+    key_quiet_us: int = 0
+    retry_budget_floor: float | None = None
+    retry_budget_ratio: float = 0.0
+    retry_budget_window_us: int = 0
 
     def __post_init__(self) -> None:
-        _at_least(self, 1, "heads", "shards", "max_attempts", "tick_us")
-        _at_least(self, 0, "head", "cold_units", "cold_us", "fall_us", "max_retry_after_us", "ask_within_us")
-        _at_least(self, 1, "fall_multiple")
-        _at_least(self, 0, "share_worth", "spare_worth", "cold_from", "key_rest_us", "extra_share")
-        _at_least(self, 0, "mean_units", "most_units", "extra_span_us")
-        _need(self.head < self.heads, "head", "must be below heads")
+        _at_least(self, 1, "broker_count", "shard_count", "max_attempts", "tick_us")
+        _at_least(
+            self,
+            0,
+            "broker_index",
+            "slow_start_units",
+            "slow_start_us",
+            "collapse_window_us",
+            "max_retry_after_us",
+            "poll_interval_us",
+        )
+        _at_least(self, 1, "collapse_load_ratio")
+        _at_least(
+            self,
+            0,
+            "within_quota_weight",
+            "beyond_quota_weight",
+            "slow_start_initial_ratio",
+            "key_quiet_us",
+            "retry_budget_ratio",
+        )
+        _at_least(self, 0, "mean_request_units", "max_request_units", "retry_budget_window_us")
+        _need(self.broker_index < self.broker_count, "broker_index", "must be below heads")
         _need(len(self.classes) > 0, "classes", "must name at least one class")
         _need(len(self.plans) > 0, "plans", "must name at least one plan")
-        _need(self.mean_units > 0, "mean_units", "must be above 0")
-        _need(0 < self.cold_from <= 1, "cold_from", "must be above 0 and at most 1")
-        if self.extra_floor is not None:
-            _at_least(self, 0, "extra_floor")
+        _need(self.mean_request_units > 0, "mean_request_units", "must be above 0")
+        _need(
+            0 < self.slow_start_initial_ratio <= 1,
+            "slow_start_initial_ratio",
+            "must be above 0 and at most 1",
+        )
+        if self.retry_budget_floor is not None:
+            _at_least(self, 0, "retry_budget_floor")
 
     def same_brokers(self, other: Settings) -> bool:
         """Whether those settings are of the same brokers, with the same part of a cold node for each."""
-        names = ("head", "heads", "may_tell", "cold_units", "most_units")
+        names = (
+            "broker_index",
+            "broker_count",
+            "peer_messages_allowed",
+            "slow_start_units",
+            "max_request_units",
+        )
         return all(getattr(self, name) == getattr(other, name) for name in names)
 
 
@@ -116,7 +153,7 @@
 class NodeEntry:
     """One node of the list. started_us 0: long ago."""
 
-    node: str
+    node_id: str
     shard: int
     state: Literal["live", "draining", "gone"] = "live"
     zone: int = 0
@@ -124,96 +161,104 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeList:
+class EndpointUpdate:
     """News of the node list: changes, the whole list, the list last held, or a failed call."""
 
-    kind: Literal["changes", "whole", "held", "failed"]
-    nodes: tuple[NodeEntry, ...] = ()
+    kind: Literal["delta", "full", "cached", "failed"]
+    entries: tuple[NodeEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
     """A request that this head has taken; shard -1 is a new object."""
 
-    request: str
+    request_id: str
     request_class: int
     plan: int
     volume: str
     shard: int
-    give_up_us: int
+    deadline_at_us: int
     units: float = 1.0
     key: str = ""
-    hosts: int = 1
-    repeated: bool = False
+    sharing_broker_count: int = 1
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerBegan:
+class ResponseStarted:
     """The answer of a streamed request has begun; it now belongs to the client."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 OutcomeKind: TypeAlias = Literal[
-    "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"
+    "ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent"
 ]
 # Kinds that show no sign of life of the node, and those that prove that the attempt never ran.
-NO_LIFE: frozenset[OutcomeKind] = frozenset({"timeout", "connect_failed", "reset"})
-NEVER_RAN: frozenset[OutcomeKind] = frozenset({"full", "connect_failed", "moot"})
+UNRESPONSIVE_OUTCOMES: frozenset[OutcomeKind] = frozenset({"timeout", "connect_failed", "reset"})
+NOT_EXECUTED_OUTCOMES: frozenset[OutcomeKind] = frozenset({"rejected", "connect_failed", "not_sent"})
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptFinished:
     """How an attempt ended. over: the request has its final answer."""
 
-    request: str
+    request_id: str
     attempt: int
-    node: str
+    node_id: str
     kind: OutcomeKind
-    took_us: int = 0
-    over: bool = False
+    latency_us: int = 0
+    is_final: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeFinished:
     """How a probe of a node ended; ok: it lives."""
 
-    node: str
+    node_id: str
     kind: OutcomeKind
 
 
 @dataclass(frozen=True, slots=True)
-class Departed:
+class ClientDisconnected:
     """The client has gone; nothing more is owed."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Woke:
+class TimerFired:
     """A timer set with Wake has run out."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerNote:
+class PeerMessageReceived:
     """Bytes from another head."""
 
-    head: int
+    sender_index: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Resettled:
+class SettingsChanged:
     """New settings for a head that runs: figures of plans and classes, shards, limits."""
 
     settings: Settings
 
 
 Event: TypeAlias = (
-    NodeList | Arrival | AnswerBegan | Outcome | Probed | Departed | Woke | PeerNote | Resettled
+    EndpointUpdate
+    | Arrival
+    | ResponseStarted
+    | AttemptFinished
+    | ProbeFinished
+    | ClientDisconnected
+    | TimerFired
+    | PeerMessageReceived
+    | SettingsChanged
 )
 
 
@@ -221,27 +266,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt; it ends at stop_at_us at the latest."""
 
-    request: str
-    node: str
+    request_id: str
+    node_id: str
     stop_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt; its outcome follows, cancelled or what was on its way."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, trying again is harmless. retry_after_us 0: no advice."""
 
-    request: str
+    request_id: str
     retry_after_us: int = 0
 
 
@@ -249,42 +294,52 @@
 class Fail:
     """Final answer without a promise."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Ask for a Woke event after this time."""
+class SetTimer:
+    """Ask for a TimerFired event after this time."""
 
     after_us: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
+class WatchEndpoints:
     """Ask for the changes of the node list from here on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     """Send bytes to another head."""
 
-    head: int
+    recipient_index: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    """Ask a node, beside all requests, whether it lives; one Probed follows."""
+class StartProbe:
+    """Ask a node, beside all requests, whether it lives; one ProbeFinished follows."""
 
-    node: str
+    node_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogLine:
     """One line for on-call staff."""
 
     text: str
 
 
-Action: TypeAlias = Send | Cancel | Refuse | Fail | Wake | Subscribe | Tell | Probe | Log
+Action: TypeAlias = (
+    StartAttempt
+    | CancelAttempt
+    | Reject
+    | Fail
+    | SetTimer
+    | WatchEndpoints
+    | SendPeerMessage
+    | StartProbe
+    | LogLine
+)
--- a/harriertide/decide/handover.py
+++ b/harriertide/decide/handover.py
@@ -12,7 +12,7 @@
 
 from harriertide.decide import api
 from harriertide.decide.leases import Credit, Fund, Leases, Slot
-from harriertide.decide.rules import Scheduler
+from harriertide.decide.scheduler import Scheduler
 from harriertide.decide.state import Store, Tally, Volume
 
 NOTHING = 1e-6  # in place of a figure that must be above 0: no request fits in
@@ -176,7 +176,7 @@
     What it has taken goes on otherwise: requests of plans without a limit, at nodes that are warm.
     """
     plans = tuple(
-        replace(plan, limit=NOTHING, limit_burst=NOTHING) if plan.limit > 0 else plan
+        replace(plan, rate_limit=NOTHING, burst_limit_units=NOTHING) if plan.rate_limit > 0 else plan
         for plan in settings.plans
     )
-    return replace(settings, plans=plans, cold_units=NOTHING, cold_from=1.0)
+    return replace(settings, plans=plans, slow_start_units=NOTHING, slow_start_initial_ratio=1.0)
--- a/harriertide/decide/leases.py
+++ b/harriertide/decide/leases.py
@@ -17,7 +17,7 @@
 from math import ceil
 
 from harriertide.decide import api
-from harriertide.decide.notes import CALL, GRANT, VOTE, WANT
+from harriertide.decide.peer_messages import CALL, GRANT, VOTE, WANT
 
 GROUP = 5  # heads that settle a slot, an odd number: as many messages in fleets of any size
 CALL_US = 45_000  # between a keeper's calls for votes
@@ -129,10 +129,10 @@
             return VOTE, key, [figures[0]]
         if kind == VOTE:
             self.vote(now_us, head, key, figures[0])
-        if kind == WANT and figures[0] < len(plans) and plans[figures[0]].limit > 0:
+        if kind == WANT and figures[0] < len(plans) and plans[figures[0]].rate_limit > 0:
             plan, (_, wanted, used, epoch, number) = plans[figures[0]], figures
             ask = (wanted, used, epoch, number)
-            given = self.give(now_us, head, key, ask, plan.limit, plan.limit_burst)
+            given = self.give(now_us, head, key, ask, plan.rate_limit, plan.burst_limit_units)
             return (GRANT, key, [number, given]) if given is not None else None
         return None
 
--- a/harriertide/decide/rules.py
+++ b/harriertide/decide/scheduler.py
@@ -15,7 +15,7 @@
 
 from harriertide.decide import api
 from harriertide.decide.leases import CALL_US, LIFE_US, Credit, Leases
-from harriertide.decide.notes import ASK, BID, CALL, GIFT, GRANT, PROOF_US, SUM, decode, encode
+from harriertide.decide.peer_messages import ASK, BID, CALL, GIFT, GRANT, PROOF_US, SUM, decode, encode
 from harriertide.decide.state import Cell, Line, Node, Placements, Request, Store, Tally, Volume, drop_until
 
 # Rounds and bids
@@ -101,27 +101,32 @@
                 node.given.append((self._now, self._bears(node)))
                 node.gift.void()
         self._s = settings
-        self._alone = settings.heads == 1 or not settings.may_tell
-        if self._alone or not any(plan.limit > 0 for plan in settings.plans):
+        self._alone = settings.broker_count == 1 or not settings.peer_messages_allowed
+        if self._alone or not any(plan.rate_limit > 0 for plan in settings.plans):
             self._leases = None
         elif self._leases is None and self._started >= 0:  # it abstains from its start on
-            self._leases = Leases(settings.head, settings.heads, self._now)
+            self._leases = Leases(settings.broker_index, settings.broker_count, self._now)
             self._at(self._now, self._leases)
         # each keeper's part of what a cold node bears; under a large request it serves nobody: one has all
-        small = settings.cold_units < 2 * settings.most_units
-        self._part = 1.0 / settings.heads if self._alone else 1.0 if small else 0.5
+        small = settings.slow_start_units < 2 * settings.max_request_units
+        self._part = 1.0 / settings.broker_count if self._alone else 1.0 if small else 0.5
         # deterministic subsetting: each turn of heads deals out all shards once, in an order of its own
-        size = min(settings.shards, max(NEAR, ceil(LOOKS * settings.shards / settings.heads)))
-        turn, place = divmod(settings.head, settings.shards // size)
-        order = Random(turn).sample(range(settings.shards), settings.shards)
+        size = min(
+            settings.shard_count, max(NEAR, ceil(LOOKS * settings.shard_count / settings.broker_count))
+        )
+        turn, place = divmod(settings.broker_index, settings.shard_count // size)
+        order = Random(turn).sample(range(settings.shard_count), settings.shard_count)
         self._near = frozenset(order[place * size :][:size])
         self._usual += [0.0] * (len(settings.classes) - len(self._usual))
-        self._ask_most = max(ASK_FIRST_US, min(ASK_MOST_US, settings.ask_within_us // 2))
-        first_us = max(ASK_FIRST_US, CALL_FIRST_US * settings.heads)
+        self._ask_most = max(ASK_FIRST_US, min(ASK_MOST_US, settings.poll_interval_us // 2))
+        first_us = max(ASK_FIRST_US, CALL_FIRST_US * settings.broker_count)
         self._ask_wait = self._ask_first = min(self._ask_most, first_us)
-        self._aim = min(kind.aim_us for kind in settings.classes)
-        self._top = max(k.worth * p.price for k in settings.classes for p in settings.plans) or 1.0
-        fills = [int(SECOND * p.limit_burst / p.limit) for p in settings.plans if p.limit > 0]
+        self._aim = min(kind.latency_objective_us for kind in settings.classes)
+        self._top = (
+            max(k.priority_weight * p.priority_factor for k in settings.classes for p in settings.plans)
+            or 1.0
+        )
+        fills = [int(SECOND * p.burst_limit_units / p.rate_limit) for p in settings.plans if p.rate_limit > 0]
         self._rest_us = max(REST_US, *fills, 0)  # after so long all stores of a volume are full again
 
     def decide(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
@@ -133,26 +138,26 @@
             self._settle(self._s)
             # heads that start together do not bid together
             self._round_end = self._now + int(ROUND_US * (0.5 + self._random.random()))
-            if self._s.ask_for_list:
-                spread_us = min(CALL_SPREAD_US * self._s.heads, self._ask_most)
+            if self._s.polls_endpoint_list:
+                spread_us = min(CALL_SPREAD_US * self._s.broker_count, self._ask_most)
                 self._at(self._now + int(self._random.random() * spread_us), None)
         for event in events:
             if isinstance(event, api.Arrival):
                 self._arrive(event)
-            elif isinstance(event, api.Outcome):
+            elif isinstance(event, api.AttemptFinished):
                 self._outcome(event)
-            elif isinstance(event, api.NodeList):
+            elif isinstance(event, api.EndpointUpdate):
                 self._list(event)
-            elif isinstance(event, api.PeerNote):
+            elif isinstance(event, api.PeerMessageReceived):
                 self._hear(event)
-            elif isinstance(event, api.AnswerBegan) and event.request in self._requests:
-                self._requests[event.request].begun = True
-            elif isinstance(event, api.Probed) and event.node in self._nodes and event.kind == "ok":
+            elif isinstance(event, api.ResponseStarted) and event.request_id in self._requests:
+                self._requests[event.request_id].begun = True
+            elif isinstance(event, api.ProbeFinished) and event.node_id in self._nodes and event.kind == "ok":
                 # it lives; what it does with requests is another matter: one more without a sign ends that
-                self._alive(self._nodes[event.node], SILENT_STREAK - 1)
-            elif isinstance(event, api.Departed) and event.request in self._requests:
-                self._close(self._requests[event.request])
-            elif isinstance(event, api.Resettled):
+                self._alive(self._nodes[event.node_id], SILENT_STREAK - 1)
+            elif isinstance(event, api.ClientDisconnected) and event.request_id in self._requests:
+                self._close(self._requests[event.request_id])
+            elif isinstance(event, api.SettingsChanged):
                 self._settle(event.settings)
         if self._now >= self._round_end:
             self._close_round()
@@ -160,7 +165,7 @@
         while self._touched:
             self._dispatch(self._touched.pop(next(iter(self._touched))))
         for (head, kind), rows in self._notes.items():
-            self._actions += [api.Tell(head, body) for body in encode(kind, rows)]
+            self._actions += [api.SendPeerMessage(head, body) for body in encode(kind, rows)]
         self._notes.clear()
         self._arm()
         return self._actions
@@ -171,7 +176,7 @@
         """Figures of the round that ended, and the bids: on what has demand here, nothing else."""
         span = (self._now - self._round_us) / SECOND
         self._round_us, self._round_end = self._now, self._now + ROUND_US
-        least = BID_LEAST * self._s.mean_units
+        least = BID_LEAST * self._s.mean_request_units
         for cell in list(self._active.values()):
             for band in range(BANDS):
                 cell.demand[band] += SMOOTH * (cell.offer[band] / span - cell.demand[band])
@@ -198,29 +203,33 @@
         while self._resting and self._now - next(iter(self._resting.values())) > self._rest_us:
             volume = next(iter(self._resting))
             del self._resting[volume], self._volumes[volume]
-        lost_us = self._now - self._s.cold_us - self._s.fall_us - SECOND
+        lost_us = self._now - self._s.slow_start_us - self._s.collapse_window_us - SECOND
         while self._lost and next(iter(self._lost.values())) < lost_us:
             node = self._nodes.pop(next(iter(self._lost)))
             del self._lost[node.id], self._cells[node.shard].nodes[node.id]
 
     def _keepers(self, key: int) -> tuple[int, int]:
         """The head that sums up the bids on a shard, and its standby: the same at every head."""
-        first = self._s.head if self._alone else crc32(b"%d" % key) % self._s.heads
-        return first, first if self._alone else (first + 1) % self._s.heads
+        first = self._s.broker_index if self._alone else crc32(b"%d" % key) % self._s.broker_count
+        return first, first if self._alone else (first + 1) % self._s.broker_count
 
     def _say(self, head: int, kind: int, key: int, figures: list[float]) -> None:
         """One row for another head, sent at the end of this call with all others; own rows at once."""
-        if head == self._s.head:
+        if head == self._s.broker_index:
             self._row(head, kind, key, figures)
         else:
             self._notes.setdefault((head, kind), []).append((key, figures))
 
-    def _hear(self, note: api.PeerNote) -> None:
+    def _hear(self, note: api.PeerMessageReceived) -> None:
         """Take a peer's rows. Junk, other versions, unknown heads and absurd figures: no effect."""
         kind, rows = decode(note.body)
-        if 0 <= note.head < self._s.heads and note.head != self._s.head and not self._alone:
+        if (
+            0 <= note.sender_index < self._s.broker_count
+            and note.sender_index != self._s.broker_index
+            and not self._alone
+        ):
             for key, figures in rows:
-                self._row(note.head, kind, key, figures)
+                self._row(note.sender_index, kind, key, figures)
 
     def _row(self, head: int, kind: int, key: int, figures: list[float]) -> None:
         """One row: to a keeper (bid, ask) or from one (sum, gift); others are not heeded."""
@@ -231,12 +240,14 @@
                 self._say(head, *answer)
             elif kind == GRANT and key in self._volumes and self._volumes[key].waiting:
                 volume = self._volumes[key]
-                rate = plans[volume.waiting[0].arrival.plan].limit
+                rate = plans[volume.waiting[0].arrival.plan].rate_limit
                 if volume.credit.take(self._now, counts[0], counts[1], rate):
                     for request in volume.waiting:
                         self._at(self._now, request)
             return
-        if key >= self._s.shards or (self._s.head if kind in (BID, ASK) else head) not in self._keepers(key):
+        if key >= self._s.shard_count or (
+            self._s.broker_index if kind in (BID, ASK) else head
+        ) not in self._keepers(key):
             return
         if kind in (ASK, GIFT) and key in self._cells:
             self._gift(head, kind, key, figures)
@@ -255,7 +266,7 @@
             if tally.pressed != tally.warned or (tally.pressed and self._now >= tally.warn_us):
                 # those who meet the shard now and then would each find out by what they lose there
                 tally.warned, tally.warn_us = tally.pressed, self._now + WARN_US
-                for other in tally.users.keys() - {head, self._s.head}:
+                for other in tally.users.keys() - {head, self._s.broker_index}:
                     self._say(other, SUM, key, row)
         elif kind == SUM and key in self._cells:
             cell = self._cells[key]
@@ -271,7 +282,7 @@
         """A pressured shard does what is served there through all heads, a cold one what it bears."""
         live = [node for node in cell.nodes.values() if node.live] if cell is not None else []
         if live and all(self._cold(node) for node in live):
-            tally.capacity = sum(map(self._bears, live)) * SECOND / max(1, self._s.fall_us)
+            tally.capacity = sum(map(self._bears, live)) * SECOND / max(1, self._s.collapse_window_us)
             tally.learned, tally.pressed = True, sum(tally.sums[:BANDS]) > tally.capacity
             return
         total = tally.sums[6]
@@ -283,18 +294,18 @@
         else:
             gain = LEARN_UP if total > tally.capacity else LEARN_DOWN
             # one mean request a second still goes where nothing comes back, to see when it does
-            tally.capacity = max(self._s.mean_units, tally.capacity + gain * (total - tally.capacity))
+            tally.capacity = max(self._s.mean_request_units, tally.capacity + gain * (total - tally.capacity))
             if total > SHARE_PART * tally.capacity:
                 tally.capacity *= GROW
 
     def _slice(self, cell: Cell) -> None:
         """This head's slice: demand-proportional, the bands worth most first."""
         # where a head offers less than a request a second, figures are rough and each sends one at least
-        relief = RELIEF * (2 if sum(cell.totals) < self._s.heads * self._s.mean_units else 1)
+        relief = RELIEF * (2 if sum(cell.totals) < self._s.broker_count * self._s.mean_request_units else 1)
         left = pool = (TARGET - relief * min(0.7, max(0.0, cell.strain_all - EASE_AIM))) * cell.capacity
         own = sum(cell.demand)
         if not cell.learned and self._now - cell.heard_us > BID_LIFE_US:  # fresh, or never told of its rate
-            cell.rate = pool / self._s.heads
+            cell.rate = pool / self._s.broker_count
         else:  # lost sums are bridged by the last ones: an even slice of hundreds of heads serves nobody
             cell.rate = 0.0
             for band, total in enumerate(cell.totals):
@@ -309,26 +320,26 @@
     def _arrive(self, event: api.Arrival) -> None:
         """Take a request: weigh it, count it as offered, admit it or answer at once."""
         kind = self._s.classes[event.request_class]
-        due_us = min(self._now + kind.aim_us, event.give_up_us - self._s.tick_us)
+        due_us = min(self._now + kind.latency_objective_us, event.deadline_at_us - self._s.tick_us)
         key = crc32(event.volume.encode())
         if key not in self._volumes:
-            part = min(1.0, LEAD / max(1, event.hosts))
+            part = min(1.0, LEAD / max(1, event.sharing_broker_count))
             # the limit's part starts as just spent: a head may have restarted
-            stores = Store(self._s.most_units, self._now), Store(0.0, self._started)
+            stores = Store(self._s.max_request_units, self._now), Store(0.0, self._started)
             self._volumes[key] = Volume(key, part, *stores)
         self._resting.pop(key, None)
         self._resting[key] = self._now
-        load = event.units * self._aim / kind.aim_us
-        request = Request(event.request, kind, event, self._volumes[key], self._now, due_us, load)
+        load = event.units * self._aim / kind.latency_objective_us
+        request = Request(event.request_id, kind, event, self._volumes[key], self._now, due_us, load)
         self._requests[request.id] = request
-        if self._s.extra_floor is not None:
+        if self._s.retry_budget_floor is not None:
             self._taken.append(self._now)
-        self._at(event.give_up_us - self._s.tick_us, request)
+        self._at(event.deadline_at_us - self._s.tick_us, request)
         if kind.in_order and event.key:
             request.line = self._lines.setdefault(event.key, Line())
             request.line.members.append(request)
         cell = self._place(event.units) if event.shard < 0 else self._cells.get(event.shard)
-        if cell is None or event.give_up_us <= self._now + self._s.tick_us:
+        if cell is None or event.deadline_at_us <= self._now + self._s.tick_us:
             self._give_up(request)
             return
         request.cell = cell
@@ -339,7 +350,7 @@
         # percent thinning: the part of what all heads are offered, by worth, that the shard can do
         thinned = cell.tight and self._random.random() >= cell.chance[request.band]
         # what waits for its limit until its aim is near comes late, and holds up the next
-        if dark or thinned or self._limit_wait(request) > LIMIT_PART * kind.aim_us:
+        if dark or thinned or self._limit_wait(request) > LIMIT_PART * kind.latency_objective_us:
             self._give_up(request)
             return
         if request.line is None or request.line.members[0] is request:
@@ -352,19 +363,19 @@
         rate = SHARE_PART * cell.capacity * weight / max(cell.weight_sum, plan.weight)
         reserve, share = volume.reserve, volume.shares.setdefault(cell.shard, Store(rate, self._now))
         # a store may fall below 0 by its last request: parts under one request would else never do
-        reserve.fill(self._now, plan.reserve * volume.part, plan.reserve * volume.part)
+        reserve.fill(self._now, plan.reserved_rate * volume.part, plan.reserved_rate * volume.part)
         share.fill(self._now, rate, rate)
         if reserve.units > 0:
             request.store, due = reserve, 1.0
         elif share.units > 0:
-            request.store, due = share, self._s.share_worth
+            request.store, due = share, self._s.within_quota_weight
         else:
-            due = self._s.spare_worth
+            due = self._s.beyond_quota_weight
         if request.store is not None:
             request.store.units -= event.units
         # a client's repeat belongs to its first try, and is late for that
-        due *= request.kind.late_worth if event.repeated else 1.0
-        value = request.kind.worth * plan.price * due / self._top
+        due *= request.kind.late_priority_weight if event.is_retry else 1.0
+        value = request.kind.priority_weight * plan.priority_factor * due / self._top
         request.band = min(BANDS - 1, int(-log(value) / log(BAND_STEP))) if value > 0 else BANDS - 1
 
     # --- 4. Bound and queue ------------------------------------------------------------------
@@ -385,7 +396,9 @@
             line.popleft()
         line.append(request)
         cell.load += request.load
-        few = FEW * self._s.mean_units  # what its room there gets through in that part, by Little's law
+        few = (
+            FEW * self._s.mean_request_units
+        )  # what its room there gets through in that part, by Little's law
         best = min(cell.nodes.values(), key=lambda n: (not n.live, n.out))
         latency = max(1.0, self._usual[request.arrival.request_class] * best.fast)
         most = max(2 * few, max(few, best.out_units) * HOLD_PART * self._aim / latency)
@@ -427,7 +440,7 @@
     def _pick(self, cell: Cell, request: Request) -> Node | None:
         """The fit node of the shard with the least out, if it has room under the bound."""
         best: Node | None = None
-        bound = max(cell.capacity * BOUND_PART * self._aim / SECOND, NODE_FEW * self._s.mean_units)
+        bound = max(cell.capacity * BOUND_PART * self._aim / SECOND, NODE_FEW * self._s.mean_request_units)
         bound *= min(1.0, cell.rate / max(0.1, TARGET * cell.capacity))
         for node in cell.nodes.values():
             if not self._fit(node):
@@ -448,46 +461,46 @@
         places = ((cell, node) for cell in self._cells.values() for node in cell.nodes.values())
         fit = [place for place in places if place[1].live and not place[1].silent]
         if not self._alone:
-            looks = max(2, ceil(LOOKS * len(fit) / self._s.heads))
+            looks = max(2, ceil(LOOKS * len(fit) / self._s.broker_count))
             near = [place for place in fit if place[0].shard in self._near]
             fit = self._random.sample(near if len(near) >= looks else fit, min(len(fit), looks))
 
         def waiting(place: tuple[Cell, Node]) -> float:
             cell, node = place
-            score = (cell.load + node.out_units + units) * node.fast + sum(cell.totals) / self._s.heads
+            score = (cell.load + node.out_units + units) * node.fast + sum(cell.totals) / self._s.broker_count
             return score * (4 if cell.strain > PRESS_AIM or self._cold(node) else 1)
 
         return min(fit, key=waiting)[0] if fit else None
 
     # --- 6. Health, time-outs, further attempts ----------------------------------------------
 
-    def _list(self, event: api.NodeList) -> None:
+    def _list(self, event: api.EndpointUpdate) -> None:
         """Follow the node list; ask again, with backoff, after a failed call."""
         if event.kind == "failed":
-            if self._s.ask_for_list:  # jitter, as hundreds are turned away together
+            if self._s.polls_endpoint_list:  # jitter, as hundreds are turned away together
                 self._at(self._now + int(self._ask_wait * (0.5 + 0.5 * self._random.random())), None)
                 self._ask_wait = min(self._ask_most, 2 * self._ask_wait)
             return
         self._ask_wait = self._ask_first
-        if event.kind != "changes":
-            named = {entry.node for entry in event.nodes}
+        if event.kind != "delta":
+            named = {entry.node_id for entry in event.entries}
             for known in self._nodes.values():
                 if known.id not in named:
                     known.live = False
                     self._lost.setdefault(known.id, self._now)
                     self._touched[known.shard] = self._cells[known.shard]
-        for entry in event.nodes:
-            node = self._nodes.setdefault(entry.node, Node(entry.node, entry.shard, entry.zone))
+        for entry in event.entries:
+            node = self._nodes.setdefault(entry.node_id, Node(entry.node_id, entry.shard, entry.zone))
             if node.started_us != entry.started_us or node.shard != entry.shard:
                 if node.shard in self._cells:
                     self._cells[node.shard].nodes.pop(node.id, None)
                 node.shard, node.zone = entry.shard, entry.zone
                 node.start(entry.started_us)
-                if self._now - self._started <= self._s.fall_us + LIFE_US:
+                if self._now - self._started <= self._s.collapse_window_us + LIFE_US:
                     # a head that has restarted may have given its part just before
                     node.given.append((self._now, self._bears(node)))
             cell = self._cells.setdefault(entry.shard, Cell(entry.shard, BANDS, self._now - BID_LIFE_US))
-            cell.nodes[entry.node] = node
+            cell.nodes[entry.node_id] = node
             node.live = entry.state == "live"
             if entry.state == "gone":
                 self._lost.setdefault(node.id, self._now)
@@ -495,9 +508,9 @@
                 self._lost.pop(node.id, None)
             self._touched[entry.shard] = cell
 
-    def _outcome(self, event: api.Outcome) -> None:
+    def _outcome(self, event: api.AttemptFinished) -> None:
         """Book how an attempt ended, and how long; try again where that is allowed and can be in time."""
-        request = self._requests.get(event.request)
+        request = self._requests.get(event.request_id)
         if request is None or event.attempt not in request.out:
             return
         node, sent_us = request.out.pop(event.attempt)
@@ -506,15 +519,17 @@
         node.flying.pop(request, None)
         cell = request.cell
         assert cell is not None
-        if event.kind not in api.NEVER_RAN and (request.maybe_us == 0 or sent_us < request.maybe_us):
+        if event.kind not in api.NOT_EXECUTED_OUTCOMES and (
+            request.maybe_us == 0 or sent_us < request.maybe_us
+        ):
             request.maybe_us, request.maybe_node = sent_us, node
         if request.line is not None and event.kind in ("timeout", "reset", "cancelled"):
-            request.line.rest_us = self._now + self._s.key_rest_us + self._s.tick_us
+            request.line.rest_us = self._now + self._s.key_quiet_us + self._s.tick_us
         self._health(event, node)
         self._touched[cell.shard] = self._active[cell.shard] = cell
         # no sign of life is no figure of how busy a node is: it counts like a 'full', however long it took
-        plain = event.kind == "full" or event.kind in api.NO_LIFE
-        took = 1.0 if plain else (self._now - request.taken_us) / request.kind.aim_us
+        plain = event.kind == "rejected" or event.kind in api.UNRESPONSIVE_OUTCOMES
+        took = 1.0 if plain else (self._now - request.taken_us) / request.kind.latency_objective_us
         if event.kind != "cancelled":
             cell.strained += request.arrival.units * min(2.0, took)
             cell.strain += SAMPLE * (took - cell.strain)
@@ -525,42 +540,42 @@
                 self._placed.put(request.arrival.key, node.shard, self._now)
             if self._cold(node):
                 node.answered += request.arrival.units
-                node.answered_us += event.took_us
-            cls, took_us = request.arrival.request_class, event.took_us
+                node.answered_us += event.latency_us
+            cls, took_us = request.arrival.request_class, event.latency_us
             usual = self._usual[cls] or float(max(1, took_us))
             # low running figure: one step down outweighs three up, so it rests near the lower quarter
             self._usual[cls] = usual * (1.02 if took_us > usual else 0.94)
             node.fast += SAMPLE * (took_us / usual - node.fast)
-        arrival = self._placed.elsewhere(request.arrival) if event.kind == "moot" else request.arrival
-        if event.over or request.over:
+        arrival = self._placed.elsewhere(request.arrival) if event.kind == "not_sent" else request.arrival
+        if event.is_final or request.over:
             self._close(request)
         elif arrival and self._may_retry(request) and cell.nodes and self._now < request.due_us:
             if arrival is not request.arrival:  # it named a shard that did not take its object
                 request.arrival, request.cell = arrival, self._cells[arrival.shard]
-            elif request.arrival.shard < 0 and request.kind.effect == "safe":
+            elif request.arrival.shard < 0 and request.kind.idempotency == "idempotent":
                 request.cell = self._place(request.arrival.units) or cell  # a new object may go elsewhere
             self._hold(request)
         else:
             self._give_up(request)
 
-    def _health(self, event: api.Outcome, node: Node) -> None:
+    def _health(self, event: api.AttemptFinished, node: Node) -> None:
         """Silence: attempts in a row end with no sign of life. A single answer ends it.
 
         Guards against dead machines, cut links, hung processes and full connection tables.
         """
-        if event.kind in api.NO_LIFE:
+        if event.kind in api.UNRESPONSIVE_OUTCOMES:
             # nothing listens there: it says as much as several that were not answered
             node.streak += SILENT_STREAK if event.kind == "connect_failed" else 1
             if node.streak >= SILENT_STREAK and not node.silent:
                 node.silent = True
-                self._actions.append(api.Log(f"node {node.id} judged silent"))
+                self._actions.append(api.LogLine(f"node {node.id} judged silent"))
             node.trial_us = max(node.trial_us, self._now + TRIAL_US)
-        elif event.kind in ("ok", "error", "full"):
+        elif event.kind in ("ok", "error", "rejected"):
             self._alive(node, 0)
 
     def _alive(self, node: Node, streak: int) -> None:
         if node.silent:
-            self._actions.append(api.Log(f"node {node.id} is back"))
+            self._actions.append(api.LogLine(f"node {node.id} is back"))
             self._touched[node.shard] = self._cells[node.shard]
         node.streak, node.silent = min(node.streak, streak), False
 
@@ -571,10 +586,10 @@
             return node.live
         if node.trial_us > self._now:
             return False
-        if self._s.may_probe:
-            node.trial_us = self._now + TRIAL_US * ceil(self._s.heads / TRIAL_HEADS)
-            self._actions.append(api.Probe(node.id))
-        return not self._s.may_probe
+        if self._s.probes_allowed:
+            node.trial_us = self._now + TRIAL_US * ceil(self._s.broker_count / TRIAL_HEADS)
+            self._actions.append(api.StartProbe(node.id))
+        return not self._s.probes_allowed
 
     def _overtake(self, node: Node, sent_us: int) -> None:
         """Give up attempts that hang, as the node has answered what it was sent later.
@@ -582,21 +597,21 @@
         Guards against connections that fall silent or bring half an answer; one merely slow answers in turn.
         Large requests among many small ones have patience by their size.
         """
-        for request, count in list(node.flying.items()) if self._s.may_cancel else ():
+        for request, count in list(node.flying.items()) if self._s.cancel_allowed else ():
             since_us = request.out[request.sent - 1][1]
             if since_us >= sent_us:
                 return
             node.flying[request] = count + 1
-            size = max(1.0, request.arrival.units / self._s.mean_units)
+            size = max(1.0, request.arrival.units / self._s.mean_request_units)
             expected = node.fast * self._usual[request.arrival.request_class] * size
             if count + 1 >= OVERTAKEN and self._now > since_us + PATIENCE * expected:
                 del node.flying[request]
-                self._actions.append(api.Cancel(request.id, request.sent - 1))
+                self._actions.append(api.CancelAttempt(request.id, request.sent - 1))
 
     def _may_retry(self, request: Request) -> bool:
         """Whether a further attempt is allowed by the request's own rules."""
         spare = request.sent < self._s.max_attempts and not request.begun
-        return spare and (request.kind.effect != "unsafe" or request.maybe_us == 0)
+        return spare and (request.kind.idempotency != "non_idempotent" or request.maybe_us == 0)
 
     # --- 7. Guards of the rules: the single place where attempts and answers leave -------------
 
@@ -611,7 +626,7 @@
         line = request.line
         if line and (line.members[0] is not request or (not request.sent and line.rest_us > self._now)):
             return False
-        if request.maybe_us and request.kind.effect == "keyed" and not self._in_group(request, node):
+        if request.maybe_us and request.kind.idempotency == "keyed" and not self._in_group(request, node):
             self._give_up(request)
             return False
         if self._cold(node) and not self._cold_room(node, event.units):
@@ -622,17 +637,17 @@
         wait_us = self._limit_wait(request)
         if wait_us:  # out of the queue until the store has filled so far
             self._unhold(request)
-            if self._now + wait_us > request.taken_us + LIMIT_PART * request.kind.aim_us:
+            if self._now + wait_us > request.taken_us + LIMIT_PART * request.kind.latency_objective_us:
                 self._give_up(request)
             else:
                 self._at(self._now + wait_us, request)
             return False
-        if not request.sent and self._s.plans[event.plan].limit > 0:
-            if self._leases and event.hosts > 1:
+        if not request.sent and self._s.plans[event.plan].rate_limit > 0:
+            if self._leases and event.sharing_broker_count > 1:
                 request.volume.credit.spend(event.units)
             else:
                 request.volume.limit.units -= event.units
-        if request.sent and self._s.extra_floor is not None:
+        if request.sent and self._s.retry_budget_floor is not None:
             self._extra.append(self._now)
         if self._cold(node):
             node.gift.spend(event.units)
@@ -645,20 +660,20 @@
             node.trial_us = self._now + TRIAL_US
         # more heads than requests that a node may hold steer no queue by their bounds: there, what waits past
         # its aim makes room
-        stop_us = request.due_us if self._s.heads > CEILING else event.give_up_us
-        self._actions.append(api.Send(request.id, node.id, stop_us))
+        stop_us = request.due_us if self._s.broker_count > CEILING else event.deadline_at_us
+        self._actions.append(api.StartAttempt(request.id, node.id, stop_us))
         return True
 
     def _in_group(self, request: Request, node: Node) -> bool:
         """Rule 2: a keyed request that may have run stays in its group and window."""
         first = request.maybe_node
-        if first is None or self._now + MARGIN_US > request.maybe_us + request.kind.window_us:
+        if first is None or self._now + MARGIN_US > request.maybe_us + request.kind.deduplication_window_us:
             return False
-        group = request.kind.group
+        group = request.kind.deduplication_scope
         return group == "all" or (first.zone == node.zone if group == "zone" else first.shard == node.shard)
 
     def _cold(self, node: Node) -> bool:
-        return node.started_us > 0 and self._now < node.started_us + self._s.cold_us
+        return node.started_us > 0 and self._now < node.started_us + self._s.slow_start_us
 
     def _bears(self, node: Node) -> float:
         """Rule 4: units that a cold node bears in a window by now, from all heads together.
@@ -666,10 +681,15 @@
         The safe units are the start's, with the slowest rise. Answers prove more: units over the time they
         took are at most what one core does. FEW_PROVEN requests at the safe rate weigh among them.
         """
-        age = max(0, self._now - self._s.fall_us - LIFE_US - node.started_us) / max(1, self._s.cold_us)
-        safe = self._s.cold_units * (1 + min(1.0, age) * (1 / self._s.cold_from - 1))
-        most_us, few = self._s.fall_multiple * self._s.fall_us, FEW_PROVEN * self._s.mean_units
-        few_us = few * most_us / max(0.01, self._s.cold_units)
+        age = max(0, self._now - self._s.collapse_window_us - LIFE_US - node.started_us) / max(
+            1, self._s.slow_start_us
+        )
+        safe = self._s.slow_start_units * (1 + min(1.0, age) * (1 / self._s.slow_start_initial_ratio - 1))
+        most_us, few = (
+            self._s.collapse_load_ratio * self._s.collapse_window_us,
+            FEW_PROVEN * self._s.mean_request_units,
+        )
+        few_us = few * most_us / max(0.01, self._s.slow_start_units)
         return max(safe, (node.proof + few) * most_us / max(1.0, node.proof_us + few_us))
 
     def _cold_room(self, node: Node, units: float) -> bool:
@@ -693,8 +713,8 @@
             if not (node.live and self._cold(node) and node.start_ms == started):
                 continue
             if kind == ASK:
-                node.prove(answered, int(took) * PROOF_US, PROOF * self._s.most_units)
-                span_us = self._s.fall_us + LIFE_US + self._s.tick_us
+                node.prove(answered, int(took) * PROOF_US, PROOF * self._s.max_request_units)
+                span_us = self._s.collapse_window_us + LIFE_US + self._s.tick_us
                 if node.given_since(self._now - span_us) + units <= self._bears(node) * self._part:
                     node.given.append((self._now, units))
                     self._say(head, GIFT, shard, figures)
@@ -703,11 +723,13 @@
 
     def _extra_room(self) -> bool:
         """Rule on further attempts: those of one window stay within floor and share."""
-        if self._s.extra_floor is None:
+        if self._s.retry_budget_floor is None:
             return True
         for times in (self._taken, self._extra):
-            drop_until(times, self._now - self._s.extra_span_us)
-        return len(self._extra) + 1 <= self._s.extra_floor + self._s.extra_share * len(self._taken)
+            drop_until(times, self._now - self._s.retry_budget_window_us)
+        return len(self._extra) + 1 <= self._s.retry_budget_floor + self._s.retry_budget_ratio * len(
+            self._taken
+        )
 
     def _limit_wait(self, request: Request) -> int:
         """Rule on limits: time until the volume's store has the units, or its keeper is asked again.
@@ -715,13 +737,16 @@
         Its own store, or, where heads can't tell each other anything, its even part; else a keeper's credit.
         """
         event, plan, volume = request.arrival, self._s.plans[request.arrival.plan], request.volume
-        if plan.limit <= 0 or request.sent:
+        if plan.rate_limit <= 0 or request.sent:
             return 0
-        leases = self._leases if event.hosts > 1 else None
+        leases = self._leases if event.sharing_broker_count > 1 else None
         if not leases:
-            rate, most = plan.limit / event.hosts, plan.limit_burst / event.hosts
+            rate, most = (
+                plan.rate_limit / event.sharing_broker_count,
+                plan.burst_limit_units / event.sharing_broker_count,
+            )
             short = event.units - volume.limit.fill(self._now, rate, most)
-            late_us = REST_US if event.repeated else 1 + int(short / rate * SECOND)
+            late_us = REST_US if event.is_retry else 1 + int(short / rate * SECOND)
             return late_us if short > 0 else 0
         credit = volume.credit
         if not credit.covers(self._now, event.units):
@@ -730,13 +755,13 @@
             sizes = [r.arrival.units for r in volume.waiting]
             if self._now >= credit.again_us:
                 # a busy volume's head asks also for what comes meanwhile
-                more = 2 * plan.limit * LIFE_US / SECOND if credit.short else 0.0
+                more = 2 * plan.rate_limit * LIFE_US / SECOND if credit.short else 0.0
                 wanted = sum(sizes) + more, min(sizes)
                 self._say(*leases.ask(self._now, volume.key, credit, event.plan, *wanted))
         if credit.covers(self._now, event.units):
             return 0
         # where the store is short, first tries have it; a repeat is late for its own
-        filled_us = REST_US if event.repeated else int(sum(sizes) / plan.limit * SECOND)
+        filled_us = REST_US if event.is_retry else int(sum(sizes) / plan.rate_limit * SECOND)
         return max(1, credit.again_us - self._now, filled_us if credit.short else 0)
 
     def _give_up(self, request: Request) -> None:
@@ -745,9 +770,13 @@
             return
         kind = request.kind
         ran = bool(request.maybe_us or request.out)
-        if kind.effect == "safe" or not ran or (kind.effect == "keyed" and kind.group == "all"):
+        if (
+            kind.idempotency == "idempotent"
+            or not ran
+            or (kind.idempotency == "keyed" and kind.deduplication_scope == "all")
+        ):
             wait_us = min(self._s.max_retry_after_us, max(TRIAL_US, self._round_end - self._now))
-            self._actions.append(api.Refuse(request.id, wait_us if self._s.may_say_when else 0))
+            self._actions.append(api.Reject(request.id, wait_us if self._s.retry_after_allowed else 0))
         else:
             self._actions.append(api.Fail(request.id))
         if request.store is not None:  # what it took of its volume's dues is due again
@@ -785,14 +814,14 @@
             what = heappop(self._later)[2]
             if isinstance(what, Request):
                 turn = what.over or what.line is None or what.line.members[0] is what
-                if self._now >= what.arrival.give_up_us - self._s.tick_us and not what.out:
+                if self._now >= what.arrival.deadline_at_us - self._s.tick_us and not what.out:
                     self._give_up(what)
                 elif turn and not (what.over or what.out or what.held):
                     self._hold(what)
             elif isinstance(what, Cell):
                 self._touched[what.shard] = what
             elif what is None:
-                self._actions.append(api.Subscribe())
+                self._actions.append(api.WatchEndpoints())
             elif isinstance(what, Leases):
                 if what is self._leases:
                     for head, slot, number in what.calls(self._now):
@@ -808,4 +837,4 @@
         want = max(self._now + 1, min([self._round_end, *(entry[0] for entry in self._later[:1])]))
         if not self._now < self._wake_us <= want:
             self._wake_us = want
-            self._actions.append(api.Wake(want - self._now, want))
+            self._actions.append(api.SetTimer(want - self._now, want))
--- a/harriertide/decide/settings.py
+++ b/harriertide/decide/settings.py
@@ -11,12 +11,13 @@
 Fields = dict[str, Any]
 
 
-class PlainError(Exception):
+class SettingsError(Exception):
     """What an operator has given can't be used; one plain line that names the key."""
 
 
 _NEEDED = object()  # no default: the key must be there
-_EFFECTS = {"idempotent": "safe", "deduplicated": "keyed", "at_most_once": "unsafe"}
+_IDEMPOTENCY = {"idempotent": "idempotent", "deduplicated": "keyed", "at_most_once": "non_idempotent"}
+_DEDUPLICATION_SCOPES = {"all": "all", "zone": "zone", "cell": "shard"}
 
 
 class Part:
@@ -115,33 +116,33 @@
     if safety.number("coldFrom") > 1:
         raise ValueError("settings.safety.coldFrom: must be at most 1")
     return api.Settings(
-        head=top.whole("index"),
-        heads=top.whole("groupSize", least=1),
+        broker_index=top.whole("index"),
+        broker_count=top.whole("groupSize", least=1),
         classes=tuple(map(_request_class, top.rows("classes"))),
         plans=tuple(map(_plan, top.rows("plans"))),
-        shards=domain.whole("nShards", least=1),
-        mean_units=domain.number("meanUnits"),
-        most_units=domain.number("maxUnits"),
-        share_worth=domain.number("withinShare"),
-        spare_worth=domain.number("beyondShare"),
-        cold_units=domain.number("youngLimit"),
-        cold_from=safety.number("coldFrom"),
-        cold_us=safety.whole("coldUs"),
-        fall_us=safety.whole("fallUs"),
-        fall_multiple=safety.number("fallMultiple", 1.0, least=1),
-        ask_for_list=top.choice("membershipMode", ("push", "ask")) == "ask",
-        ask_within_us=safety.whole("askWithinUs", 0) or 10_000_000,
-        may_tell=limits.flag("peers"),
-        may_say_when=limits.flag("retryAfter"),
-        may_cancel=limits.flag("cancel", False),
+        shard_count=domain.whole("nShards", least=1),
+        mean_request_units=domain.number("meanUnits"),
+        max_request_units=domain.number("maxUnits"),
+        within_quota_weight=domain.number("withinShare"),
+        beyond_quota_weight=domain.number("beyondShare"),
+        slow_start_units=domain.number("youngLimit"),
+        slow_start_initial_ratio=safety.number("coldFrom"),
+        slow_start_us=safety.whole("coldUs"),
+        collapse_window_us=safety.whole("fallUs"),
+        collapse_load_ratio=safety.number("fallMultiple", 1.0, least=1),
+        polls_endpoint_list=top.choice("membershipMode", ("push", "ask")) == "ask",
+        poll_interval_us=safety.whole("askWithinUs", 0) or 10_000_000,
+        peer_messages_allowed=limits.flag("peers"),
+        retry_after_allowed=limits.flag("retryAfter"),
+        cancel_allowed=limits.flag("cancel", False),
         max_retry_after_us=limits.whole("maxRetryAfterUs", 0),
         max_attempts=limits.whole("tryLimit", least=1),
-        may_probe=limits.flag("probes", False),
+        probes_allowed=limits.flag("probes", False),
         tick_us=top.whole("roundUs", least=1),
-        key_rest_us=safety.whole("keyQuietUs", 0),
-        extra_floor=safety.number("extraFloor", 0) if span_us else None,
-        extra_share=safety.number("resendRatio", 0),
-        extra_span_us=span_us,
+        key_quiet_us=safety.whole("keyQuietUs", 0),
+        retry_budget_floor=safety.number("extraFloor", 0) if span_us else None,
+        retry_budget_ratio=safety.number("resendRatio", 0),
+        retry_budget_window_us=span_us,
     )
 
 
@@ -160,26 +161,26 @@
 
 
 def _request_class(row: Part) -> api.RequestClass:
-    group = row.choice("dedupScope", ("all", "zone", "cell"), "all")
+    scope = row.choice("dedupScope", tuple(_DEDUPLICATION_SCOPES), "all")
     return api.RequestClass(
-        aim_us=row.whole("sloUs", least=1),
+        latency_objective_us=row.whole("sloUs", least=1),
         deadline_us=row.whole("deadlineUs", least=1),
-        worth=row.number("worth"),
-        late_worth=row.number("lateWorth", 0),
-        effect=_EFFECTS[row.choice("effect", tuple(_EFFECTS))],  # type: ignore[arg-type]
-        group=group,  # type: ignore[arg-type]
-        window_us=row.whole("windowUs", 0),
+        priority_weight=row.number("worth"),
+        late_priority_weight=row.number("lateWorth", 0),
+        idempotency=_IDEMPOTENCY[row.choice("effect", tuple(_IDEMPOTENCY))],  # type: ignore[arg-type]
+        deduplication_scope=_DEDUPLICATION_SCOPES[scope],  # type: ignore[arg-type]
+        deduplication_window_us=row.whole("windowUs", 0),
         in_order=row.flag("inOrder", False),
     )
 
 
 def _plan(row: Part) -> api.Plan:
     return api.Plan(
-        reserve=row.number("guaranteed"),
+        reserved_rate=row.number("guaranteed"),
         weight=row.number("weight"),
-        price=row.number("valueFactor"),
-        limit=row.number("ceilingRate"),
-        limit_burst=row.number("mostAtOnce"),
+        priority_factor=row.number("valueFactor"),
+        rate_limit=row.number("ceilingRate"),
+        burst_limit_units=row.number("mostAtOnce"),
     )
 
 
--- a/harriertide/decide/state.py
+++ b/harriertide/decide/state.py
@@ -1,4 +1,4 @@
-"""What a head knows: records that harriertide/decide/rules.py keeps. They decide nothing."""
+"""What a head knows: records that harriertide/decide/scheduler.py keeps. They decide nothing."""
 
 from __future__ import annotations
 
--- a/harriertide/engine/runtime.py
+++ b/harriertide/engine/runtime.py
@@ -35,7 +35,7 @@
         """None: write now. Else the attempt ends so, with nothing written."""
         runtime = self.runtime
         if runtime.gone(self.request):
-            return "moot"
+            return "not_sent"
         return runtime.core.may_write(self.request, self.number, runtime.clock.now_us())
 
 
@@ -55,7 +55,7 @@
     def gone(self) -> bool:
         """Whether who asked has left, as the system knows it now: the loop may not have heard of it yet."""
 
-    def answer(self, answer: ev.Answer) -> None:
+    def answer(self, answer: ev.Respond) -> None:
         """The final answer."""
 
 
@@ -86,15 +86,15 @@
 
     def submit(self, arrival: api.Arrival, job: Job, streams: bool = False) -> bool:
         """Take a request into the core; False if its id is in use. streams: see Arrived."""
-        if arrival.request in self._jobs or self.core.holds(arrival.request):
+        if arrival.request_id in self._jobs or self.core.holds(arrival.request_id):
             return False
-        self._jobs[arrival.request] = job
-        self.post(ev.Arrived(arrival, streams))
+        self._jobs[arrival.request_id] = job
+        self.post(ev.RequestArrived(arrival, streams))
         return True
 
     def left(self, request: str) -> None:
         """The client of a request is gone."""
-        self.post(ev.Left(request))
+        self.post(ev.ClientDisconnected(request))
 
     def gone(self, request: str) -> bool:
         """Whether who asked has left, looked up now.
@@ -110,7 +110,7 @@
 
     def began(self, attempt: Attempt) -> None:
         """The answer of an attempt is on its way to the client."""
-        self.post(ev.Began(attempt.request, attempt.number))
+        self.post(ev.ResponseStarted(attempt.request, attempt.number))
 
     def stop(self, request: str) -> None:
         """Stop what runs for a request whose client is gone; it ends as cancelled."""
@@ -121,7 +121,7 @@
 
     async def close(self, by: float) -> None:
         """Answer what is open, stop what runs, and wait for its end until this moment of the loop's clock."""
-        self.post(ev.Closing())
+        self.post(ev.ShutdownStarted())
         for task in self._tasks.values():
             task.cancel()
         while (self._tasks or self._events) and self._loop.time() < by:
@@ -160,43 +160,50 @@
             except Exception:  # guards against one broken effect taking the answers of others with it
                 log("an effect failed in the broker itself", trace=traceback.format_exc())
         for event in events:
-            if isinstance(event, (ev.Ended, ev.Left)) and not self.core.holds(event.request):
-                self._jobs.pop(event.request, None)
+            if isinstance(event, (ev.AttemptFinished, ev.ClientDisconnected)) and not self.core.holds(
+                event.request_id
+            ):
+                self._jobs.pop(event.request_id, None)
 
     def _perform(self, effect: ev.Effect) -> None:
         if isinstance(effect, ev.StartAttempt):
             attempt = Attempt(
-                self, effect.request, effect.attempt, effect.node, effect.stop_at_us, effect.from_us
+                self,
+                effect.request_id,
+                effect.attempt,
+                effect.node_id,
+                effect.stop_at_us,
+                effect.not_before_us,
             )
-            job = self._jobs[effect.request]
+            job = self._jobs[effect.request_id]
             context = job.context.copy() if job.context is not None else None
             task = self._loop.create_task(self._run(job, attempt), context=context)
-            self._tasks[effect.request, effect.attempt] = task
+            self._tasks[effect.request_id, effect.attempt] = task
             task.add_done_callback(partial(self._stopped, attempt))
-        elif isinstance(effect, ev.StopAttempt):
-            running = self._tasks.get((effect.request, effect.attempt))
+        elif isinstance(effect, ev.CancelAttempt):
+            running = self._tasks.get((effect.request_id, effect.attempt))
             if running is not None:
                 running.cancel()
-        elif isinstance(effect, ev.Answer):
-            job = self._jobs[effect.request]
-            if not self.core.holds(effect.request):
-                del self._jobs[effect.request]
+        elif isinstance(effect, ev.Respond):
+            job = self._jobs[effect.request_id]
+            if not self.core.holds(effect.request_id):
+                del self._jobs[effect.request_id]
             job.answer(effect)
         elif isinstance(effect, ev.SetTimer):
-            self._set(self.clock.loop_time(effect.at_us), ev.Fired(effect.token))
-        elif isinstance(effect, ev.TellPeer):
-            self.tell(effect.head, effect.body)
-        elif isinstance(effect, ev.OpenWatch):
+            self._set(self.clock.loop_time(effect.at_us), ev.TimerFired(effect.token))
+        elif isinstance(effect, ev.SendPeerMessage):
+            self.tell(effect.recipient_index, effect.body)
+        elif isinstance(effect, ev.WatchEndpoints):
             self.watch()
         elif isinstance(effect, ev.StartProbe):
-            self.probe(effect.node)
-        elif isinstance(effect, ev.Unwanted):
+            self.probe(effect.node_id)
+        elif isinstance(effect, ev.DiscardReply):
             if isinstance(effect.reply, Disposable):
                 effect.reply.dispose()
         else:
             log("core", text=effect.text)
 
-    def _set(self, at: float, event: ev.Fired) -> None:
+    def _set(self, at: float, event: ev.TimerFired) -> None:
         def fire() -> None:
             self._timers.discard(timer)
             self.post(event)
@@ -215,7 +222,7 @@
     def _end(self, attempt: Attempt, kind: api.OutcomeKind, reply: object) -> None:
         """Exactly one Ended for each attempt, whatever the performer does."""
         if self._tasks.pop((attempt.request, attempt.number), None) is not None:
-            self.post(ev.Ended(attempt.request, attempt.number, kind, reply, attempt.written_us))
+            self.post(ev.AttemptFinished(attempt.request, attempt.number, kind, reply, attempt.written_us))
 
     def _stopped(self, attempt: Attempt, task: asyncio.Task[None]) -> None:
         """Its task is over; where the core has stopped it, maybe before it began, it says so here."""
--- /dev/null
+++ b/harriertide/engine/workload.py
@@ -0,0 +1,175 @@
+"""Recorded workloads: the requests and endpoint updates that a core was told, to be played again.
+
+A recording is a file of JSON Lines: a header with format version, settings and seed, then one event a line,
+each with its time in microseconds since the header. A file that a crash cut off is good up to its last
+complete line. `harriertide.engine.workload_records` has the stored form.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import BinaryIO
+
+import msgspec
+
+from harriertide.core import events as ev
+from harriertide.decide import api
+from harriertide.decide.settings import SettingsError
+from harriertide.engine import workload_records as records
+
+VERSION = 1  # of the stored form
+
+
+class WorkloadError(SettingsError):
+    """A recorded workload cannot be used; the message names the file and the line."""
+
+
+@dataclass(frozen=True, slots=True)
+class WorkloadHeader:
+    """What a recording was made with. seed: of the decision module's random numbers."""
+
+    settings: api.Settings
+    seed: int
+
+
+@dataclass(frozen=True, slots=True)
+class WorkloadEvent:
+    """An arrival or an endpoint update. at_us, and all times within it, count from the header."""
+
+    at_us: int
+    arrival: api.Arrival | None = None
+    endpoint_update: api.EndpointUpdate | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Workload:
+    """A recording in memory. truncated: its last line was not complete, and was left out."""
+
+    header: WorkloadHeader
+    events: list[WorkloadEvent]
+    truncated: bool
+
+
+class Recorder:
+    """Writes what a core is told to a file, line by line as it comes."""
+
+    def __init__(self, file: BinaryIO, settings: api.Settings, seed: int, start_us: int) -> None:
+        self._file, self._start_us = file, start_us
+        self._file.write(_header_line(WorkloadHeader(settings, seed)))
+
+    def take(self, now_us: int, event: ev.Event) -> None:
+        """Record an event of the core; events other than arrivals and endpoint updates are left out."""
+        recorded = _relative_event(now_us, event, self._start_us)
+        if recorded is not None:
+            self._file.write(_event_line(recorded))
+
+
+def _relative_event(now_us: int, event: ev.Event, start_us: int) -> WorkloadEvent | None:
+    """The event with all its times counted from start_us; None if it is of no kind that is recorded."""
+    if isinstance(event, ev.RequestArrived):
+        deadline_at_us = event.arrival.deadline_at_us - start_us
+        return WorkloadEvent(now_us - start_us, replace(event.arrival, deadline_at_us=deadline_at_us))
+    if isinstance(event, ev.EndpointsUpdated):
+        return WorkloadEvent(now_us - start_us, None, _shift_update(event.update, -start_us))
+    return None
+
+
+def absolute_event(recorded: WorkloadEvent, start_us: int) -> tuple[int, ev.Event]:
+    """A recorded event on a clock that showed start_us at the header.
+
+    :returns: when it comes, in microseconds of that clock, and the event for the core
+    """
+    at_us = recorded.at_us + start_us
+    if recorded.arrival is not None:
+        deadline_at_us = recorded.arrival.deadline_at_us + start_us
+        return at_us, ev.RequestArrived(replace(recorded.arrival, deadline_at_us=deadline_at_us))
+    assert recorded.endpoint_update is not None
+    return at_us, ev.EndpointsUpdated(_shift_update(recorded.endpoint_update, start_us))
+
+
+def _shift_update(update: api.EndpointUpdate, by_us: int) -> api.EndpointUpdate:
+    return replace(update, entries=tuple(_shift_start(entry, by_us) for entry in update.entries))
+
+
+def _shift_start(entry: api.NodeEntry, by_us: int) -> api.NodeEntry:
+    """The entry with its start on another clock; 0 stands for long ago and stays."""
+    return replace(entry, started_us=entry.started_us + by_us) if entry.started_us else entry
+
+
+def load(path: str) -> Workload:
+    """Read and check a recording.
+
+    :raises WorkloadError: the file cannot be read, or a line of it cannot be used
+    """
+    try:
+        text = Path(path).read_bytes()
+    except OSError as fault:
+        raise WorkloadError(f"{path}: {fault.strerror}") from None
+    *lines, rest = text.split(b"\n")
+    if not lines:
+        raise WorkloadError(f"{path}: line 1: is missing or cut off")
+    try:
+        header = _read_header(lines[0])
+        events = list(_read_events(lines[1:]))
+    except WorkloadError as fault:
+        raise WorkloadError(f"{path}: {fault}") from None
+    return Workload(header, events, truncated=bool(rest))
+
+
+def _read_header(line: bytes) -> WorkloadHeader:
+    try:
+        record = records.decode_header(line)
+        settings = records.load_settings(record.settings)
+    except (msgspec.DecodeError, ValueError) as fault:
+        raise WorkloadError(f"line 1: {fault}") from None
+    if record.version != VERSION:
+        raise WorkloadError(f"line 1: v: version {record.version} is not {VERSION}")
+    return WorkloadHeader(settings, record.seed)
+
+
+def _read_events(lines: list[bytes]) -> Iterator[WorkloadEvent]:
+    last_us = 0
+    for number, line in enumerate(lines, 2):
+        try:
+            event = _read_event(line)
+        except (msgspec.DecodeError, ValueError) as fault:
+            raise WorkloadError(f"line {number}: {fault}") from None
+        if (event.arrival is None) == (event.endpoint_update is None):
+            raise WorkloadError(f"line {number}: must have either arrival or news")
+        if event.at_us < last_us:
+            raise WorkloadError(f"line {number}: at: goes back in time")
+        last_us = event.at_us
+        yield event
+
+
+def _read_event(line: bytes) -> WorkloadEvent:
+    record = records.decode_event(line)
+    arrival, update = record.arrival, record.endpoint_update
+    return WorkloadEvent(
+        record.at_us,
+        records.load_arrival(arrival) if arrival is not None else None,
+        records.load_endpoint_update(update) if update is not None else None,
+    )
+
+
+def save(path: str, workload: Workload) -> None:
+    """Write a recording that was made rather than heard."""
+    lines = [_header_line(workload.header), *map(_event_line, workload.events)]
+    Path(path).write_bytes(b"".join(lines))
+
+
+def _header_line(header: WorkloadHeader) -> bytes:
+    record = records.HeaderRecord(VERSION, records.store_settings(header.settings), header.seed)
+    return records.encode(record) + b"\n"
+
+
+def _event_line(event: WorkloadEvent) -> bytes:
+    arrival, update = event.arrival, event.endpoint_update
+    record = records.EventRecord(
+        event.at_us,
+        records.store_arrival(arrival) if arrival is not None else None,
+        records.store_endpoint_update(update) if update is not None else None,
+    )
+    return records.encode(record) + b"\n"
--- a/harriertide/http/nodes.py
+++ b/harriertide/http/nodes.py
@@ -29,7 +29,7 @@
 FIRST_BYTES, FIRST_S, SOME_BYTES = 64 * 1024, 0.05, 4096
 
 
-class BrokenError(Exception):
+class AttemptFailedError(Exception):
     """An exchange ended without a whole answer."""
 
     def __init__(self, kind: api.OutcomeKind) -> None:
@@ -104,9 +104,9 @@
         return "ok"
     if answer.headers.get("X-Rejected") == "1":
         if answer.status == 503:
-            return "full"
+            return "rejected"
         if answer.status == 504:  # the request is over, or for another shard: nothing about the node itself
-            return "moot"
+            return "not_sent"
     return "error"
 
 
@@ -153,11 +153,11 @@
     ) -> AsyncIterator[Incoming]:
         """Send the request; the answer as it comes. most, relayed: see NodeConnection.ask.
 
-        Raises BrokenError as PROTOCOL's table has it.
+        Raises AttemptFailedError as PROTOCOL's table has it.
         """
         address = self._find(attempt.node)
         if address is None:
-            raise BrokenError("full")
+            raise AttemptFailedError("rejected")
         connection: NodeConnection | None = None
         asked = False
         incoming: Incoming | None = None
@@ -173,7 +173,7 @@
                 if kind is not None:
                     self.pool.rest(connection)
                     connection = None
-                    raise BrokenError(kind)
+                    raise AttemptFailedError(kind)
                 connection.ask(_head(method, target, _rows(headers)) + first, most, relayed)
                 self.pool.begin(connection, attempt.request)
                 asked = True
@@ -183,9 +183,9 @@
                 incoming = Incoming(message.code, message.headers, content, connection)
                 yield incoming
         except TimeoutError:
-            raise BrokenError(self._end("timeout", connection, asked, stream)) from None
+            raise AttemptFailedError(self._end("timeout", connection, asked, stream)) from None
         except (aiohttp.ClientError, HttpProcessingError, OSError):
-            raise BrokenError(self._end("reset", connection, asked, stream)) from None
+            raise AttemptFailedError(self._end("reset", connection, asked, stream)) from None
         finally:
             if stream is not None and not self._let_go(stream) and connection is not None:
                 connection.force_close()  # an early answer: the rest of the body would be taken for a request
@@ -226,7 +226,7 @@
         if connection is None:
             # refused early: nothing is wrong with the node, so this must not count against its health
             self.counts["no_room"] += 1
-            raise BrokenError("full")
+            raise AttemptFailedError("rejected")
         self.counts["connected"] += 1
         limit.reschedule(stop_at)
         return connection
@@ -260,7 +260,7 @@
         """Ask a node for a page beside all requests, within the time for a connection: how that ended."""
         address = self._find(node)
         if address is None:
-            return "full"
+            return "rejected"
         connection: NodeConnection | None = None
         try:
             async with asyncio.timeout(self.connect_us / 1_000_000):
@@ -268,7 +268,7 @@
                 if connection is None:  # not "or": one without a message is an empty queue, and false
                     connection = await self.pool.open(address)
                 if connection is None:
-                    return "full"
+                    return "rejected"
                 connection.ask(_head("GET", target, []), None)
                 message, content = await connection.read()
                 await content.read()
@@ -294,7 +294,7 @@
                 answer.detached = True
                 rest = Remainder(answer.connection, self.pool, answer.content, answer.content_length)
                 return kind, Reply(answer.status, answer.headers, first, rest)
-        except BrokenError as end:
+        except AttemptFailedError as end:
             return end.kind, None
 
     async def exchange(
@@ -307,5 +307,5 @@
             async with self.open(attempt, method, target, headers, body, most=None) as answer:
                 reply = Reply(answer.status, answer.headers, await answer.read())
                 return outcome(reply), reply
-        except BrokenError as end:
+        except AttemptFailedError as end:
             return end.kind, None
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/bench_library.py
@@ -40,7 +40,7 @@
 
 WAYS = ("direct", "library", "daemon")
 FIGURES = ("p50", "p99", "p99.9", "cpu")
-SETTINGS = replace(plant.SETTINGS, shards=1)
+SETTINGS = replace(plant.SETTINGS, shard_count=1)
 CONNECT_US, IDLE_US = 250_000, 15_000_000
 
 
@@ -198,7 +198,7 @@
     found: dict[int, list[float]] = {count: [] for count in counts}
     for _ in range(3):
         for count in counts:
-            settings = replace(plant.SETTINGS, shards=count)
+            settings = replace(plant.SETTINGS, shard_count=count)
             source = Fixed(Box(f"box-{n}", n) for n in range(count))
 
             async def empty(attempt: Attempt) -> None:
--- a/harriertide/lab/bench_upkeep.py
+++ b/harriertide/lab/bench_upkeep.py
@@ -32,7 +32,7 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import Entry
 from harriertide.consensus.store import Store
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
 from harriertide.lab.fleet import Fleet
@@ -238,7 +238,7 @@
             int(given[f"--{name}"]) for name in ("rounds", "calls", "kills", "rate")
         )
     except ValueError as off:
-        raise PlainError(f"bench-maintenance: {off}") from None
+        raise SettingsError(f"bench-maintenance: {off}") from None
     only = given["--only"]
     found: dict[str, Any] = {"cores": os.cpu_count()}
     if only in ("all", "agree"):
--- a/harriertide/lab/check.py
+++ b/harriertide/lab/check.py
@@ -36,8 +36,8 @@
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.log import Log
 from harriertide.consensus.messages import Append, Appended, Entry, Member, Members, Message
-from harriertide.consensus.node import BrokenError, Node, encode_members
-from harriertide.decide.settings import PlainError
+from harriertide.consensus.node import InvariantViolationError, Node, encode_members
+from harriertide.decide.settings import SettingsError
 from harriertide.lab.cluster import Verdict, course
 from harriertide.lab.planted import PLANTS
 
@@ -213,7 +213,7 @@
         while todo:
             try:
                 effects = node.step(0, todo.popleft())
-            except BrokenError as fault:
+            except InvariantViolationError as fault:
                 return [str(fault)]
             for effect in effects:
                 if isinstance(effect, ev.Transmit):
@@ -407,7 +407,7 @@
         most, seeds, first = int(given["--states"]), int(given["--seeds"]), int(given["--first"])
         processes = int(given["--processes"])
     except ValueError as fault:
-        raise PlainError(f"consensus-check: {fault}") from None
+        raise SettingsError(f"consensus-check: {fault}") from None
     if given["--short"]:
         most, seeds = 20_000, 60
     failed = False
--- a/harriertide/lab/child.py
+++ b/harriertide/lab/child.py
@@ -18,7 +18,7 @@
 
 from harriertide.cli.daemon import run
 from harriertide.consensus.store import Store
-from harriertide.upkeep.member import Outside
+from harriertide.control.member import Outside
 
 
 class Faults:
--- a/harriertide/lab/fleet.py
+++ b/harriertide/lab/fleet.py
@@ -22,13 +22,13 @@
 from harriertide.config.model import Maintenance, State
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import Entry, Snapshot
+from harriertide.control.maintenance_service import Service
+from harriertide.control.member import CallError, Outside
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
 from harriertide.maintenance.orders import Order
 from harriertide.maintenance.state import Request, encode, read_answer
-from harriertide.upkeep.member import CallError, Outside
-from harriertide.upkeep.service import Service
 
 LONGEST_S = 0.3  # of an attempt
 
@@ -96,9 +96,12 @@
 
     def __init__(self) -> None:
         self.settings = api.Settings(
-            head=0, heads=1, shards=1, classes=(api.RequestClass(100_000, int(LONGEST_S * 1_000_000)),),
+            broker_index=0,
+            broker_count=1,
+            shard_count=1,
+            classes=(api.RequestClass(100_000, int(LONGEST_S * 1_000_000)),),
             plans=(api.Plan(),),
-        )  # fmt: skip
+        )
         self.offered_units = 0.0
         self.barred: Callable[[str], bool] | None = None
         self.lifeless: Counter[str] = Counter()
--- a/harriertide/lab/limits.py
+++ b/harriertide/lab/limits.py
@@ -22,20 +22,24 @@
 from docopt import docopt
 
 from harriertide.decide import api
-from harriertide.decide.rules import Scheduler
+from harriertide.decide.scheduler import Scheduler
 
 SECOND = 1_000_000
 START_US = 50 * SECOND
-PLANS = (api.Plan(limit=20.0, limit_burst=24.0, price=1.0),)
+PLANS = (api.Plan(rate_limit=20.0, burst_limit_units=24.0, priority_factor=1.0),)
 SETTINGS = api.Settings(
-    head=0,
-    heads=1,
-    classes=(api.RequestClass(aim_us=300_000, deadline_us=2 * SECOND, worth=2, late_worth=0.2),),
+    broker_index=0,
+    broker_count=1,
+    classes=(
+        api.RequestClass(
+            latency_objective_us=300_000, deadline_us=2 * SECOND, priority_weight=2, late_priority_weight=0.2
+        ),
+    ),
     plans=PLANS,
-    shards=1,
-    mean_units=2,
-    most_units=6,
-    may_tell=True,
+    shard_count=1,
+    mean_request_units=2,
+    max_request_units=6,
+    peer_messages_allowed=True,
     max_attempts=3,
 )
 
@@ -53,8 +57,8 @@
     seed: int
     lost: float = 0.3
     now: int = START_US
-    level: float = PLANS[0].limit_burst
-    lowest: float = PLANS[0].limit_burst
+    level: float = PLANS[0].burst_limit_units
+    lowest: float = PLANS[0].burst_limit_units
     sent: float = 0.0
     asked: float = 0.0
     fleet: list[Scheduler | None] = field(default_factory=list)
@@ -70,15 +74,17 @@
 
     def start(self, i: int) -> None:
         self.made += 1
-        self.fleet[i] = Scheduler(replace(SETTINGS, head=i, heads=self.heads), self.seed * 1000 + self.made)
-        self.due[i] = [(self.now, self.made, api.NodeList("held", (api.NodeEntry("n0", 0),)))]
+        self.fleet[i] = Scheduler(
+            replace(SETTINGS, broker_index=i, broker_count=self.heads), self.seed * 1000 + self.made
+        )
+        self.due[i] = [(self.now, self.made, api.EndpointUpdate("cached", (api.NodeEntry("n0", 0),)))]
 
     def play(self, for_us: int, busiest: int, rate: float) -> None:
         """Offer `rate` requests of 1 to 3 units a second, nine in ten through the busiest head."""
         end = self.now + for_us
         while self.now < end:
             self.now += 2_000
-            self.level = min(PLANS[0].limit_burst, self.level + PLANS[0].limit * 0.002)
+            self.level = min(PLANS[0].burst_limit_units, self.level + PLANS[0].rate_limit * 0.002)
             if self.random.random() < rate * 0.002:
                 host = busiest if self.random.random() < 0.9 else self.random.choice(self.hosts)
                 self.made += 1
@@ -86,7 +92,14 @@
                 self.asked += units
                 if self.fleet[host] is not None:
                     arrival = api.Arrival(
-                        f"q{self.made}", 0, 0, "v", 0, self.now + SECOND, units, hosts=len(self.hosts)
+                        f"q{self.made}",
+                        0,
+                        0,
+                        "v",
+                        0,
+                        self.now + SECOND,
+                        units,
+                        sharing_broker_count=len(self.hosts),
                     )
                     self.due[host].append((self.now, self.made, arrival))
             for i, one in enumerate(self.fleet):
@@ -98,23 +111,25 @@
 
     def _do(self, i: int, one: Scheduler, action: api.Action) -> None:
         self.made += 1
-        if isinstance(action, api.Tell) and not {i, action.head} & self.cut:
+        if isinstance(action, api.SendPeerMessage) and not {i, action.recipient_index} & self.cut:
             for _ in range((self.random.random() >= self.lost) + (self.random.random() < 0.05)):
                 at = self.now + self.random.randrange(1_400, 35_000)
-                self.due[action.head].append((at, self.made, api.PeerNote(i, action.body)))
-        elif isinstance(action, api.Send):
-            units = one._requests[action.request].arrival.units
+                self.due[action.recipient_index].append(
+                    (at, self.made, api.PeerMessageReceived(i, action.body))
+                )
+        elif isinstance(action, api.StartAttempt):
+            units = one._requests[action.request_id].arrival.units
             self.level -= units
             self.sent += units
             self.by_head[i] += units
             self.lowest = min(self.lowest, self.level)
-            end = api.Outcome(action.request, 0, "n0", "ok", 10_000, True)
+            end = api.AttemptFinished(action.request_id, 0, "n0", "ok", 10_000, True)
             self.due[i].append((self.now + 10_000, self.made, end))
 
 
 def allowed(for_us: int) -> float:
     """Units that the limit lets through in this time."""
-    return PLANS[0].limit * for_us / SECOND
+    return PLANS[0].rate_limit * for_us / SECOND
 
 
 COURSES = ((3, [0, 1, 2]), (4, [1, 3]), (5, [0, 2, 4]), (8, [5, 6, 7]))
--- a/harriertide/lab/operator_calls.py
+++ b/harriertide/lab/operator_calls.py
@@ -27,7 +27,7 @@
 
 from docopt import docopt
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.folders import kept_or_temporary
 from harriertide.lab.script import HOST
@@ -87,7 +87,7 @@
     try:
         process = await world.launch(program=program)
         if await world.ready(process) < 0:
-            raise PlainError(f"the broker did not get ready; see {folder}")
+            raise SettingsError(f"the broker did not get ready; see {folder}")
         os.sched_setaffinity(process.handle.pid, {core})
         others = await _share_core(core, busy)
         world.clients.rate = rate
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/parity.py
@@ -29,10 +29,10 @@
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
-from harriertide.decide.settings import Names, PlainError
+from harriertide.decide.settings import Names, SettingsError
 from harriertide.engine.clock import until
-from harriertide.engine.record import Workload, load, moved
 from harriertide.engine.runtime import Runtime
+from harriertide.engine.workload import Workload, absolute_event, load
 from harriertide.lab import plant, virtual
 from harriertide.library import Ask, Attempt, Box, Broker, FailedError, Fixed, RefusedError
 from harriertide.library.exchange import Exchange, Loopback
@@ -65,12 +65,14 @@
             at = now_us - start_us
             if isinstance(effect, ev.StartAttempt):
                 stop = effect.stop_at_us - start_us
-                played.decisions.append((at, "attempt", effect.request, effect.attempt, effect.node, stop))
-            elif isinstance(effect, ev.StopAttempt):
-                played.decisions.append((at, "stop", effect.request, effect.attempt))
-            elif isinstance(effect, ev.Answer):
-                played.decisions.append((at, effect.kind, effect.request, effect.retry_after_us))
-                played.ends[effect.request] = (at, effect.kind)
+                played.decisions.append(
+                    (at, "attempt", effect.request_id, effect.attempt, effect.node_id, stop)
+                )
+            elif isinstance(effect, ev.CancelAttempt):
+                played.decisions.append((at, "stop", effect.request_id, effect.attempt))
+            elif isinstance(effect, ev.Respond):
+                played.decisions.append((at, effect.kind, effect.request_id, effect.retry_after_us))
+                played.ends[effect.request_id] = (at, effect.kind)
         return effects
 
     core.step = watched  # type: ignore[method-assign]
@@ -82,11 +84,11 @@
 async def _play(workload: Workload, runtimes: list[Runtime], start_us: int, submit: Submit) -> None:
     """Each row in its time."""
     clock, tasks = runtimes[0].clock, []
-    for row in workload.rows:
-        at_us, event = moved(row, start_us)
+    for row in workload.events:
+        at_us, event = absolute_event(row, start_us)
         if at_us > clock.now_us():
             await until(clock.loop_time(at_us))
-        if isinstance(event, ev.Arrived):
+        if isinstance(event, ev.RequestArrived):
             tasks.append(asyncio.ensure_future(submit(event.arrival)))
         else:
             for runtime in runtimes:
@@ -95,7 +97,7 @@
 
 
 def _budget_ms(arrival: api.Arrival, now_us: int) -> int:
-    return max(1, -(-(arrival.give_up_us - now_us + SENT_BEFORE_US) // 1000))
+    return max(1, -(-(arrival.deadline_at_us - now_us + SENT_BEFORE_US) // 1000))
 
 
 async def _boxes(boxes: list[plant.Box], begin: float) -> dict[str, str]:
@@ -112,7 +114,7 @@
 async def through_daemon(workload: Workload, boxes: list[plant.Box], brokers: int = 1) -> Played:
     """The platform's front, over HTTP, as a client of the platform sees it; brokers take requests in turn."""
     played, loop = Played(), asyncio.get_running_loop()
-    settings = workload.head.settings
+    settings = workload.header.settings
     peers = [f"127.0.0.1:{FIRST_PORT + place}" for place in range(brokers)]
     places = await _boxes(boxes, loop.time() + LEAD_S)
     names = Names(
@@ -122,9 +124,9 @@
     daemons: list[Daemon] = []
     start_us = 0
     for place in range(brokers):
-        own = replace(settings, head=place, heads=brokers, may_tell=brokers > 1)
+        own = replace(settings, broker_index=place, broker_count=brokers, peer_messages_allowed=brokers > 1)
         config = Config(
-            "parity", ("127.0.0.1", 0), "127.0.0.1:1", workload.head.seed + place, own, names,
+            "parity", ("127.0.0.1", 0), "127.0.0.1:1", workload.header.seed + place, own, names,
             ("127.0.0.1", FIRST_PORT + place) if brokers > 1 else None, peers,
             {"seq": 0, "whole": True, "hosts": []},
         )  # fmt: skip
@@ -142,10 +144,10 @@
         method, body = ("PUT", b"x" * 16) if arrival.request_class else ("GET", b"")
         extent = f"volume={arrival.volume},units={arrival.units:g},shard={arrival.shard}"
         writer.write(
-            f"{method} /api?key={arrival.key} HTTP/1.1\r\nHost: x\r\nX-Call-Id: {arrival.request}\r\n"
+            f"{method} /api?key={arrival.key} HTTP/1.1\r\nHost: x\r\nX-Call-Id: {arrival.request_id}\r\n"
             f"X-Call-Class: c{arrival.request_class}\r\nX-Storage-Class: p{arrival.plan}\r\n"
             f"X-Budget-Ms: {_budget_ms(arrival, clock.now_us())}\r\n"
-            f"X-Extent: {extent},hosts={arrival.hosts}\r\n"
+            f"X-Extent: {extent},hosts={arrival.sharing_broker_count}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n".encode()
             + body
         )
@@ -181,7 +183,7 @@
     for place in range(brokers):
         source = Fixed([Box("none", 0, state="gone")])
         source.find = places.get  # type: ignore[assignment]
-        settings, seed = workload.head.settings, workload.head.seed + place
+        settings, seed = workload.header.settings, workload.header.seed + place
         broker = Broker(settings, source, seed=seed, exchange=seat(place))
         await broker.start()
         all_brokers.append(broker)
@@ -201,13 +203,13 @@
         last_us = min(last_us, now_us + kind.deadline_us - SENT_BEFORE_US)
 
         async def perform(attempt: Attempt) -> bytes:
-            headers = {"X-Call-Id": arrival.request}
+            headers = {"X-Call-Id": arrival.request_id}
             target = f"/api?key={arrival.key}"
             return (await broker.boxes.request(attempt, method, target, headers, body)).body
 
         ask = Ask(
             arrival.volume, arrival.shard, arrival.units, arrival.request_class, arrival.plan, arrival.key,
-            clock.loop_time(last_us), arrival.hosts, arrival.request,
+            clock.loop_time(last_us), arrival.sharing_broker_count, arrival.request_id,
         )  # fmt: skip
         with suppress(RefusedError, FailedError):
             await broker.call(ask, perform)
@@ -223,21 +225,21 @@
 
 def worth(workload: Workload, played: Played, from_us: int = 0, until_us: int = 1 << 62) -> float:
     """Of what arrived in a span and was served within its aim: class and plan, by units."""
-    settings, total = workload.head.settings, 0.0
-    for row in workload.rows:
+    settings, total = workload.header.settings, 0.0
+    for row in workload.events:
         asked = row.arrival
-        if asked is None or not from_us <= row.at < until_us:
+        if asked is None or not from_us <= row.at_us < until_us:
             continue
-        at, end = played.ends.get(asked.request, (0, "none"))
+        at, end = played.ends.get(asked.request_id, (0, "none"))
         kind = settings.classes[asked.request_class]
-        if end == "served" and at - row.at <= kind.aim_us:
-            total += kind.worth * settings.plans[asked.plan].price * asked.units
+        if end == "served" and at - row.at_us <= kind.latency_objective_us:
+            total += kind.priority_weight * settings.plans[asked.plan].priority_factor * asked.units
     return total
 
 
 def due(workload: Workload) -> float:
     """Worth of all that arrives."""
-    ends = {row.arrival.request: (row.at, "served") for row in workload.rows if row.arrival}
+    ends = {row.arrival.request_id: (row.at_us, "served") for row in workload.events if row.arrival}
     return worth(workload, Played([], ends))
 
 
@@ -283,7 +285,7 @@
     known = [*plant.KINDS, "pair"]
     kinds = [given["--kind"]] if given["--kind"] else known
     if not set(kinds) <= set(known):
-        raise PlainError(f"--kind: {given['--kind']} is none of {', '.join(known)}")
+        raise SettingsError(f"--kind: {given['--kind']} is none of {', '.join(known)}")
     if given["--sockets"]:
         return on_sockets(int(given["--seed"]), float(given["--seconds"]))
     seed, seconds = int(given["--seed"]), float(given["--seconds"])
@@ -293,7 +295,12 @@
         brokers = 2 if kind == "pair" else 1
         if given["FILE"]:
             workload = load(kind)
-            names = {e.node: e.shard for row in workload.rows if row.news for e in row.news.nodes}
+            names = {
+                e.node_id: e.shard
+                for row in workload.events
+                if row.endpoint_update
+                for e in row.endpoint_update.entries
+            }
 
             def make(names: dict[str, int] = names) -> list[plant.Box]:
                 return [plant.Box(name, shard, seed) for name, shard in sorted(names.items())]
--- a/harriertide/lab/plant.py
+++ b/harriertide/lab/plant.py
@@ -10,37 +10,69 @@
 from xxhash import xxh3_64_intdigest
 
 from harriertide.decide import api
-from harriertide.engine.record import VERSION, Head, Row, Workload
+from harriertide.engine.workload import Workload, WorkloadEvent, WorkloadHeader
 
 SECOND = 1_000_000
-READ = api.RequestClass(aim_us=300_000, deadline_us=2_000_000, worth=3.0, late_worth=0.3)
-WRITE = replace(READ, aim_us=500_000, effect="keyed", group="all", window_us=2_000_000)
-PLANS = (api.Plan(reserve=8.0, weight=4.0, price=1.8), api.Plan(reserve=2.0, price=0.8))
+READ = api.RequestClass(
+    latency_objective_us=300_000, deadline_us=2_000_000, priority_weight=3.0, late_priority_weight=0.3
+)
+WRITE = replace(
+    READ,
+    latency_objective_us=500_000,
+    idempotency="keyed",
+    deduplication_scope="all",
+    deduplication_window_us=2_000_000,
+)
+PLANS = (
+    api.Plan(reserved_rate=8.0, weight=4.0, priority_factor=1.8),
+    api.Plan(reserved_rate=2.0, priority_factor=0.8),
+)
 SETTINGS = api.Settings(
-    head=0, heads=1, classes=(READ, WRITE), plans=PLANS, shards=6, mean_units=2.0, most_units=8.0,
-    share_worth=0.35, spare_worth=0.08, cold_units=12.0, cold_from=0.3, cold_us=4 * SECOND,
-    fall_us=1 * SECOND, may_say_when=True, may_cancel=True, max_retry_after_us=500_000, max_attempts=4,
+    broker_index=0,
+    broker_count=1,
+    classes=(READ, WRITE),
+    plans=PLANS,
+    shard_count=6,
+    mean_request_units=2.0,
+    max_request_units=8.0,
+    within_quota_weight=0.35,
+    beyond_quota_weight=0.08,
+    slow_start_units=12.0,
+    slow_start_initial_ratio=0.3,
+    slow_start_us=4 * SECOND,
+    collapse_window_us=1 * SECOND,
+    retry_after_allowed=True,
+    cancel_allowed=True,
+    max_retry_after_us=500_000,
+    max_attempts=4,
     tick_us=1_000,
-)  # fmt: skip
+)
 # Another make of deployment: writes keyed within a rack, a class that can wait, a plan with a limit and no
 # reserve, few safe units on cold boxes, probes.
 OTHER = replace(
     SETTINGS,
     classes=(
-        replace(READ, worth=2.0, late_worth=0.2, deadline_us=2_500_000),
-        replace(READ, aim_us=400_000, worth=2.0, effect="keyed", group="cell", window_us=3_000_000),
-        replace(READ, aim_us=2_000_000, deadline_us=6_000_000, worth=1.0),
+        replace(READ, priority_weight=2.0, late_priority_weight=0.2, deadline_us=2_500_000),
+        replace(
+            READ,
+            latency_objective_us=400_000,
+            priority_weight=2.0,
+            idempotency="keyed",
+            deduplication_scope="shard",
+            deduplication_window_us=3_000_000,
+        ),
+        replace(READ, latency_objective_us=2_000_000, deadline_us=6_000_000, priority_weight=1.0),
     ),
     plans=(
-        api.Plan(price=0.96, limit=40.0, limit_burst=48.0),
-        api.Plan(reserve=8.0, price=1.2),
-        api.Plan(reserve=16.0, price=1.5),
+        api.Plan(priority_factor=0.96, rate_limit=40.0, burst_limit_units=48.0),
+        api.Plan(reserved_rate=8.0, priority_factor=1.2),
+        api.Plan(reserved_rate=16.0, priority_factor=1.5),
     ),
-    most_units=6.0,
-    cold_units=4.0,
-    cold_from=0.2,
-    fall_multiple=2.5,
-    may_probe=True,
+    max_request_units=6.0,
+    slow_start_units=4.0,
+    slow_start_initial_ratio=0.2,
+    collapse_load_ratio=2.5,
+    probes_allowed=True,
 )
 SHAPES = {"first": SETTINGS, "other": OTHER}
 CORES, UNIT_S, QUEUE = 2, 0.012, 24  # of a box: at once, seconds a unit, waiting
@@ -137,10 +169,10 @@
     random = np.random.default_rng([seed, KINDS.index(kind)])
     boxes = [
         Box(f"box-{n}", n, seed, float(random.uniform(0.8, 1.2)), unit_s=unit_s)
-        for n in range(SETTINGS.shards)
+        for n in range(SETTINGS.shard_count)
     ]
     entries = [api.NodeEntry(box.name, box.shard) for box in boxes]
-    rows = [Row(0, news=api.NodeList("held", tuple(entries)))]
+    rows = [WorkloadEvent(0, endpoint_update=api.EndpointUpdate("cached", tuple(entries)))]
     if kind == "failing":
         boxes[1].faults.append((2.0, 4.0, 500))
         boxes[2].faults.append((3.0, 6.0, 0))
@@ -148,32 +180,40 @@
         moves = ((2.0, 0, "draining"), (3.5, 1, "draining"), (4.5, 0, "live"), (6.0, 2, "gone"))
         for at, place, state in moves:
             changed = replace(entries[place], state=state)  # type: ignore[arg-type]
-            rows.append(Row(int(at * SECOND) + place, news=api.NodeList("changes", (changed,))))
+            rows.append(
+                WorkloadEvent(
+                    int(at * SECOND) + place, endpoint_update=api.EndpointUpdate("delta", (changed,))
+                )
+            )
     elif kind == "cold":
         for at, place in ((2.0, 3), (2.5, 4)):
             start_us = int(at * SECOND)
             for state in ("gone", "live"):
                 changed = replace(entries[place], state=state, started_us=start_us)  # type: ignore[arg-type]
                 late = 0 if state == "gone" else 400_000
-                rows.append(Row(start_us + late + place, news=api.NodeList("changes", (changed,))))
+                rows.append(
+                    WorkloadEvent(
+                        start_us + late + place, endpoint_update=api.EndpointUpdate("delta", (changed,))
+                    )
+                )
     at, number = 0.05, 0
-    rate = 0.5 * capacity(len(boxes), unit_s) / SETTINGS.mean_units
+    rate = 0.5 * capacity(len(boxes), unit_s) / SETTINGS.mean_request_units
     while at < seconds:
         part = 4.0 if kind == "surge" and 2.0 <= at < 5.0 else 1.0
         at += float(random.exponential(1 / (rate * part)))
         number += 1
         write = bool(random.random() < 0.3)
         row = api.Arrival(
-            request=f"{seed:04x}{number:012x}",
+            request_id=f"{seed:04x}{number:012x}",
             request_class=int(write) if shape == "first" else int(random.choice(3, p=(0.55, 0.3, 0.15))),
             plan=int(random.random() < 0.4) if shape == "first" else int(random.integers(3)),
             volume=f"{int(random.integers(12)):016x}",
             shard=-1 if write and random.random() < 0.3 else int(random.integers(len(boxes))),
-            give_up_us=int(at * SECOND) + 1000 * int(random.integers(600, 1900)) - 3_000,
+            deadline_at_us=int(at * SECOND) + 1000 * int(random.integers(600, 1900)) - 3_000,
             units=float(random.integers(1, 5)),
             key=f"{int(random.integers(1 << 40)):016x}",
-            hosts=hosts,
+            sharing_broker_count=hosts,
         )
-        rows.append(Row(int(at * SECOND), row))
-    rows.sort(key=lambda each: each.at)
-    return Workload(Head(VERSION, settings, seed), rows, False), boxes
+        rows.append(WorkloadEvent(int(at * SECOND), row))
+    rows.sort(key=lambda each: each.at_us)
+    return Workload(WorkloadHeader(settings, seed), rows, truncated=False), boxes
--- a/harriertide/lab/processes.py
+++ b/harriertide/lab/processes.py
@@ -36,7 +36,7 @@
 
 from docopt import docopt
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.folders import kept_or_temporary
 from harriertide.lab.script import HOST, Fault, load, ports
@@ -250,7 +250,7 @@
             if status == 200:
                 return
             if loop.time() > end or self.brokers[place].returncode is not None:
-                raise PlainError(f"broker {place} did not get ready; see {said.name}")
+                raise SettingsError(f"broker {place} did not get ready; see {said.name}")
             await until(loop.time() + 0.02)
 
     async def _box(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -435,7 +435,7 @@
     given = docopt(__doc__ or "", arguments)
     brokers, seconds, seed = int(given["--brokers"]), float(given["--seconds"]), int(given["--seed"])
     if not 2 <= brokers <= 8 or not 6 <= seconds <= 600:
-        raise PlainError("--brokers from 2 to 8, --seconds from 6 to 600")
+        raise SettingsError("--brokers from 2 to 8, --seconds from 6 to 600")
     drawn = draw(seed, brokers, seconds, float(given["--lost"]))
     faults = load(given["--script"], brokers, VERBS) if given["--script"] else drawn
     with kept_or_temporary(given["--folder"]) as folder:
--- a/harriertide/lab/rig.py
+++ b/harriertide/lab/rig.py
@@ -26,7 +26,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout, web
 from xxhash import xxh3_64_hexdigest
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.script import HOST, Fault, ports
 
@@ -249,7 +249,7 @@
             if time.monotonic() > end or self.processes[place].returncode is not None:
                 if self.ending or place in self.stopped:
                     return
-                raise PlainError(f"broker {name} did not get ready; see {said.name}")
+                raise SettingsError(f"broker {name} did not get ready; see {said.name}")
             await until(asyncio.get_running_loop().time() + 0.05)
 
     async def _supervise(self, place: int, process: asyncio.subprocess.Process) -> None:
--- a/harriertide/lab/script.py
+++ b/harriertide/lab/script.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from random import SystemRandom
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 HOST = "127.0.0.1"
 
@@ -31,18 +31,18 @@
 
 
 def load(path: str, brokers: int, verbs: tuple[str, ...]) -> list[Fault]:
-    """A script as it was written; PlainError names what is off."""
+    """A script as it was written; SettingsError names what is off."""
     try:
         faults = [Fault(**row) for row in json.loads(Path(path).read_text(encoding="utf-8"))]
     except OSError as off:
-        raise PlainError(f"--script: {path}: {off.strerror}") from None
+        raise SettingsError(f"--script: {path}: {off.strerror}") from None
     except (ValueError, TypeError) as off:
-        raise PlainError(f"--script: {path}: {off}") from None
+        raise SettingsError(f"--script: {path}: {off}") from None
     for fault in faults:
         if fault.verb not in verbs:
-            raise PlainError(f"--script: {fault.verb}: no such verb")
+            raise SettingsError(f"--script: {fault.verb}: no such verb")
         if not (0 <= fault.a < brokers and 0 <= fault.b < brokers):
-            raise PlainError(f"--script: there is no broker {max(fault.a, fault.b)}")
+            raise SettingsError(f"--script: there is no broker {max(fault.a, fault.b)}")
     return faults
 
 
--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/second_copy.py
@@ -45,7 +45,7 @@
 from harriertide.engine.clock import Clock
 from harriertide.engine.runtime import Attempt, Ending, Runtime
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import BrokenError, NodeClient, outcome
+from harriertide.http.nodes import AttemptFailedError, NodeClient, outcome
 
 BOXES = 4
 PIECE = b"x" * 1000
@@ -194,25 +194,25 @@
         done: list[api.Action] = []
         for event in events:
             if isinstance(event, api.Arrival):
-                self._open[event.request] = 0
-                done.append(self._send(event.request, now_us))
-            elif isinstance(event, api.Outcome) and event.request in self._open:
-                self._open[event.request] += 1
-                if event.over:
-                    del self._open[event.request]
-                elif self._open[event.request] < self._most:
-                    done.append(self._send(event.request, now_us))
+                self._open[event.request_id] = 0
+                done.append(self._send(event.request_id, now_us))
+            elif isinstance(event, api.AttemptFinished) and event.request_id in self._open:
+                self._open[event.request_id] += 1
+                if event.is_final:
+                    del self._open[event.request_id]
+                elif self._open[event.request_id] < self._most:
+                    done.append(self._send(event.request_id, now_us))
                 else:
-                    del self._open[event.request]
-                    done.append(api.Refuse(event.request, 0))
-            elif isinstance(event, api.Woke):
-                done += [api.Cancel(name, made) for name, made in self._open.items()]
+                    del self._open[event.request_id]
+                    done.append(api.Reject(event.request_id, 0))
+            elif isinstance(event, api.TimerFired):
+                done += [api.CancelAttempt(name, made) for name, made in self._open.items()]
         if self._open and self._draw.random() < 0.002:
-            done.append(api.Wake(1_000, 1))
+            done.append(api.SetTimer(1_000, 1))
         return done
 
-    def _send(self, request: str, now_us: int) -> api.Send:
-        return api.Send(request, f"n{self._draw.randrange(BOXES)}", now_us + STOP_US)
+    def _send(self, request: str, now_us: int) -> api.StartAttempt:
+        return api.StartAttempt(request, f"n{self._draw.randrange(BOXES)}", now_us + STOP_US)
 
 
 async def _pieces() -> AsyncIterator[bytes]:
@@ -240,34 +240,38 @@
             async with self._client.open(attempt, "PUT", "/api", headers, _pieces()) as answer:
                 await answer.read()
                 return outcome(answer), None
-        except BrokenError as end:
+        except AttemptFailedError as end:
             return end.kind, None
 
     def gone(self) -> bool:
         return False
 
-    def answer(self, answer: ev.Answer) -> None:
+    def answer(self, answer: ev.Respond) -> None:
         """Room for the next one."""
         self._done.release()
 
 
 async def drive(ports: list[int], attempts: int, width: int, seed: int) -> Counter[str]:
     """Requests until so many attempts were made; the counts of the reducer and the client."""
-    kind = api.RequestClass(aim_us=STOP_US, deadline_us=DEADLINE_US)
-    settings = api.Settings(head=0, heads=1, shards=1, classes=(kind,), plans=(api.Plan(),), max_attempts=4)
+    kind = api.RequestClass(latency_objective_us=STOP_US, deadline_us=DEADLINE_US)
+    settings = api.Settings(
+        broker_index=0, broker_count=1, shard_count=1, classes=(kind,), plans=(api.Plan(),), max_attempts=4
+    )
     core = Reducer(settings, seed, Eager)
     runtime = Runtime(core, Clock(asyncio.get_running_loop()))
     limits = Limits(clients=1, boxes=4 * width, answer=65536, held=1 << 24, bodies=1 << 24)
     dial = {f"n{place}": f"127.0.0.1:{port}" for place, port in enumerate(ports)}
     client = NodeClient(dial.get, 500_000, 5_000_000, limits)
-    runtime.post(ev.Listed(api.NodeList("held", tuple(api.NodeEntry(name, 0) for name in dial))))
+    runtime.post(
+        ev.EndpointsUpdated(api.EndpointUpdate("cached", tuple(api.NodeEntry(name, 0) for name in dial)))
+    )
     done, number = asyncio.Semaphore(width), 0
     while core.counts["attempts"] < attempts:
         await done.acquire()
         number += 1
         name = f"{number:016x}"
-        give_up_us = runtime.clock.now_us() + DEADLINE_US
-        runtime.submit(api.Arrival(name, 0, 0, "v", 0, give_up_us), _Job(client, name, done))
+        deadline_at_us = runtime.clock.now_us() + DEADLINE_US
+        runtime.submit(api.Arrival(name, 0, 0, "v", 0, deadline_at_us), _Job(client, name, done))
     for _ in range(width):
         await done.acquire()
     await client.close()
--- a/harriertide/lab/upgrades.py
+++ b/harriertide/lab/upgrades.py
@@ -23,7 +23,7 @@
 
 from docopt import docopt
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.folders import kept_or_temporary
 from harriertide.lab.upgrade_judge import Found, conclude, judge
@@ -54,7 +54,7 @@
         """The first process."""
         self.serving = await self.world.launch()
         if await self.world.ready(self.serving) < 0:
-            raise PlainError(f"the broker did not get ready; see {self.world.folder}")
+            raise SettingsError(f"the broker did not get ready; see {self.world.folder}")
 
     async def replace(self) -> None:
         """The ordinary upgrade: start, yes, SIGTERM to the old one, its end."""
@@ -297,7 +297,7 @@
     given: dict[str, Any] = docopt(__doc__ or "", arguments)
     names = given["--cases"].split(",") if given["--cases"] else list(CASES)
     if unknown := set(names) - set(CASES):
-        raise PlainError(f"--cases: {', '.join(sorted(unknown))}: there is {', '.join(CASES)}")
+        raise SettingsError(f"--cases: {', '.join(sorted(unknown))}: there is {', '.join(CASES)}")
     with kept_or_temporary(given["--folder"]) as folder:
         cases = draw(int(given["--seed"]), int(given["--runs"]), names)
         asyncio.run(play(folder, int(given["--seed"]), cases))
--- a/harriertide/lab/upkeep.py
+++ b/harriertide/lab/upkeep.py
@@ -33,7 +33,7 @@
 
 from docopt import docopt
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.folders import kept_or_temporary
 from harriertide.lab.rig import VERBS, Rig, draw
@@ -214,7 +214,7 @@
                 self.rig.write("clients", event="agreed", order=order, machines=machines)
                 return True
             if status in (400, 409):
-                raise PlainError(f"{order}: {answer.get('reason')}")
+                raise SettingsError(f"{order}: {answer.get('reason')}")
             await until(asyncio.get_running_loop().time() + 0.2)
         return False
 
@@ -290,9 +290,9 @@
         runs, seed, brokers = int(given["--runs"]), int(given["--seed"]), int(given["--brokers"])
         boxes, seconds = int(given["--boxes"]), float(given["--seconds"])
     except ValueError as off:
-        raise PlainError(f"maintenance: {off}") from None
+        raise SettingsError(f"maintenance: {off}") from None
     if brokers not in (3, 5, 7) or not 2 <= boxes <= 24 or not 1 <= seconds <= 600:
-        raise PlainError("--brokers 3, 5 or 7; --boxes from 2 to 24; --seconds from 1 to 600")
+        raise SettingsError("--brokers 3, 5 or 7; --boxes from 2 to 24; --seconds from 1 to 600")
     total = Verdict()
     with kept_or_temporary(given["--folder"]) as kept:
         for number in range(seed, seed + runs):
--- a/harriertide/library/asgi.py
+++ b/harriertide/library/asgi.py
@@ -156,7 +156,7 @@
 
         async def perform(attempt: Attempt) -> None:
             if last and not held:
-                raise NotWrittenError("moot")  # the body is gone: only the client still has it
+                raise NotWrittenError("not_sent")  # the body is gone: only the client still has it
             last.append(attempt)
             answer = _Answer(send, attempt)
             own = {**scope, "state": {**scope.get("state", {}), "attempt": attempt}}
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -44,7 +44,7 @@
 Perform = Callable[[Attempt], Awaitable[T]]
 CONNECT_US, IDLE_US = 250_000, 15_000_000
 SOCKETS, MEMORY_MB = 256, 64  # of which the client of boxes takes its part
-_OVERDUE, _LEFT = ev.Answer("", "failed"), ev.Answer("", "failed")
+_OVERDUE, _LEFT = ev.Respond("", "failed"), ev.Respond("", "failed")
 LAST_S = 0.25  # after the end of its time a call whose work goes on all the same is answered
 STOP_S = 5.0  # a stop without a moment of its own waits so long for open calls
 
@@ -57,7 +57,7 @@
     ) -> None:
         self.context, self._gone = contextvars.copy_context(), gone
         self._perform, self._find = perform, find
-        self.final: asyncio.Future[ev.Answer] = asyncio.get_running_loop().create_future()
+        self.final: asyncio.Future[ev.Respond] = asyncio.get_running_loop().create_future()
 
     async def attempt(self, attempt: engine.Attempt) -> Ending:
         """The application's work, once; what it raises of a box's is an outcome, all else its answer."""
@@ -65,7 +65,7 @@
         if attempt.from_us:
             await until(attempt.runtime.clock.loop_time(attempt.from_us))
         if attempt.runtime.gone(attempt.request):
-            return "moot", None
+            return "not_sent", None
         try:
             async with asyncio.timeout_at(mine.stop_at) as limit:
                 return "ok", (await self._perform(mine), None)
@@ -83,7 +83,7 @@
             return True
         return False
 
-    def answer(self, answer: ev.Answer) -> None:
+    def answer(self, answer: ev.Respond) -> None:
         """The final answer, to who waits for it."""
         if not self.final.done():
             self.final.set_result(answer)
@@ -155,7 +155,7 @@
         self._client: NodeClient | None = None
         self._probes: Probes | None = None
         self._refusing = self._stopping = False
-        self._open: set[asyncio.Future[ev.Answer]] = set()
+        self._open: set[asyncio.Future[ev.Respond]] = set()
         self._grades: list[str] = list(names.plans)
 
     # --- how to make one -----------------------------------------------------------------------
@@ -239,12 +239,14 @@
         self._settings = settings
         heads = len(self._view.members)
         if self.exchange is not None:
-            settings = replace(settings, head=self._view.place, heads=heads, may_tell=heads > 1)
+            settings = replace(
+                settings, broker_index=self._view.place, broker_count=heads, peer_messages_allowed=heads > 1
+            )
         if self._runtime is not None:
-            self._runtime.post(ev.Resettled(settings))
+            self._runtime.post(ev.SettingsChanged(settings))
 
     def _write_down(self, path: str) -> None:
-        from harriertide.engine.record import Recorder  # its library is loaded only where it is wanted
+        from harriertide.engine.workload import Recorder  # its library is loaded only where it is wanted
 
         runtime = self._runtime
         assert runtime is not None
@@ -310,29 +312,29 @@
             self.counts["refused_stopping"] += 1
             raise RefusedError(self.core.settings.max_retry_after_us / 1e6)
         clock = runtime.clock
-        give_up_us = None if ask.give_up_at is None else clock.unix_us(ask.give_up_at)
+        deadline_at_us = None if ask.give_up_at is None else clock.unix_us(ask.give_up_at)
         hosts = ask.hosts or len(self._view.members)
         request = ask.request or token_hex(8)
-        asked = arrival(ask, request, hosts, self.names, self.core, clock.now_us(), give_up_us)
+        asked = arrival(ask, request, hosts, self.names, self.core, clock.now_us(), deadline_at_us)
         call = _Call(perform, self.source.find, gone)
         if not runtime.submit(asked, call):
-            raise ValueError(f"request: {asked.request} is open already")
+            raise ValueError(f"request: {asked.request_id} is open already")
         self._open.add(call.final)
         # work that swallows its cancellation must not keep its caller from an answer
-        last = clock.loop_time(asked.give_up_us) + LAST_S
+        last = clock.loop_time(asked.deadline_at_us) + LAST_S
         timer = asyncio.get_running_loop().call_at(last, call.answer, _OVERDUE)
         try:
             answer = await call.final
         except asyncio.CancelledError:
-            runtime.left(asked.request)
-            runtime.stop(asked.request)
+            runtime.left(asked.request_id)
+            runtime.stop(asked.request_id)
             raise
         finally:
             timer.cancel()
             self._open.discard(call.final)
         if answer is _OVERDUE:
             self.counts["overdue"] += 1
-            runtime.left(asked.request)
+            runtime.left(asked.request_id)
             raise FailedError("its work did not end within its time")
         if answer.kind == "served":
             assert isinstance(answer.reply, tuple)
@@ -340,7 +342,7 @@
             if fault is not None:
                 raise fault
             return cast(T, value)
-        if answer.kind == "refused":
+        if answer.kind == "rejected":
             raise RefusedError(answer.retry_after_us / 1e6)
         raise FailedError
 
--- a/harriertide/library/exchange.py
+++ b/harriertide/library/exchange.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from harriertide.core import events as ev
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.library.places import BEAT_US, Places, View
 
 Post = Callable[[ev.Event], None]
@@ -49,7 +49,7 @@
 
     def __init__(self, first_port: int, ports: int = 16, host: str = "127.0.0.1") -> None:
         if not host.startswith("127."):
-            raise PlainError(f"exchange: {host} is no loopback address")
+            raise SettingsError(f"exchange: {host} is no loopback address")
         self.counts: Counter[str] = Counter()
         self._host, self._ports = host, range(first_port, first_port + ports)
         self._places: Places | None = None
@@ -68,7 +68,7 @@
             take(self._places.view)
             self._beat()
             return
-        raise PlainError(f"exchange: all ports from {self._ports[0]} to {self._ports[-1]} are taken")
+        raise SettingsError(f"exchange: all ports from {self._ports[0]} to {self._ports[-1]} are taken")
 
     def _now_us(self) -> int:
         return int(self._loop.time() * 1_000_000)
@@ -116,7 +116,7 @@
             self.counts["other_view"] += 1
             return
         self.counts["notes_in"] += 1
-        self._post(ev.Heard(place, data))
+        self._post(ev.PeerMessageReceived(place, data))
 
     def error_received(self, exc: Exception) -> None:
         """A port where nobody listens."""
@@ -229,7 +229,7 @@
             self.counts["other_view"] += 1
             return
         self.counts["notes_in"] += 1
-        self._post(ev.Heard(sender.place, body))
+        self._post(ev.PeerMessageReceived(sender.place, body))
 
     def tell(self, head: int, body: bytes) -> None:
         if self._view is not None:
--- a/harriertide/library/sources.py
+++ b/harriertide/library/sources.py
@@ -12,7 +12,7 @@
 from harriertide.config import model
 from harriertide.core import events as ev
 from harriertide.decide import api
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
 from harriertide.platform.discovery import Directory, Watch
@@ -56,7 +56,7 @@
 
     def start(self, post: Post) -> None:
         self._post = post
-        post(ev.Listed(api.NodeList("held", tuple(map(_entry, self._boxes.values())))))
+        post(ev.EndpointsUpdated(api.EndpointUpdate("cached", tuple(map(_entry, self._boxes.values())))))
 
     def tell(self, *changed: Box) -> None:
         """Boxes as they are from now on: live, draining or gone. The core hears of it in this turn."""
@@ -68,7 +68,7 @@
             else:
                 self._boxes[box.name] = box
         if self._post is not None:
-            self._post(ev.Listed(api.NodeList("changes", tuple(map(_entry, changed)))))
+            self._post(ev.EndpointsUpdated(api.EndpointUpdate("delta", tuple(map(_entry, changed)))))
 
     def find(self, box: str) -> str | None:
         held = self._boxes.get(box)
@@ -109,7 +109,7 @@
     def start(self, post: Post) -> None:
         self._post = post
         none: model.State = {section: {} for section in model.SECTIONS}
-        post(ev.Listed(api.NodeList("held", model.news(none, self.state).nodes)))
+        post(ev.EndpointsUpdated(api.EndpointUpdate("cached", model.news(none, self.state).entries)))
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     async def _follow(self) -> None:
@@ -126,7 +126,7 @@
         try:
             state = model.load(self._path).state
             self._changed(state)
-        except PlainError as fault:
+        except SettingsError as fault:
             if str(fault) != self._said:
                 self._said = str(fault)
                 log("the operator's file is refused, the old state stays in force", reason=str(fault))
@@ -134,8 +134,8 @@
         self._said = ""
         news = model.news(self.state, state)
         self.state = state
-        if news.nodes and self._post is not None:
-            self._post(ev.Listed(news))
+        if news.entries and self._post is not None:
+            self._post(ev.EndpointsUpdated(news))
 
     def find(self, box: str) -> str | None:
         row = self.state["boxes"].get(box)
@@ -164,7 +164,7 @@
 
     def start(self, post: Post) -> None:
         self._watch = Watch(self._address, self._directory, post)
-        post(ev.Listed(self._directory.read(self._known, "held")))
+        post(ev.EndpointsUpdated(self._directory.read(self._known, "cached")))
         self._watch.follow(self._pushed)
 
     def find(self, box: str) -> str | None:
--- a/harriertide/library/types.py
+++ b/harriertide/library/types.py
@@ -40,7 +40,7 @@
 class BoxFullError(BoxError):
     """The box turned the attempt away; it never ran."""
 
-    kind = "full"
+    kind = "rejected"
 
 
 class BoxUnreachableError(BoxError):
@@ -131,7 +131,7 @@
 
 
 def arrival(
-    ask: Ask, request: str, hosts: int, names: Names, core: Reducer, now_us: int, give_up_us: int | None
+    ask: Ask, request: str, hosts: int, names: Names, core: Reducer, now_us: int, deadline_at_us: int | None
 ) -> api.Arrival:
     """An ask as the core takes it. ValueError names what it can't use."""
     kind, plan = ask.request_class, ask.plan
@@ -150,17 +150,17 @@
         raise ValueError(f"request_class: there is no class {kind}")
     if not 0 <= plan < len(settings.plans):
         raise ValueError(f"plan: there is no plan {plan}")
-    if not 0 < ask.units <= settings.most_units:
-        raise ValueError(f"units: must be above 0 and up to {settings.most_units:g}")
+    if not 0 < ask.units <= settings.max_request_units:
+        raise ValueError(f"units: must be above 0 and up to {settings.max_request_units:g}")
     last_us = now_us + settings.classes[kind].deadline_us
     return api.Arrival(
-        request=request,
+        request_id=request,
         request_class=kind,
         plan=plan,
         volume=ask.volume,
         shard=ask.shard,
-        give_up_us=last_us if give_up_us is None else min(last_us, give_up_us),
+        deadline_at_us=last_us if deadline_at_us is None else min(last_us, deadline_at_us),
         units=ask.units,
         key=ask.key,
-        hosts=hosts,
+        sharing_broker_count=hosts,
     )
--- a/harriertide/library/web.py
+++ b/harriertide/library/web.py
@@ -84,7 +84,7 @@
 
         async def perform(attempt: Attempt) -> web.StreamResponse:
             if last and not held:
-                raise NotWrittenError("moot")  # the body is gone: only the client still has it
+                raise NotWrittenError("not_sent")  # the body is gone: only the client still has it
             last.append(attempt)
             request[ATTEMPT] = attempt
             return await handler(request)
--- a/harriertide/maintenance/orders.py
+++ b/harriertide/maintenance/orders.py
@@ -6,14 +6,14 @@
 
 from msgspec import Struct
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 
 Work = Literal["restart", "keep", "replace"]
 LABELS = ("zone", "rack", "release")
 HOUR_S = 3600.0
 
 
-class OrderError(PlainError):
+class OrderError(SettingsError):
     """What can't be used of an order, in one plain line that names the key."""
 
 
--- a/harriertide/objects/front.py
+++ b/harriertide/objects/front.py
@@ -137,9 +137,9 @@
     async def _document(self, call: Call) -> bytes:
         """The body of Complete, bounded like a held one."""
         size = self._length(call, self._store.limits["repeat_kb"] * 1024)
-        give_up_us = self._store.give_up_us(True, 0, call.budget_ms)
+        deadline_at_us = self._store.deadline_at_us(True, 0, call.budget_ms)
         self._go_on(call)
-        source = await self._store.take(call.request.content, size, give_up_us)
+        source = await self._store.take(call.request.content, size, deadline_at_us)
         body = source.body()
         return body if isinstance(body, bytes) else b""
 
@@ -166,10 +166,10 @@
 
     async def _store_body(self, call: Call) -> tuple[Piece, Source]:
         size = self._length(call, self._store.limits["body_kb"] * 1024)
-        give_up_us = self._store.give_up_us(True, size, call.budget_ms)
+        deadline_at_us = self._store.deadline_at_us(True, size, call.budget_ms)
         self._go_on(call)
-        source = await self._store.take(call.request.content, size, give_up_us)
-        piece = await self._store.write(call.bucket, source, give_up_us)
+        source = await self._store.take(call.request.content, size, deadline_at_us)
+        piece = await self._store.write(call.bucket, source, deadline_at_us)
         stated = call.request.headers.get("Content-MD5")
         if stated is not None and stated.strip() != multipart.md5_header(source.md5):
             self._store.drop(piece.blob)
@@ -226,7 +226,7 @@
 
     async def _pass_on(self, call: Call, stored: Stored, span: s3.Span, response: web.StreamResponse) -> None:
         """The pieces that the span touches, one after the other, under one deadline."""
-        give_up_us = self._store.give_up_us(False, span.size, call.budget_ms)
+        deadline_at_us = self._store.deadline_at_us(False, span.size, call.budget_ms)
 
         ended = False
 
@@ -247,7 +247,7 @@
             if first > last:
                 continue
             try:
-                await self._store.read(call.bucket, piece, first, last, give_up_us, sink)
+                await self._store.read(call.bucket, piece, first, last, deadline_at_us, sink)
             except S3Error:
                 ended = True
                 if not response.prepared:
--- a/harriertide/objects/jobs.py
+++ b/harriertide/objects/jobs.py
@@ -14,7 +14,7 @@
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Attempt, Ending
 from harriertide.http.clients import ASKER
-from harriertide.http.nodes import BODY_BYTES, Body, BrokenError, Incoming, NodeClient, outcome
+from harriertide.http.nodes import BODY_BYTES, AttemptFailedError, Body, Incoming, NodeClient, outcome
 from harriertide.http.quiet import ended
 
 CHUNK_BYTES = 64 * 1024
@@ -120,14 +120,14 @@
         self._client, self._call = client, call
         self._target = f"/{bucket}/{blob}"
         self.denied = False  # a box has refused for good: asking again would not help
-        self.final: asyncio.Future[ev.Answer] = asyncio.get_running_loop().create_future()
+        self.final: asyncio.Future[ev.Respond] = asyncio.get_running_loop().create_future()
         self._asker = ASKER.get()
 
     def gone(self) -> bool:
         """Whether the client that this is asked for has closed its connection, or its side of it."""
         return self._asker is not None and ended(self._asker)
 
-    def answer(self, answer: ev.Answer) -> None:
+    def answer(self, answer: ev.Respond) -> None:
         """Hand the final answer to who waits for it."""
         if not self.final.done():
             self.final.set_result(answer)
@@ -143,7 +143,7 @@
             self.denied = True
             answer = said[:SAID_BYTES].decode("utf-8", "replace")
             log("a box refused for good", box=attempt.node, status=response.status, answer=answer)
-            return "moot"
+            return "not_sent"
         return outcome(response)
 
     def headers(self, attempt: Attempt) -> dict[str, str]:
@@ -171,7 +171,7 @@
     async def attempt(self, attempt: Attempt) -> Ending:
         source = self._source
         if not source.ready():
-            return "moot", None  # refused: only the client still has the body
+            return "not_sent", None  # refused: only the client still has the body
         self._begun(attempt.node)
         headers = {**self.headers(attempt), "Content-Length": str(source.size)}
         try:
@@ -180,7 +180,7 @@
                 if kind == "ok":
                     self.box, self.tag = attempt.node, response.headers.get("ETag", "")
                 return kind, None
-        except BrokenError as end:
+        except AttemptFailedError as end:
             # a client that brings no body says nothing of the box's health
             return ("cancelled" if source.broken or source.waiting else end.kind), None
 
@@ -213,7 +213,7 @@
             async with self._client.open(attempt, "GET", self._target, headers, most=most) as response:
                 if response.status in (404, 412, 416):
                     self.missing = True  # asking again would not bring it back
-                    return "moot", None
+                    return "not_sent", None
                 if outcome(response) != "ok":
                     return await self.ended(attempt, response), None
                 if not self._fits(response):
@@ -229,7 +229,7 @@
                         return "cancelled", None  # the client is gone
                     writing = False
                 return ("ok" if self._next > self._last else "reset"), None
-        except BrokenError as end:
+        except AttemptFailedError as end:
             # stopped while the client took its time: nothing against the box
             slow_client = writing and end.kind == "timeout"
             return ("cancelled" if slow_client else end.kind), None
@@ -250,5 +250,5 @@
                 if response.status == 404:
                     return "ok", None
                 return await self.ended(attempt, response), None
-        except BrokenError as end:
+        except AttemptFailedError as end:
             return end.kind, None
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -43,7 +43,9 @@
             changes = [place for place, write in enumerate(writes) if write] or [0]
             kinds = Kinds(reads[0], changes[0], changes[0])
         else:
-            runtime.post(ev.Listed(api.NodeList("held", model.news(_NONE, operator.state).nodes)))
+            runtime.post(
+                ev.EndpointsUpdated(api.EndpointUpdate("cached", model.news(_NONE, operator.state).entries))
+            )
         self._catalogue = Catalogue(operator.catalogue)
         self.store = Store(runtime, client, self._catalogue, lambda: self.state, self.plans, kinds)
         self.front = ObjectFront(self.store)
@@ -95,7 +97,7 @@
         if self._platform is not None:
             return
         self._grades += [name for name in state["grades"] if name not in self._grades]
-        self._runtime.post(ev.Resettled(model.settings(state, self._grades)))
+        self._runtime.post(ev.SettingsChanged(model.settings(state, self._grades)))
         self._tell(old)
 
     def shown(self) -> State:
@@ -115,8 +117,8 @@
 
     def _tell(self, old: State) -> None:
         news = model.news(old, self.shown(), self._started_us)
-        if news.nodes:
-            self._runtime.post(ev.Listed(news))
+        if news.entries:
+            self._runtime.post(ev.EndpointsUpdated(news))
 
     async def close(self) -> None:
         """End the clean-up and let go of the catalogue."""
--- a/harriertide/objects/store.py
+++ b/harriertide/objects/store.py
@@ -81,7 +81,7 @@
         """Whether a box is on the list, draining or not."""
         return box in self._runtime.core.nodes()
 
-    def give_up_us(self, write: bool, size: int, budget_ms: int | None) -> int:
+    def deadline_at_us(self, write: bool, size: int, budget_ms: int | None) -> int:
         """The absolute deadline of a call that begins now; it travels with all that the call needs."""
         kind = self._runtime.core.settings.classes[self._kind(write, size)]
         span_us = kind.deadline_us if budget_ms is None else min(kind.deadline_us, budget_ms * 1000)
@@ -93,38 +93,38 @@
         return self._kinds.write if write else self._kinds.read
 
     def _arrival(
-        self, bucket: str, blob: str, write: bool, size: int, shard: int, give_up_us: int
+        self, bucket: str, blob: str, write: bool, size: int, shard: int, deadline_at_us: int
     ) -> api.Arrival:
         limits = self.limits
         grade = self._state()["volumes"].get(bucket, {}).get("grade", "")
         return api.Arrival(
-            request=token_hex(8),
+            request_id=token_hex(8),
             request_class=self._kind(write, size),
             plan=self._plans().get(grade, 0),
             volume=bucket,
             shard=shard,
-            give_up_us=give_up_us,
+            deadline_at_us=deadline_at_us,
             units=float(max(1, min(limits["most_units"], ceil(size / (limits["unit_kb"] * 1024))))),
             key=blob,
         )
 
     # --- calls ---------------------------------------------------------------------------------
 
-    async def _call(self, arrival: api.Arrival, job: ObjectJob) -> ev.Answer:
+    async def _call(self, arrival: api.Arrival, job: ObjectJob) -> ev.Respond:
         """One request of the core, from its arrival to its one answer."""
         self.counts["calls"] += 1
         self._runtime.submit(arrival, job)
         try:
             return await job.final
         except asyncio.CancelledError:
-            self._runtime.left(arrival.request)  # the client is gone
+            self._runtime.left(arrival.request_id)  # the client is gone
             raise
 
-    async def take(self, content: aiohttp.StreamReader, size: int, give_up_us: int) -> Source:
+    async def take(self, content: aiohttp.StreamReader, size: int, deadline_at_us: int) -> Source:
         """The client's body: small ones whole, so that they can be sent once more; others pass through."""
         limits = self.limits
         try:
-            async with asyncio.timeout_at(self._runtime.clock.loop_time(give_up_us)):
+            async with asyncio.timeout_at(self._runtime.clock.loop_time(deadline_at_us)):
                 if size > limits["repeat_kb"] * 1024:
                     return Streamed(content, size, await content.read(CHUNK_BYTES))
                 return await self._hold(content, size)
@@ -146,17 +146,17 @@
         finally:
             self._held -= size
 
-    async def write(self, bucket: str, source: Source, give_up_us: int) -> Piece:
+    async def write(self, bucket: str, source: Source, deadline_at_us: int) -> Piece:
         """Put a body on a box that the core chooses. What comes of it later has to be made known to the
         catalogue; until then the blob counts as on its way."""
         blob = token_hex(16)
-        arrival = self._arrival(bucket, blob, True, source.size, -1, give_up_us)
+        arrival = self._arrival(bucket, blob, True, source.size, -1, deadline_at_us)
 
         def begun(box: str) -> None:
             shard = self._runtime.core.nodes()[box].shard
             self.catalogue.on_its_way(bucket, blob, box, shard)
 
-        job = WriteBlob(self._client, arrival.request, bucket, blob, source, begun)
+        job = WriteBlob(self._client, arrival.request_id, bucket, blob, source, begun)
         kept = isinstance(source, Held)
         self._held += source.size if kept else 0
         served = False
@@ -166,19 +166,19 @@
         finally:
             self._held -= source.size if kept else 0
             if not served:
-                self.drop(blob, give_up_us)
+                self.drop(blob, deadline_at_us)
         if source.broken:
             raise S3Error("IncompleteBody", "The body is shorter than Content-Length says")
         self._must(job, answer)
         shard = self._runtime.core.nodes().get(job.box)
         if shard is None:  # taken off the list in this very turn: its data is out of reach
-            self.drop(blob, give_up_us)
+            self.drop(blob, deadline_at_us)
             raise slow_down(self._runtime.core.settings.max_retry_after_us)
         return Piece(blob, job.box, shard.shard, source.size, job.tag)
 
-    def drop(self, blob: str, give_up_us: int = 0) -> None:
+    def drop(self, blob: str, deadline_at_us: int = 0) -> None:
         """Nobody wants a blob that was written, or may yet be until that time."""
-        self.catalogue.discard(blob, give_up_us // 1000 + LATE_MS)
+        self.catalogue.discard(blob, deadline_at_us // 1000 + LATE_MS)
 
     async def read(
         self,
@@ -186,22 +186,22 @@
         piece: Piece,
         first: int,
         last: int,
-        give_up_us: int,
+        deadline_at_us: int,
         sink: Callable[[bytes], Awaitable[None]],
     ) -> None:
         """Pass bytes first to last of a piece into the sink."""
-        arrival = self._arrival(bucket, piece.blob, False, last + 1 - first, piece.shard, give_up_us)
-        job = ReadBlob(self._client, arrival.request, bucket, piece.blob, piece.tag, first, last, sink)
+        arrival = self._arrival(bucket, piece.blob, False, last + 1 - first, piece.shard, deadline_at_us)
+        job = ReadBlob(self._client, arrival.request_id, bucket, piece.blob, piece.tag, first, last, sink)
         answer = await self._call(arrival, job)
         if job.missing:
             raise S3Error("InternalError", "The box does not have the data")
         self._must(job, answer)
 
     @staticmethod
-    def _must(job: ObjectJob, answer: ev.Answer) -> None:
+    def _must(job: ObjectJob, answer: ev.Respond) -> None:
         if job.denied and answer.kind != "served":
             raise S3Error("InternalError", "A box refused the request for good")
-        if answer.kind == "refused":
+        if answer.kind == "rejected":
             raise slow_down(answer.retry_after_us)
         if answer.kind == "failed":
             raise S3Error("InternalError", "The boxes could not serve the request")
@@ -227,9 +227,9 @@
         if not self.listed(box):
             self.catalogue.deleted(blob)  # gone with its box
             return
-        give_up_us = self.give_up_us(True, 0, None)
-        arrival = self._arrival(bucket, blob, True, 0, shard, give_up_us)
-        answer = await self._call(arrival, DeleteBlob(self._client, arrival.request, bucket, blob))
+        deadline_at_us = self.deadline_at_us(True, 0, None)
+        arrival = self._arrival(bucket, blob, True, 0, shard, deadline_at_us)
+        answer = await self._call(arrival, DeleteBlob(self._client, arrival.request_id, bucket, blob))
         if answer.kind == "served":
             self.counts["strays_deleted"] += 1
             self.catalogue.deleted(blob)
--- a/harriertide/platform/configuration.py
+++ b/harriertide/platform/configuration.py
@@ -11,13 +11,13 @@
 import orjson
 
 from harriertide.decide import api
-from harriertide.decide.settings import Names, Part, PlainError, from_wire, in_places, names_from_wire
+from harriertide.decide.settings import Names, Part, SettingsError, from_wire, in_places, names_from_wire
 from harriertide.http.limits import OPERATORS, Limits, read_limits
 from harriertide.platform.discovery import Directory
 from harriertide.platform.peers import address
 
 
-class BadConfigError(PlainError):
+class BadConfigError(SettingsError):
     """The configuration cannot be used, in one plain line."""
 
 
@@ -91,7 +91,7 @@
             names = names_from_wire(settings, raw["settings"])
         known = raw.get("known") or {"seq": 0, "whole": True, "hosts": []}
         try:
-            Directory(names.zones).read(known, "held")
+            Directory(names.zones).read(known, "cached")
         except Exception as fault:
             raise ValueError(f"known: is no list of nodes: {type(fault).__name__} {fault}") from None
         domain = Part(settings, "settings").part("domain")
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -76,13 +76,13 @@
         """Whether the client has closed its connection, or its side of it."""
         return ended(self._line.transport)
 
-    def answer(self, answer: ev.Answer) -> None:
+    def answer(self, answer: ev.Respond) -> None:
         """Write the final answer to the connection that waits for it."""
         if answer.kind == "served" and isinstance(answer.reply, Reply):
             reply = answer.reply
             kind = reply.headers.get("Content-Type", "application/octet-stream")
             self._line.respond(200, reply.body, f"Content-Type: {kind}\r\n", reply.rest)
-        elif answer.kind == "refused":
+        elif answer.kind == "rejected":
             wait = f"Retry-After: {answer.retry_after_us / 1e6:.3f}\r\n" if answer.retry_after_us > 0 else ""
             self._line.respond(503, b"refused: trying again is harmless\n", wait)
         else:
