--- a/harriertide/platform/discovery.py
+++ b/harriertide/platform/discovery.py
@@ -98,7 +98,7 @@
         """How many nodes have an address."""
         return len(self._dial)
 
-    def read(self, page: dict[str, Any], kind: str | None = None) -> api.NodeList:
+    def read(self, page: dict[str, Any], kind: str | None = None) -> api.EndpointUpdate:
         """One object of discovery as news; ValueError, KeyError or TypeError on what it is not.
 
         kind: what it is taken for, whatever its version. What is older than what is held, or comes from a
@@ -111,30 +111,30 @@
         if kind is not None or seq < self.seq:
             entries = tuple(map(self._with_care, entries))
             if not whole and kind is None:
-                entries = tuple(e for e in entries if e.node in self._entries and e.state != "live")
+                entries = tuple(e for e in entries if e.node_id in self._entries and e.state != "live")
                 seq = self.seq
         if whole:
-            self._bury(self._entries.keys() - {entry.node for entry in entries})
+            self._bury(self._entries.keys() - {entry.node_id for entry in entries})
             self._dial, self._entries = {}, {}
         for entry in entries:
             if entry.state == "gone":
-                self._bury([entry.node])
-                self._dial.pop(entry.node, None)
-                self._entries.pop(entry.node, None)
+                self._bury([entry.node_id])
+                self._dial.pop(entry.node_id, None)
+                self._entries.pop(entry.node_id, None)
                 continue
-            self._gone.pop(entry.node, None)  # a list that left it out was wrong
-            self._entries[entry.node] = entry
-            if entry.node in dials:
-                self._dial[entry.node] = dials[entry.node]
+            self._gone.pop(entry.node_id, None)  # a list that left it out was wrong
+            self._entries[entry.node_id] = entry
+            if entry.node_id in dials:
+                self._dial[entry.node_id] = dials[entry.node_id]
         self.seq = seq
-        news = kind or ("whole" if whole else "changes")
-        return api.NodeList(news, entries)  # type: ignore[arg-type]
+        news = kind or ("full" if whole else "delta")
+        return api.EndpointUpdate(news, entries)  # type: ignore[arg-type]
 
     def export_state(self) -> DirectoryState:
         """The list as it is held."""
         return DirectoryState(self.seq, list(self._entries.values()), dict(self._dial), list(self._gone))
 
-    def import_state(self, state: DirectoryState) -> api.NodeList:
+    def import_state(self, state: DirectoryState) -> api.EndpointUpdate:
         """Take what the process before this one held for news, but for what is known here to be otherwise.
 
         The nodes of the newer list are listed; what either was told of a drain or an end holds.
@@ -143,17 +143,17 @@
         newer = state.seq >= self.seq
         entries = list(map(self._with_care, state.entries))
         if not newer:
-            entries = [entry for entry in entries if entry.node in self._entries and entry.state != "live"]
+            entries = [entry for entry in entries if entry.node_id in self._entries and entry.state != "live"]
         else:
             self._entries, self._dial = {}, dict(state.dial)
             self.seq = state.seq
-        self._entries.update({entry.node: entry for entry in entries if entry.state != "gone"})
-        return api.NodeList("held", tuple(self._entries.values()))
+        self._entries.update({entry.node_id: entry for entry in entries if entry.state != "gone"})
+        return api.EndpointUpdate("cached", tuple(self._entries.values()))
 
     def _with_care(self, entry: api.NodeEntry) -> api.NodeEntry:
         """It, unless what is held of that node stops sends, or has it started later."""
-        held = self._entries.get(entry.node)
-        if entry.node in self._gone:
+        held = self._entries.get(entry.node_id)
+        if entry.node_id in self._gone:
             return replace(entry, state="gone")
         if held is None or entry.started_us > held.started_us:
             return entry
@@ -167,7 +167,7 @@
 
     def _entry(self, raw: dict[str, Any]) -> api.NodeEntry:
         return api.NodeEntry(
-            node=str(raw["host"]),
+            node_id=str(raw["host"]),
             shard=int(raw["block"]),
             state=_STATES[raw["health"]],  # type: ignore[arg-type]
             zone=self.zones.get(raw.get("site", ""), 0),
@@ -258,7 +258,7 @@
                 self.counts["silent"] += 1
                 self._pressing = True
             else:
-                self._post(ev.Listed(api.NodeList("failed")))
+                self._post(ev.EndpointsUpdated(api.EndpointUpdate("failed")))
             if (self._pushed or silent) and not self._closed:
                 # at once, but for those that end as soon as they begin
                 loop = asyncio.get_running_loop()
@@ -292,7 +292,7 @@
                         page += chunk
                         if len(page) > LINE_BYTES:
                             raise ValueError("a list without an end")
-                    self._take(page, "whole")
+                    self._take(page, "full")
                 limit.reschedule(loop.time() + self._head_s)
             watch = f"{url}?watch=1&after={self._directory.seq}"
             async with session.get(watch, allow_redirects=False) as response:
@@ -324,7 +324,7 @@
         if not current:
             page["seq"] = self._directory.seq
         older = kind is None and not page.get("whole") and int(page["seq"]) < self._directory.seq
-        self._post(ev.Listed(self._directory.read(page, kind)))
+        self._post(ev.EndpointsUpdated(self._directory.read(page, kind)))
         self.heard()
         if older:  # its whole list tells which of the two holds
             raise OlderError(f"version {page['seq']} after {self._directory.seq}")
--- a/harriertide/platform/fields.py
+++ b/harriertide/platform/fields.py
@@ -129,14 +129,14 @@
         raise MalformedError("key is there twice")
     wait_us = budget_us if coming else min(budget_us, settings.classes[kind].deadline_us)
     return api.Arrival(
-        request=request,
+        request_id=request,
         request_class=kind,
         plan=plan,
         volume=_hex16(extent.get("volume", ""), "X-Extent: volume"),
         shard=_whole(extent.get("shard", ""), "X-Extent: shard", -1),
-        give_up_us=now_us + wait_us - SENT_BEFORE_US,
-        units=_number(extent.get("units", ""), "X-Extent: units", settings.most_units),
+        deadline_at_us=now_us + wait_us - SENT_BEFORE_US,
+        units=_number(extent.get("units", ""), "X-Extent: units", settings.max_request_units),
         key=_hex16(keys[0], "key") if keys else "",
-        hosts=_whole(extent.get("hosts", "1"), "X-Extent: hosts", 1),
-        repeated=fields.get(b"x-again") == b"1",
+        sharing_broker_count=_whole(extent.get("hosts", "1"), "X-Extent: hosts", 1),
+        is_retry=fields.get(b"x-again") == b"1",
     )
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -62,7 +62,7 @@
         except MalformedError as reason:
             line.refuse(400, str(reason))
             return
-        line.request = arrival.request
+        line.request = arrival.request_id
         job = PlatformJob(self._client, line, message, body)
         if not runtime.submit(arrival, job, streams=isinstance(body, ComingBody)):
             line.refuse(400, "X-Call-Id is in use")
--- a/harriertide/platform/peers.py
+++ b/harriertide/platform/peers.py
@@ -30,7 +30,9 @@
         self._post = post
         self._transport: asyncio.DatagramTransport | None = None
         self._socket: socket.socket | None = None
-        self._held: list[ev.Heard] | None = None  # what came before it may be told; None: it may
+        self._held: list[ev.PeerMessageReceived] | None = (
+            None  # what came before it may be told; None: it may
+        )
         self.relist(peers, own)
 
     def relist(self, peers: list[str], own: int) -> None:
@@ -93,9 +95,9 @@
             self.counts["junk"] += 1
             return
         if self._held is None:
-            self._post(ev.Heard(number, data))
+            self._post(ev.PeerMessageReceived(number, data))
         elif len(self._held) < HELD_MOST:
-            self._held.append(ev.Heard(number, data))
+            self._held.append(ev.PeerMessageReceived(number, data))
 
     def error_received(self, exc: Exception) -> None:
         self.counts["errors"] += 1
--- a/harriertide/platform/probes.py
+++ b/harriertide/platform/probes.py
@@ -32,7 +32,7 @@
         finally:
             del self._tasks[node]
         self.counts[kind] += 1
-        self._post(ev.Probed(node, kind))
+        self._post(ev.ProbeFinished(node, kind))
 
     async def close(self) -> None:
         """End what is out, with no word to the core."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A head under test: settings, events in, actions out."""
+"""A broker under test: settings, events in, actions out."""
 
 from __future__ import annotations
 
@@ -6,40 +6,45 @@
 from typing import Any
 
 from harriertide.decide import api
-from harriertide.decide.rules import Scheduler
+from harriertide.decide.scheduler import Scheduler
 
-READ = api.RequestClass(aim_us=300_000, deadline_us=2_000_000, worth=2, late_worth=0.2)
-WRITE = replace(READ, effect="keyed", group="cell", window_us=1_500_000)
-ONCE = replace(READ, effect="unsafe")
+READ = api.RequestClass(
+    latency_objective_us=300_000, deadline_us=2_000_000, priority_weight=2, late_priority_weight=0.2
+)
+WRITE = replace(READ, idempotency="keyed", deduplication_scope="shard", deduplication_window_us=1_500_000)
+ONCE = replace(READ, idempotency="non_idempotent")
 TURN = replace(READ, in_order=True)
 CLASSES = (READ, WRITE, ONCE, TURN)
-PLANS = (api.Plan(reserve=5, weight=1, price=1), api.Plan(weight=1, price=1, limit=10, limit_burst=16))
+PLANS = (
+    api.Plan(reserved_rate=5, weight=1, priority_factor=1),
+    api.Plan(weight=1, priority_factor=1, rate_limit=10, burst_limit_units=16),
+)
 
 SETTINGS = api.Settings(
-    head=0,
-    heads=2,
+    broker_index=0,
+    broker_count=2,
     classes=CLASSES,
     plans=PLANS,
-    shards=4,
-    mean_units=2,
-    most_units=8,
-    share_worth=0.4,
-    spare_worth=0.05,
-    cold_units=24,
-    cold_from=0.2,
-    cold_us=10_000_000,
-    fall_us=1_500_000,
-    may_tell=True,
-    may_say_when=True,
+    shard_count=4,
+    mean_request_units=2,
+    max_request_units=8,
+    within_quota_weight=0.4,
+    beyond_quota_weight=0.05,
+    slow_start_units=24,
+    slow_start_initial_ratio=0.2,
+    slow_start_us=10_000_000,
+    collapse_window_us=1_500_000,
+    peer_messages_allowed=True,
+    retry_after_allowed=True,
     max_retry_after_us=500_000,
     max_attempts=3,
-    key_rest_us=400_000,
+    key_quiet_us=400_000,
 )
 
 START_US = 50_000_000
 
 
-class Head:
+class BrokerUnderTest:
     """Feeds one Scheduler and remembers what it did."""
 
     def __init__(self, nodes: tuple[api.NodeEntry, ...] = (), seed: int = 1, **changes: Any) -> None:
@@ -48,7 +53,7 @@
         self.scheduler = Scheduler(self.settings, seed)
         self.made = 0
         nodes = nodes or (api.NodeEntry("n0", 0), api.NodeEntry("n1", 1))
-        self.first = self.do(api.NodeList("held", nodes))
+        self.first = self.do(api.EndpointUpdate("cached", nodes))
 
     def do(self, *events: api.Event, after_us: int = 0) -> list[api.Action]:
         self.now += after_us
@@ -56,7 +61,7 @@
 
     def ask(self, request_class: int = 0, plan: int = 0, shard: int = 0, **more: Any) -> list[api.Action]:
         self.made += 1
-        more.setdefault("give_up_us", self.now + 2_000_000)
+        more.setdefault("deadline_at_us", self.now + 2_000_000)
         more.setdefault("volume", "v")
         more.setdefault("units", 2.0)
         event = api.Arrival(f"r{self.made}", request_class, plan, shard=shard, **more)
@@ -72,26 +77,26 @@
         over: bool | None = None,
     ) -> list[api.Action]:
         over = kind == "ok" if over is None else over
-        return self.do(api.Outcome(request, attempt, node, kind, after_us, over), after_us=after_us)
+        return self.do(api.AttemptFinished(request, attempt, node, kind, after_us, over), after_us=after_us)
 
     def idle(self, for_us: int, step_us: int = 50_000) -> list[api.Action]:
         done: list[api.Action] = []
         for _ in range(for_us // step_us):
-            done += self.do(api.Woke(0), after_us=step_us)
+            done += self.do(api.TimerFired(0), after_us=step_us)
         return done
 
 
-def sends(actions: list[api.Action]) -> list[api.Send]:
-    return [a for a in actions if isinstance(a, api.Send)]
+def sends(actions: list[api.Action]) -> list[api.StartAttempt]:
+    return [a for a in actions if isinstance(a, api.StartAttempt)]
 
 
-def refusals(actions: list[api.Action]) -> list[api.Refuse]:
-    return [a for a in actions if isinstance(a, api.Refuse)]
+def refusals(actions: list[api.Action]) -> list[api.Reject]:
+    return [a for a in actions if isinstance(a, api.Reject)]
 
 
 def fails(actions: list[api.Action]) -> list[api.Fail]:
     return [a for a in actions if isinstance(a, api.Fail)]
 
 
-def tells(actions: list[api.Action], kind: int) -> list[api.Tell]:
-    return [a for a in actions if isinstance(a, api.Tell) and a.body[2] == kind]
+def tells(actions: list[api.Action], kind: int) -> list[api.SendPeerMessage]:
+    return [a for a in actions if isinstance(a, api.SendPeerMessage) and a.body[2] == kind]
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -63,7 +63,7 @@
     def gone(self) -> bool:
         return False
 
-    def answer(self, answer: ev.Answer) -> None:
+    def answer(self, answer: ev.Respond) -> None:
         pass
 
 
@@ -91,7 +91,7 @@
     """Whatever the reducer was told: the guard looks at connections, and counts."""
 
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
-        runtime.core.step(runtime.clock.now_us(), [ev.Arrived(arrival(runtime))])
+        runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(arrival(runtime))])
         line = await client.pool.open(client._find("n0") or "")
         assert isinstance(line, NodeConnection)
         line.ask(GET, None)
@@ -107,12 +107,12 @@
         assert kind == "ok" and reply is not None and reply.body == b"ok"
         assert client.pool.at_work("r") is None
 
-    beside_a_box(play, [api.Send("r", "n0", 0)])
+    beside_a_box(play, [api.StartAttempt("r", "n0", 0)])
 
 
 def test_no_byte_of_an_attempt_leaves_before_its_time() -> None:
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
-        runtime.core.step(runtime.clock.now_us(), [ev.Arrived(arrival(runtime))])
+        runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(arrival(runtime))])
         from_us = runtime.clock.now_us() + 5 * SETTLE_US
         ends = asyncio.create_task(client.exchange(attempt(runtime, 0, from_us), "GET", "/api", {}, b""))
         asked = await box.asked.get()
@@ -120,7 +120,7 @@
         asked[3].writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert (await ends)[0] == "ok"
 
-    beside_a_box(play, [api.Send("r", "n0", 0)])
+    beside_a_box(play, [api.StartAttempt("r", "n0", 0)])
 
 
 def test_an_attempt_that_is_stopped_before_it_began_ends_all_the_same() -> None:
@@ -133,7 +133,7 @@
             await asyncio.sleep(0)
         assert job.begun == 0 and not runtime.core.holds("r")
 
-    beside_a_box(play, [api.Send("r", "n0", 0), api.Cancel("r", 0)], [api.Refuse("r")])
+    beside_a_box(play, [api.StartAttempt("r", "n0", 0), api.CancelAttempt("r", 0)], [api.Reject("r")])
 
 
 def test_attempts_with_ends_of_every_kind_are_never_two_at_work_for_one_request() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -20,9 +20,17 @@
 SECOND = 1_000_000
 CORES, UNIT_US, COLD_FROM, COLD_US = 2, 22_000, 0.25, 9 * SECOND
 COLD = replace(
-    SETTINGS, classes=(READ,), plans=(api.Plan(reserve=50.0),), shards=3, cold_units=20, cold_from=0.21,
-    cold_us=18 * SECOND, fall_us=SECOND, fall_multiple=2.5, max_attempts=4,
-)  # fmt: skip
+    SETTINGS,
+    classes=(READ,),
+    plans=(api.Plan(reserved_rate=50.0),),
+    shard_count=3,
+    slow_start_units=20,
+    slow_start_initial_ratio=0.21,
+    slow_start_us=18 * SECOND,
+    collapse_window_us=SECOND,
+    collapse_load_ratio=2.5,
+    max_attempts=4,
+)
 
 
 class ColdPlant(Plant):
@@ -45,9 +53,13 @@
         """It starts now; brokers learn of that at different times."""
         self.begun, self.cores = self.now, [self.now] * CORES
         entry = api.NodeEntry("n00", 0, "live", 0, self.now)
-        for number in self.heads:
+        for number in self.brokers:
             self.post.append(
-                (self.now + int(self.random.random() * spread_us), number, api.NodeList("changes", (entry,)))
+                (
+                    self.now + int(self.random.random() * spread_us),
+                    number,
+                    api.EndpointUpdate("delta", (entry,)),
+                )
             )
 
     def back(self, number: int) -> None:
@@ -57,35 +69,37 @@
         )
 
     def do(self, number: int, action: api.Action) -> None:
-        if not isinstance(action, api.Send) or action.node != "n00":
+        if not isinstance(action, api.StartAttempt) or action.node_id != "n00":
             super().do(number, action)
             return
-        request = self.heads[number]._requests[action.request]
+        request = self.brokers[number]._requests[action.request_id]
         units = request.arrival.units
-        if self.heads[number]._nodes["n00"].started_us == self.begun:
+        if self.brokers[number]._nodes["n00"].started_us == self.begun:
             self.known.append((self.now, units))
         core = self.cores.index(min(self.cores))
         self.cores[core] = max(self.now, self.cores[core]) + int(units * UNIT_US / self.speed(self.now))
         took = self.cores[core] - self.now
-        end: Any = api.Outcome(action.request, request.sent - 1, "n00", "ok", took, True)
+        end: Any = api.AttemptFinished(action.request_id, request.sent - 1, "n00", "ok", took, True)
         self.post.append((self.now + took, number, end))
 
 
-@pytest.mark.parametrize("heads", [4, 20, 30, 200])
+@pytest.mark.parametrize("brokers", [4, 20, 30, 200])
 @pytest.mark.parametrize(
     "case", ["told at once", "told late, a fifth lost", "a third restarts", "starts twice"]
 )
-def test_a_cold_node_bears_what_all_brokers_that_know_of_its_start_send(heads: int, case: str) -> None:
-    plant = ColdPlant(replace(COLD, heads=heads), seed=heads, lost=0.0 if case == "told at once" else 0.2)
-    rate = 240 / heads  # requests a second of each broker: several times what the node does
+def test_a_cold_node_bears_what_all_brokers_that_know_of_its_start_send(brokers: int, case: str) -> None:
+    plant = ColdPlant(
+        replace(COLD, broker_count=brokers), seed=brokers, lost=0.0 if case == "told at once" else 0.2
+    )
+    rate = 240 / brokers  # requests a second of each broker: several times what the node does
     plant.run(SECOND, rate, [0, 0, 1])
     plant.start(0 if case == "told at once" else 3 * SECOND)
     first = plant.begun
     plant.run(2 * SECOND, rate, [0, 0, 1])
     if case == "a third restarts":  # both keepers of what it bears among them
-        away = sorted({*plant.heads[0]._keepers(0), *range(0, heads, 3)})
+        away = sorted({*plant.brokers[0]._keepers(0), *range(0, brokers, 3)})
         for number in away:
-            del plant.heads[number]
+            del plant.brokers[number]
         plant.run(300_000, rate, [0, 0, 1])
         for number in away:
             plant.back(number)
@@ -95,10 +109,14 @@
         first = plant.begun
         plant.known.clear()
     plant.run(8 * SECOND, rate, [0, 0, 1])
-    mean = COLD.mean_units
-    full = CORES / UNIT_US * COLD.fall_us / mean  # requests of mean work in a window, at full speed
-    assert sum(units for at, units in plant.known if at > first + 3 * SECOND) > COLD.cold_units  # it is used
+    mean = COLD.mean_request_units
+    full = (
+        CORES / UNIT_US * COLD.collapse_window_us / mean
+    )  # requests of mean work in a window, at full speed
+    assert (
+        sum(units for at, units in plant.known if at > first + 3 * SECOND) > COLD.slow_start_units
+    )  # it is used
     for at, _ in plant.known:
-        window = sum(units for t, units in plant.known if at - COLD.fall_us < t <= at) / mean
-        most = COLD.fall_multiple * full * plant.speed(max(first, at - COLD.fall_us))
+        window = sum(units for t, units in plant.known if at - COLD.collapse_window_us < t <= at) / mean
+        most = COLD.collapse_load_ratio * full * plant.speed(max(first, at - COLD.collapse_window_us))
         assert window <= most + 2 * sqrt(most) + 2
--- a/tests/test_upkeep.py
+++ b/tests/test_control.py
@@ -16,7 +16,7 @@
 import pytest
 
 from harriertide.cli.main import main as command
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.lab import upkeep
 from harriertide.lab.rig import VERBS, Rig, draw
 from harriertide.lab.script import HOST, Fault, load
@@ -515,5 +515,5 @@
     assert load(str(path), 5, VERBS) == one
     for text, word in (("{", "--script"), ('[{"at_s":1,"verb":"odd"}]', "odd")):
         path.write_text(text)
-        with pytest.raises(PlainError, match=word):
+        with pytest.raises(SettingsError, match=word):
             load(str(path), 5, VERBS)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -203,7 +203,7 @@
         ran = 0
         left = asyncio.Event()
         settings = from_wire(WIRE)
-        broker = Broker(replace(settings, shards=1), [Box("b1", 0, "127.0.0.1:1")], seed=1)
+        broker = Broker(replace(settings, shard_count=1), [Box("b1", 0, "127.0.0.1:1")], seed=1)
 
         async def handler(request: web.Request) -> web.Response:
             nonlocal ran
@@ -353,7 +353,7 @@
 
         def crossed(event: ev.Event) -> None:
             post(event)
-            if isinstance(event, ev.Closing):
+            if isinstance(event, ev.ShutdownStarted):
                 client.sendall(whole[-2:])
 
         daemon.runtime.post = crossed  # type: ignore[method-assign]
@@ -379,7 +379,7 @@
 
         def crossed(event: ev.Event) -> None:
             post(event)
-            if isinstance(event, ev.Closing):
+            if isinstance(event, ev.ShutdownStarted):
                 client.sendall(house.request())
 
         daemon.runtime.post = crossed  # type: ignore[method-assign]
@@ -455,25 +455,30 @@
     from harriertide.core.reducer import Reducer
 
     kind = api.RequestClass(
-        aim_us=900_000, deadline_us=1_000_000, effect="keyed", group="all", window_us=300_000
+        latency_objective_us=900_000,
+        deadline_us=1_000_000,
+        idempotency="keyed",
+        deduplication_scope="all",
+        deduplication_window_us=300_000,
     )
     settings = replace(from_wire(WIRE), classes=(kind,))
 
     class Scripted:
         def decide(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
             return [
-                api.Send("r", "b1", 1_000_000)
+                api.StartAttempt("r", "b1", 1_000_000)
                 for event in events
-                if isinstance(event, (api.Arrival, api.Outcome)) and getattr(event, "kind", "") != "moot"
+                if isinstance(event, (api.Arrival, api.AttemptFinished))
+                and getattr(event, "kind", "") != "not_sent"
             ]
 
     core = Reducer(settings, 1, lambda settings, seed: Scripted())
-    core.step(0, [ev.Listed(api.NodeList("held", (api.NodeEntry("b1", 0),)))])
-    core.step(0, [ev.Arrived(api.Arrival("r", 0, 0, "v", 0, 1_000_000))])
-    core.step(200_000, [ev.Ended("r", 0, "connect_failed")])
+    core.step(0, [ev.EndpointsUpdated(api.EndpointUpdate("cached", (api.NodeEntry("b1", 0),)))])
+    core.step(0, [ev.RequestArrived(api.Arrival("r", 0, 0, "v", 0, 1_000_000))])
+    core.step(200_000, [ev.AttemptFinished("r", 0, "connect_failed")])
     assert core.may_write("r", 1, 400_000) is None  # nothing has run
-    core.step(400_000, [ev.Ended("r", 1, "reset")])  # decided at 200 ms
+    core.step(400_000, [ev.AttemptFinished("r", 1, "reset")])  # decided at 200 ms
     assert core.may_write("r", 2, 440_000) is None
-    assert core.may_write("r", 2, 460_000) == "moot"  # its end less what a write may take to arrive
-    core.step(450_000, [ev.Ended("r", 2, "full")])
-    assert core.may_write("r", 3, 460_000) == "moot"
+    assert core.may_write("r", 2, 460_000) == "not_sent"  # its end less what a write may take to arrive
+    core.step(450_000, [ev.AttemptFinished("r", 2, "rejected")])
+    assert core.may_write("r", 3, 460_000) == "not_sent"
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -456,16 +456,16 @@
     loop, agent = asyncio.get_running_loop(), Agent()
     server = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
     beat = asyncio.ensure_future(agent.beat())
-    told: list[tuple[float, api.NodeList]] = []
+    told: list[tuple[float, api.EndpointUpdate]] = []
 
     def post(event: ev.Event) -> None:
-        assert isinstance(event, ev.Listed)
-        if event.news.nodes:
-            told.append((loop.time(), event.news))
+        assert isinstance(event, ev.EndpointsUpdated)
+        if event.update.entries:
+            told.append((loop.time(), event.update))
 
     directory = Directory({})
     hosts = [{"host": n, "dial": "127.0.0.1:1", "block": 0, "health": "up"} for n in ("b1", "b2")]
-    directory.read({"seq": 7, "whole": True, "hosts": hosts}, "held")
+    directory.read({"seq": 7, "whole": True, "hosts": hosts}, "cached")
     address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
     watch = Watch(address, directory, post)
     watch.follow(pushed=True)
@@ -479,7 +479,7 @@
         {**hosts[0], "health": "draining"}]})]  # fmt: skip
     back = loop.time()
     await until(back + 5.0)
-    assert [news.nodes[0].state for _, news in told] == ["draining"] and told[0][0] <= back + 1.2
+    assert [news.entries[0].state for _, news in told] == ["draining"] and told[0][0] <= back + 1.2
     await watch.close()
     beat.cancel()
     server.close()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -12,7 +12,7 @@
 # An import points to a lower floor, or stays in its room.
 FLOORS = {
     "decide": 1, "core": 2, "consensus": 2, "maintenance": 3, "engine": 3, "http": 4, "config": 4,
-    "platform": 5, "lifecycle": 6, "objects": 5, "upkeep": 6, "library": 6, "cli": 7, "lab": 8,
+    "platform": 5, "lifecycle": 6, "objects": 5, "control": 6, "library": 6, "cli": 7, "lab": 8,
 }  # fmt: skip
 # Disks and wires of pure rooms, each in a module beside them: on a floor of their own.
 OUTSIDE = {"consensus/store.py": 4, "consensus/transport.py": 4}
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -15,8 +15,9 @@
 from harriertide.cli.daemon import Daemon
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
-from harriertide.decide import api, rules
-from harriertide.decide.notes import BID, CALL, GRANT, VOTE, WANT, encode
+from harriertide.decide import api
+from harriertide.decide import scheduler as scheduler_module
+from harriertide.decide.peer_messages import BID, CALL, GRANT, VOTE, WANT, encode
 from harriertide.engine.clock import until
 from tests.census import census
 from tests.helpers import SETTINGS, START_US
@@ -35,7 +36,7 @@
     out: list[ev.StartAttempt] = []
 
     def news(kind: str, entry: api.NodeEntry, state: str) -> ev.Event:
-        return ev.Listed(api.NodeList(kind, (replace(entry, state=state),)))  # type: ignore[arg-type]
+        return ev.EndpointsUpdated(api.EndpointUpdate(kind, (replace(entry, state=state),)))  # type: ignore[arg-type]
 
     for number in range(requests):
         now += step_us
@@ -45,16 +46,16 @@
             made += 1
             if len(listed) >= SHARDS * EACH:
                 old = listed.pop(0)
-                happened.append(news("changes", old, "draining"))
+                happened.append(news("delta", old, "draining"))
                 if made % 3:
-                    happened.append(news("changes", old, "gone"))
+                    happened.append(news("delta", old, "gone"))
                 else:  # it is merely not named any more
-                    happened.append(ev.Listed(api.NodeList("whole", tuple(listed))))
+                    happened.append(ev.EndpointsUpdated(api.EndpointUpdate("full", tuple(listed))))
             listed.append(entry)
-            happened.append(news("changes", entry, "live"))
+            happened.append(news("delta", entry, "live"))
         volume, plan = f"v{number // 20}", number % 2
         happened.append(
-            ev.Arrived(
+            ev.RequestArrived(
                 api.Arrival(
                     f"r{number}", number % 4, plan, volume, draw.randrange(-1, SHARDS), now + 500_000, 2.0,
                     f"k{number // 3}",
@@ -62,24 +63,26 @@
             )
         )  # fmt: skip
         if draw.random() < 0.02:
-            happened.append(ev.Left(f"r{number - 1}"))
+            happened.append(ev.ClientDisconnected(f"r{number - 1}"))
         if draw.random() < 0.1:  # volumes of other brokers, summed up here
             key = draw.randrange(2**32)
             asks = (WANT, [1, 9, 0, 0, number % 256]), (GRANT, [number % 256, 9]), (CALL, [0]), (VOTE, [0])
             for kind, figures in asks:
-                happened.append(ev.Heard(1, encode(kind, [(key, figures)])[0]))
+                happened.append(ev.PeerMessageReceived(1, encode(kind, [(key, figures)])[0]))
             row = (draw.randrange(SHARDS), [1.0] * 10)  # and their shards
-            happened.append(ev.Heard(draw.randrange(core.settings.heads), encode(BID, [row])[0]))
+            happened.append(
+                ev.PeerMessageReceived(draw.randrange(core.settings.broker_count), encode(BID, [row])[0])
+            )
         while out and (len(out) > 20 or draw.random() < 0.6):
             ended = out.pop(draw.randrange(len(out)))
-            kind: Any = draw.choice(("ok", "ok", "ok", "error", "full", "timeout", "reset", "cancelled"))
-            happened.append(ev.Ended(ended.request, ended.attempt, kind))
-        out += [e for e in core.step(now, [*happened, ev.Fired(0)]) if isinstance(e, ev.StartAttempt)]
+            kind: Any = draw.choice(("ok", "ok", "ok", "error", "rejected", "timeout", "reset", "cancelled"))
+            happened.append(ev.AttemptFinished(ended.request_id, ended.attempt, kind))
+        out += [e for e in core.step(now, [*happened, ev.TimerFired(0)]) if isinstance(e, ev.StartAttempt)]
     for last in range(700):  # at rest
         now += 200_000
-        ends: list[ev.Event] = [ev.Ended(e.request, e.attempt, "reset") for e in out]
-        held = ev.Listed(api.NodeList("changes", tuple(listed)))
-        done = core.step(now, [*ends, held if not last else ev.Fired(0)])
+        ends: list[ev.Event] = [ev.AttemptFinished(e.request_id, e.attempt, "reset") for e in out]
+        held = ev.EndpointsUpdated(api.EndpointUpdate("delta", tuple(listed)))
+        done = core.step(now, [*ends, held if not last else ev.TimerFired(0)])
         out = [e for e in done if isinstance(e, ev.StartAttempt)]
     return made
 
@@ -92,7 +95,7 @@
 
 
 def test_hours_of_changing_volumes_nodes_and_peers_leave_no_more_than_the_heads_there_are() -> None:
-    core = Reducer(replace(SETTINGS, heads=200), 1)
+    core = Reducer(replace(SETTINGS, broker_count=200), 1)
     assert churn(core, REQUESTS, NODES, step_us=100_000) >= NODES  # nearly three hours
     assert core.counts["served"] > 1_000 and core.owed() == 0
     assert census(core, 201) == {}
@@ -132,6 +135,6 @@
         await until(asyncio.get_running_loop().time() + 1.0)  # some rounds
         sizes.append(census(daemon, MOST))
 
-    monkeypatch.setattr(rules, "REST_US", 100_000)
+    monkeypatch.setattr(scheduler_module, "REST_US", 100_000)
     asyncio.run(play("", objects=False, folder=tmp_path, beside=crowd))
     assert sizes == [{}], json.dumps(sizes)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -33,7 +33,7 @@
 from tests.scenario import Stand
 from tests.test_config import FILE
 
-LONE = replace(SETTINGS, heads=1, may_tell=False, max_retry_after_us=500_000)
+LONE = replace(SETTINGS, broker_count=1, peer_messages_allowed=False, max_retry_after_us=500_000)
 BOXES = (Box("b1", 0), Box("b2", 1))
 Play = Callable[[Broker, list[str]], Awaitable[None]]
 
@@ -51,7 +51,7 @@
     asyncio.run(main())
     counts = broker.core.counts
     assert broker.core.owed() == 0
-    assert counts["taken"] == sum(counts[kind] for kind in ("served", "refused", "failed", "left"))
+    assert counts["taken"] == sum(counts[kind] for kind in ("served", "rejected", "failed", "left"))
     return broker
 
 
@@ -178,7 +178,7 @@
         await box.close()
 
     broker = play(work)
-    assert broker.core.counts["outcome_error"] == 1 and broker.core.counts["outcome_full"] == 1
+    assert broker.core.counts["outcome_error"] == 1 and broker.core.counts["outcome_rejected"] == 1
 
 
 def test_work_that_swallows_its_cancellation_does_not_keep_its_caller_from_an_answer() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits held by all heads together: leases, what keepers give out, and both in fleets that lose messages."""
+"""Limits held by all brokers together: leases, quota grants, and both in fleets that lose messages."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     Credit,
     Leases,
 )
-from harriertide.decide.notes import CALL, GRANT, VOTE, WANT, decode
+from harriertide.decide.peer_messages import CALL, GRANT, VOTE, WANT, decode
 from harriertide.lab.limits import COURSES, PLANS, Fleet, allowed, course
-from tests.helpers import Head, refusals, sends, tells
+from tests.helpers import BrokerUnderTest, refusals, sends, tells
 
 SECOND = 1_000_000
 LEASE_US = LEASE_CALLS * CALL_US
@@ -31,24 +31,24 @@
 # --- leases alone: every schedule of losses, deaths and pauses -----------------------------------
 
 
-def elections(seed: int, heads: int, lost: float) -> Iterator[tuple[int, list[int]]]:
-    """For a minute, each 10 ms: now, and who holds slot 0, as each head sees it by its own clock.
+def elections(seed: int, brokers: int, lost: float) -> Iterator[tuple[int, list[int]]]:
+    """For a minute, each 10 ms: now, and who holds slot 0, as each broker sees it by its own clock.
 
-    Messages are lost, late and doubled; heads die, start again from nothing, and stand still for a while.
+    Messages are lost, late and doubled; brokers die, start again from nothing, and stand still for a while.
     """
     random = Random(seed)
-    drift = [1 + random.uniform(-0.004, 0.004) for _ in range(heads)]
-    fleet: list[Leases | None] = [Leases(i, heads, 0) for i in range(heads)]
-    next_us, asleep = [0] * heads, [0] * heads
+    drift = [1 + random.uniform(-0.004, 0.004) for _ in range(brokers)]
+    fleet: list[Leases | None] = [Leases(i, brokers, 0) for i in range(brokers)]
+    next_us, asleep = [0] * brokers, [0] * brokers
     post: list[tuple[int, int, int, int, int, int]] = []
     for now in range(0, 60 * SECOND, 10_000):
-        for i in range(heads):
+        for i in range(brokers):
             clock = int(now * drift[i])
             one = fleet[i]
             if random.random() < 0.0003:
                 asleep[i] = now + random.randrange(3 * SECOND)
             if random.random() < 0.0001 * (1 if one else 10):
-                fleet[i] = one = None if one else Leases(i, heads, clock)
+                fleet[i] = one = None if one else Leases(i, brokers, clock)
             if one is None or now < asleep[i]:
                 continue
             due = [m for m in post if m[1] == i and m[0] <= now]
@@ -61,23 +61,23 @@
                     one.vote(clock, sender, slot, number)
             if clock >= next_us[i]:
                 next_us[i] = clock + CALL_US
-                out += [(head, CALL, slot, number) for head, slot, number in one.calls(clock)]
-            for head, kind, slot, number in out:
+                out += [(broker, CALL, slot, number) for broker, slot, number in one.calls(clock)]
+            for broker, kind, slot, number in out:
                 for _ in range((random.random() >= lost) + (random.random() < 0.1)):
-                    post.append((now + random.randrange(1_000, 60_000), head, i, kind, slot, number))
-        holders = [i for i in range(heads) if (one := fleet[i]) and one.holds(0, int(now * drift[i]))]
+                    post.append((now + random.randrange(1_000, 60_000), broker, i, kind, slot, number))
+        holders = [i for i in range(brokers) if (one := fleet[i]) and one.holds(0, int(now * drift[i]))]
         yield now, holders
 
 
-@pytest.mark.parametrize("heads", [2, 3, 5, 8])
+@pytest.mark.parametrize("brokers", [2, 3, 5, 8])
 @pytest.mark.parametrize("seed", range(6))
-def test_no_two_heads_hold_a_slot_at_once(heads: int, seed: int) -> None:
+def test_no_two_heads_hold_a_slot_at_once(brokers: int, seed: int) -> None:
     """One that stands still included: it holds by its own clock when it goes on, or not at all."""
     held = 0
-    for _, holders in elections(seed, heads, 0.3):
+    for _, holders in elections(seed, brokers, 0.3):
         assert len(holders) <= 1
         held += len(holders)
-    assert held > 3_000 or heads == 2  # of 6,000 looks; two heads can do nothing while one is gone
+    assert held > 3_000 or brokers == 2  # of 6,000 looks; two brokers can do nothing while one is gone
 
 
 def test_without_faults_a_slot_is_held_from_soon_after_the_start_on() -> None:
@@ -85,9 +85,9 @@
     gaps = 0
     for now in range(0, 20 * SECOND, CALL_US):
         for one in fleet:
-            for head, slot, number in one.calls(now):
-                if fleet[head].call(now, one.head, slot):
-                    one.vote(now, head, slot, number)
+            for broker, slot, number in one.calls(now):
+                if fleet[broker].call(now, one.head, slot):
+                    one.vote(now, broker, slot, number)
         gaps += any(not fleet[slot].holds(slot, now) for slot in range(5))
     assert gaps * CALL_US <= LEASE_US + CALL_US
 
@@ -118,11 +118,11 @@
 def test_votes_of_strangers_and_for_older_calls_count_for_nothing() -> None:
     one = Leases(0, 8, 0)
     rows = [row for row in one.calls(LEASE_US) if row[1] == 0]
-    assert {head for head, _, _ in rows} == {1, 2, 3, 4}
-    for head in (5, 6, 7):
-        one.vote(LEASE_US, head, 0, rows[0][2])
-    for head in (1, 2):
-        one.vote(LEASE_US, head, 0, rows[0][2] + 1)
+    assert {broker for broker, _, _ in rows} == {1, 2, 3, 4}
+    for broker in (5, 6, 7):
+        one.vote(LEASE_US, broker, 0, rows[0][2])
+    for broker in (1, 2):
+        one.vote(LEASE_US, broker, 0, rows[0][2] + 1)
     assert not one.holds(0, LEASE_US) and not Leases(6, 8, 0).call(LEASE_US, 1, 0)
     assert Leases(0, 8, 77_000)._slots[0].number == 77
     one.vote(LEASE_US, 1, 0, rows[0][2])
@@ -214,29 +214,29 @@
     assert credit.take(50_000, 2, 1, rate=10.0) and credit.short and credit.again_us == 150_000
 
 
-# --- whole heads -----------------------------------------------------------------------------------
+# --- whole brokers -----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize(("heads", "hosts"), COURSES)
+@pytest.mark.parametrize(("brokers", "hosts"), COURSES)
 def test_a_limit_is_held_and_used_under_loss_deaths_restarts_and_a_busiest_head_that_changes(
-    heads: int, hosts: list[int], seed: int
+    brokers: int, hosts: list[int], seed: int
 ) -> None:
-    """Surges of five times the limit, 30% of messages lost, one head dead and one fresh: never over the limit
-    in rate or at once, not even by its slack, and nine tenths of it used."""
-    used, lowest = course(heads, hosts, seed)
+    """Surges of five times the limit, 30% of messages lost, one broker dead and one fresh: never over the
+    limit in rate or at once, not even by its slack, and nine tenths of it used."""
+    used, lowest = course(brokers, hosts, seed)
     assert lowest >= 0 and used > 0.9
 
 
 def test_the_courses_can_fail(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Heads that each believe to hold the slot give the limit out twice."""
+    """Brokers that each believe to hold the slot give the limit out twice."""
     monkeypatch.setattr(Leases, "holds", lambda self, slot, now_us: self._slots[slot].until_us > 0)
     monkeypatch.setattr(Leases, "keeper", lambda self, slot, now_us, misses: self.head)
     assert course(3, [0, 1, 2], 1, seconds=3, lost=0.0)[1] < 0
 
 
 def test_heads_that_hear_nobody_send_nothing_of_a_shared_limit_and_go_on_when_they_do() -> None:
-    """A head cut off can't know what the others send: safe before quick. The majority goes on."""
+    """A broker cut off can't know what the others send: safe before quick. The majority goes on."""
     fleet = Fleet(3, [0, 1, 2], 1, lost=0.0)
     fleet.play(3 * SECOND, 0, 50.0)
     fleet.cut = {0}
@@ -255,29 +255,29 @@
 
 
 def test_one_heads_own_volume_asks_nobody_and_no_limit_no_leases() -> None:
-    head = Head(heads=3, plans=PLANS)
-    head.idle(2 * SECOND)
-    assert sends(head.ask(hosts=1, plan=0)) and not tells(head.idle(SECOND), WANT)
-    free = Head(heads=3, plans=(api.Plan(),))
+    broker = BrokerUnderTest(broker_count=3, plans=PLANS)
+    broker.idle(2 * SECOND)
+    assert sends(broker.ask(sharing_broker_count=1, plan=0)) and not tells(broker.idle(SECOND), WANT)
+    free = BrokerUnderTest(broker_count=3, plans=(api.Plan(),))
     assert not [a for kind in (CALL, VOTE, WANT, GRANT) for a in tells(free.idle(2 * SECOND), kind)]
 
 
 def test_a_reload_keeps_leases_and_other_heads_end_them() -> None:
-    head = Head(heads=3, plans=PLANS)
-    head.idle(SECOND)
-    held = head.scheduler._leases
-    head.do(api.Resettled(replace(head.settings, mean_units=3.0)))
-    assert head.scheduler._leases is held is not None
-    head.do(api.Resettled(replace(head.settings, heads=4)))
-    assert head.scheduler._leases is not held and not head.scheduler._leases.call(head.now, 0, 0)
-    assert all(decode(a.body)[0] == CALL for a in tells(head.idle(SECOND), CALL))
+    broker = BrokerUnderTest(broker_count=3, plans=PLANS)
+    broker.idle(SECOND)
+    held = broker.scheduler._leases
+    broker.do(api.SettingsChanged(replace(broker.settings, mean_request_units=3.0)))
+    assert broker.scheduler._leases is held is not None
+    broker.do(api.SettingsChanged(replace(broker.settings, broker_count=4)))
+    assert broker.scheduler._leases is not held and not broker.scheduler._leases.call(broker.now, 0, 0)
+    assert all(decode(a.body)[0] == CALL for a in tells(broker.idle(SECOND), CALL))
 
 
 def test_a_repeat_waits_for_no_store_that_is_short() -> None:
     """The store goes to first tries, which can be in time."""
-    head = Head(may_tell=False, plans=PLANS)
-    head.idle(100_000)
-    first = head.ask(plan=0, hosts=1, units=3.0)
-    repeat = head.ask(plan=0, hosts=1, units=3.0, repeated=True)
+    broker = BrokerUnderTest(peer_messages_allowed=False, plans=PLANS)
+    broker.idle(100_000)
+    first = broker.ask(plan=0, sharing_broker_count=1, units=3.0)
+    repeat = broker.ask(plan=0, sharing_broker_count=1, units=3.0, is_retry=True)
     assert not sends(first) and refusals(repeat)
-    assert [send.request for send in sends(head.idle(SECOND, 10_000))] == ["r1"]
+    assert [send.request_id for send in sends(broker.idle(SECOND, 10_000))] == ["r1"]
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -15,7 +15,7 @@
 from harriertide.lab.limits import PLANS, SETTINGS
 from harriertide.platform.configuration import Config
 
-LIMIT, BURST, SLACK = PLANS[0].limit, PLANS[0].limit_burst, 6.0  # one of the largest requests
+LIMIT, BURST, SLACK = PLANS[0].rate_limit, PLANS[0].burst_limit_units, 6.0  # one of the largest requests
 LATE_S = 0.15  # what the limit allows in so long is slack too, on sockets
 FIRST_PORT = 29_500
 
@@ -32,8 +32,8 @@
         loop = asyncio.get_running_loop()
         try:
             while True:
-                head = (await reader.readuntil(b"\r\n\r\n")).decode()
-                fields = dict(row.lower().split(": ", 1) for row in head.split("\r\n")[1:-2])
+                broker = (await reader.readuntil(b"\r\n\r\n")).decode()
+                fields = dict(row.lower().split(": ", 1) for row in broker.split("\r\n")[1:-2])
                 if fields["x-call-id"] not in self.seen:
                     self.seen.add(fields["x-call-id"])
                     units = float(fields["x-extent"].partition("units=")[2].partition(",")[0])
@@ -57,7 +57,7 @@
         self.tasks: list[asyncio.Future[None]] = []
 
     async def start(self, place: int, box: str) -> None:
-        settings = replace(SETTINGS, head=place, heads=self.number)
+        settings = replace(SETTINGS, broker_index=place, broker_count=self.number)
         names = Names({"c": 0}, {"p": 0}, {}, connect_us=250_000, idle_us=15_000_000)
         peers = [f"127.0.0.1:{FIRST_PORT + other}" for other in range(self.number)]
         self.made += 1
@@ -152,6 +152,6 @@
     from harriertide.decide.leases import Leases
 
     monkeypatch.setattr(Leases, "holds", lambda self, slot, now_us: self._slots[slot].until_us > 0)
-    monkeypatch.setattr(Leases, "keeper", lambda self, slot, now_us, misses: self.head)
+    monkeypatch.setattr(Leases, "keeper", lambda self, slot, now_us, misses: self.broker)
     _, lowest = virtual.run(course(3, [0, 1, 2], 3), virtual.Network(lambda here, there: 0.0005))
     assert lowest < -SLACK - LIMIT * LATE_S
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,7 +11,7 @@
 import pytest
 
 from harriertide.config import model
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
 from harriertide.lab.fleet import Fleet, Verdict, play
@@ -526,7 +526,7 @@
     ],
 )  # fmt: skip
 def test_what_cannot_be_used_of_the_section_names_the_key(keys: dict[str, Any], said: str) -> None:
-    with pytest.raises(PlainError, match=said):
+    with pytest.raises(SettingsError, match=said):
         model.read_operator(raw(**keys))
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -4,12 +4,13 @@
 from typing import Any
 from zlib import crc32
 
-from harriertide.decide import api, rules
-from harriertide.decide.notes import BID, MAGIC, SUM, decode, encode
-from harriertide.decide.rules import BANDS, BID_LIFE_US, CEILING, ROUND_US
-from tests.helpers import START_US, Head, fails, refusals, sends, tells
+from harriertide.decide import api
+from harriertide.decide import scheduler as scheduler_module
+from harriertide.decide.peer_messages import BID, MAGIC, SUM, decode, encode
+from harriertide.decide.scheduler import BANDS, BID_LIFE_US, CEILING, ROUND_US
+from tests.helpers import START_US, BrokerUnderTest, fails, refusals, sends, tells
 
-KEEPER = crc32(b"0") % 2  # of shard 0, where there are two heads
+KEEPER = crc32(b"0") % 2  # of shard 0, where there are two brokers
 SECOND = 1_000_000
 FIRST = crc32(b"0") % 8  # and where there are eight; the next is its standby
 OTHER = (FIRST + 4) % 8
@@ -27,29 +28,31 @@
     return [a.body for a in tells(actions, kind)]
 
 
-def work(head: Head, for_us: int, every_us: int = 10_000, took_us: int = 20_000) -> list[api.Action]:
+def work(
+    broker: BrokerUnderTest, for_us: int, every_us: int = 10_000, took_us: int = 20_000
+) -> list[api.Action]:
     """Offer steadily, answer each attempt after a while."""
     done: list[api.Action] = []
     out: list[tuple[int, str]] = []
-    end = head.now + for_us
-    while head.now < end:
-        new = head.ask()
-        due = [r for at, r in out if at <= head.now]
-        out = [(at, r) for at, r in out if at > head.now]
+    end = broker.now + for_us
+    while broker.now < end:
+        new = broker.ask()
+        due = [r for at, r in out if at <= broker.now]
+        out = [(at, r) for at, r in out if at > broker.now]
         for request in due:
-            new += head.do(api.Outcome(request, 0, "n0", "ok", took_us, True))
-        out += [(head.now + took_us, s.request) for s in sends(new)]
+            new += broker.do(api.AttemptFinished(request, 0, "n0", "ok", took_us, True))
+        out += [(broker.now + took_us, s.request_id) for s in sends(new)]
         done += new
-        head.now += every_us
+        broker.now += every_us
     for at, request in out:
-        head.now = max(head.now, at)
-        head.do(api.Outcome(request, 0, "n0", "ok", took_us, True))
+        broker.now = max(broker.now, at)
+        broker.do(api.AttemptFinished(request, 0, "n0", "ok", took_us, True))
     return done
 
 
 def test_one_bid_a_round_to_the_shards_keeper() -> None:
-    head = Head(head=OTHER, heads=8)
-    done = work(head, 4 * ROUND_US)
+    broker = BrokerUnderTest(broker_index=OTHER, broker_count=8)
+    done = work(broker, 4 * ROUND_US)
     bids = told(done)
     assert 3 <= len(bids) <= 5
     assert all(body.startswith(MAGIC) and len(body) <= 256 for body in bids)
@@ -57,71 +60,73 @@
 
 
 def test_no_bid_on_a_shard_without_demand() -> None:
-    head = Head(head=OTHER, heads=8)
-    work(head, 2 * SECOND)
-    assert told(head.idle(12 * SECOND)) and not told(head.idle(4 * SECOND))
-    assert not head.scheduler._active
+    broker = BrokerUnderTest(broker_index=OTHER, broker_count=8)
+    work(broker, 2 * SECOND)
+    assert told(broker.idle(12 * SECOND)) and not told(broker.idle(4 * SECOND))
+    assert not broker.scheduler._active
 
 
 def test_many_shards_take_several_messages_none_over_256_bytes() -> None:
-    head = Head(tuple(api.NodeEntry(f"n{i}", i) for i in range(60)), shards=60)
+    broker = BrokerUnderTest(tuple(api.NodeEntry(f"n{i}", i) for i in range(60)), shard_count=60)
     for shard in range(60):
-        head.ask(shard=shard)
-    bodies = told(head.idle(2 * SECOND))
+        broker.ask(shard=shard)
+    bodies = told(broker.idle(2 * SECOND))
     assert bodies and all(len(body) <= 256 for body in bodies)
     named = {key for body in bodies for key, _ in decode(body)[1]}
     assert named == {s for s in range(60) if crc32(b"%d" % s) % 2 == 1}
 
 
 def test_no_bids_where_heads_may_not_talk_or_are_alone() -> None:
-    assert not told(work(Head(may_tell=False), 3 * SECOND))
-    assert not told(work(Head(heads=1), 3 * SECOND))
+    assert not told(work(BrokerUnderTest(peer_messages_allowed=False), 3 * SECOND))
+    assert not told(work(BrokerUnderTest(broker_count=1), 3 * SECOND))
 
 
 def test_a_bid_that_had_no_answer_goes_to_the_standby_next() -> None:
-    head = Head(head=OTHER, heads=8)
-    done = work(head, 5 * ROUND_US)
-    whom = [a.head for a in tells(done, BID)]
+    broker = BrokerUnderTest(broker_index=OTHER, broker_count=8)
+    done = work(broker, 5 * ROUND_US)
+    whom = [a.recipient_index for a in tells(done, BID)]
     assert whom[:4] == [FIRST, (FIRST + 1) % 8] * 2
-    head.do(api.PeerNote(FIRST, sums([1.0] * BANDS, 50.0)))
-    done = work(head, ROUND_US)
-    assert [a.head for a in tells(done, BID)] == [FIRST]
+    broker.do(api.PeerMessageReceived(FIRST, sums([1.0] * BANDS, 50.0)))
+    done = work(broker, ROUND_US)
+    assert [a.recipient_index for a in tells(done, BID)] == [FIRST]
 
 
 def test_a_keeper_answers_each_bid_with_the_sums_of_all() -> None:
-    head = Head(head=KEEPER, heads=2)
-    work(head, 2 * SECOND)
-    answer = told(head.do(api.PeerNote(1 - KEEPER, bid(0, [40.0] * BANDS, 30.0))), SUM)
+    broker = BrokerUnderTest(broker_index=KEEPER, broker_count=2)
+    work(broker, 2 * SECOND)
+    answer = told(broker.do(api.PeerMessageReceived(1 - KEEPER, bid(0, [40.0] * BANDS, 30.0))), SUM)
     figures = decode(answer[0])[1][0][1]
-    own = sum(head.scheduler._cells[0].demand)
+    own = sum(broker.scheduler._cells[0].demand)
     assert abs(sum(figures[:BANDS]) - 240 - own) < 0.1 * (240 + own)
-    head.idle(BID_LIFE_US + 12 * SECOND)
-    again = told(head.do(api.PeerNote(1 - KEEPER, bid(0, [1.0] * BANDS))), SUM)
+    broker.idle(BID_LIFE_US + 12 * SECOND)
+    again = told(broker.do(api.PeerMessageReceived(1 - KEEPER, bid(0, [1.0] * BANDS))), SUM)
     assert sum(decode(again[0])[1][0][1][:BANDS]) < 7  # bids that are not renewed run out
 
 
 def test_slow_answers_of_all_heads_together_are_pressure_at_the_keeper() -> None:
-    head = Head(head=KEEPER)
+    broker = BrokerUnderTest(broker_index=KEEPER)
     steps = ((4.0, 0), (15.0, 0), (15.0, 2), (9.0, 2), (4.0, 2), (4.0, 0))  # smoothed, and harder to leave
     for strained, pressed in steps:
-        head.now += SECOND
-        body = told(head.do(api.PeerNote(1 - KEEPER, bid(0, [9.0] * BANDS, 20.0, strained))), SUM)[0]
+        broker.now += SECOND
+        body = told(
+            broker.do(api.PeerMessageReceived(1 - KEEPER, bid(0, [9.0] * BANDS, 20.0, strained))), SUM
+        )[0]
         assert round(decode(body)[1][0][1][9]) & 2 == pressed
 
 
 def test_a_restarted_keeper_takes_the_rate_that_bidders_know() -> None:
-    head = Head(head=KEEPER)
+    broker = BrokerUnderTest(broker_index=KEEPER)
     body = encode(BID, [(0, [1.0] * BANDS + [2.0, 0.2, 1.0, 77.0])])[0]
-    answer = told(head.do(api.PeerNote(1 - KEEPER, body)), SUM)[0]
+    answer = told(broker.do(api.PeerMessageReceived(1 - KEEPER, body)), SUM)[0]
     assert 70 < decode(answer)[1][0][1][6] < 84
 
 
 def rate_after(note: bytes | None) -> tuple[float, float]:
-    head = Head(head=1 - KEEPER)
-    work(head, 2 * SECOND)
+    broker = BrokerUnderTest(broker_index=1 - KEEPER)
+    work(broker, 2 * SECOND)
     if note is not None:
-        head.do(api.PeerNote(KEEPER, note))
-    cell = head.scheduler._cells[0]
+        broker.do(api.PeerMessageReceived(KEEPER, note))
+    cell = broker.scheduler._cells[0]
     return cell.rate, cell.capacity
 
 
@@ -133,22 +138,24 @@
 
 
 def test_a_head_that_hears_nothing_goes_by_the_last_sums_and_its_own_demand() -> None:
-    """An even slice of hundreds of heads is under one request, where few of them use a shard at all."""
+    """An even slice of hundreds of brokers is under one request, where few of them use a shard at all."""
     keeper = crc32(b"0") % 200
-    head = Head(head=(keeper + 7) % 200, heads=200)
-    fresh = head.scheduler._cells[0]
-    work(head, 4 * SECOND)
-    assert not fresh.learned and fresh.rate == rules.TARGET * fresh.capacity / 200  # nothing was ever told
-    head.do(api.PeerNote(keeper, sums([100.0] * BANDS, 80.0)))
-    cell = head.scheduler._cells[0]
-    work(head, SECOND)
+    broker = BrokerUnderTest(broker_index=(keeper + 7) % 200, broker_count=200)
+    fresh = broker.scheduler._cells[0]
+    work(broker, 4 * SECOND)
+    assert (
+        not fresh.learned and fresh.rate == scheduler_module.TARGET * fresh.capacity / 200
+    )  # nothing was ever told
+    broker.do(api.PeerMessageReceived(keeper, sums([100.0] * BANDS, 80.0)))
+    cell = broker.scheduler._cells[0]
+    work(broker, SECOND)
     told_chance = list(cell.chance)
-    work(head, 10 * SECOND)
-    assert cell.chance == told_chance and cell.rate > 5 * rules.TARGET * cell.capacity / 200
+    work(broker, 10 * SECOND)
+    assert cell.chance == told_chance and cell.rate > 5 * scheduler_module.TARGET * cell.capacity / 200
 
 
 def test_junk_from_peers_changes_nothing() -> None:
-    head = Head(head=KEEPER)
+    broker = BrokerUnderTest(broker_index=KEEPER)
     good = bid(0, [5.0] * BANDS)
     for sender, body in (
         (1 - KEEPER, b""),
@@ -160,69 +167,71 @@
         (1 - KEEPER, bid(0, [1e9] * BANDS)),
         (1 - KEEPER, good + b"x" * 240),
     ):
-        assert not [a for a in head.do(api.PeerNote(sender, body)) if not isinstance(a, api.Wake)]
-    assert not head.scheduler._tallies
-    other = Head(head=3, heads=8)  # sums count from a keeper of that shard only
+        assert not [
+            a for a in broker.do(api.PeerMessageReceived(sender, body)) if not isinstance(a, api.SetTimer)
+        ]
+    assert not broker.scheduler._tallies
+    other = BrokerUnderTest(broker_index=3, broker_count=8)  # sums count from a keeper of that shard only
     stranger = next(h for h in range(8) if h != 3 and h not in other.scheduler._keepers(0))
-    other.do(api.PeerNote(stranger, sums([1.0] * BANDS, 5.0)))
+    other.do(api.PeerMessageReceived(stranger, sums([1.0] * BANDS, 5.0)))
     assert other.scheduler._cells[0].capacity == 0
 
 
 def test_a_head_with_less_than_a_few_requests_thins_by_the_chance_of_all() -> None:
     passed = 0
     for seed in range(200):
-        head = Head(head=1 - KEEPER, seed=seed)
-        head.ask()
-        head.idle(2 * SECOND)
-        head.end("r1")
-        head.do(api.PeerNote(KEEPER, sums([200.0] + [0.0] * (BANDS - 1), 100.0)))
-        passed += len(sends(head.ask()))
+        broker = BrokerUnderTest(broker_index=1 - KEEPER, seed=seed)
+        broker.ask()
+        broker.idle(2 * SECOND)
+        broker.end("r1")
+        broker.do(api.PeerMessageReceived(KEEPER, sums([200.0] + [0.0] * (BANDS - 1), 100.0)))
+        passed += len(sends(broker.ask()))
     assert 80 <= passed <= 130  # 105 of 200 units
 
 
-def press(head: Head) -> None:
+def press(broker: BrokerUnderTest) -> None:
     """Until the shard is under learned pressure."""
-    work(head, 2 * SECOND)
-    work(head, 3 * SECOND, took_us=400_000)
-    cell = head.scheduler._cells[0]
+    work(broker, 2 * SECOND)
+    work(broker, 3 * SECOND, took_us=400_000)
+    cell = broker.scheduler._cells[0]
     assert cell.pressed and cell.learned
 
 
 def test_pressure_comes_with_slow_answers_and_goes_again() -> None:
-    head = Head()
-    press(head)
-    work(head, 4 * SECOND, every_us=100_000)
-    assert not head.scheduler._cells[0].pressed
+    broker = BrokerUnderTest()
+    press(broker)
+    work(broker, 4 * SECOND, every_us=100_000)
+    assert not broker.scheduler._cells[0].pressed
 
 
 def test_full_answers_are_pressure() -> None:
-    head = Head(head=KEEPER)
-    head.ask()
-    head.end("r1", "full")
-    while 0 not in head.scheduler._tallies:
-        head.idle(50_000, 10_000)
-    assert head.scheduler._tallies[0].pressed and not head.scheduler._cells[0].learned
+    broker = BrokerUnderTest(broker_index=KEEPER)
+    broker.ask()
+    broker.end("r1", "rejected")
+    while 0 not in broker.scheduler._tallies:
+        broker.idle(50_000, 10_000)
+    assert broker.scheduler._tallies[0].pressed and not broker.scheduler._cells[0].learned
 
 
 def test_percent_thinning_refuses_about_what_the_shard_cannot_do() -> None:
-    """Of all that heads are offered, the worth most goes first; what is under no pressure passes."""
-    head = Head()
-    press(head)
-    cell = head.scheduler._cells[0]
+    """Of all that brokers are offered, the worth most goes first; what is under no pressure passes."""
+    broker = BrokerUnderTest()
+    press(broker)
+    cell = broker.scheduler._cells[0]
 
     def passed(totals: list[float], pressed: bool = True) -> float:
         cell.totals, cell.capacity, cell.strain_all = totals, 50.0 / 1.05, 0.0
-        head.scheduler._slice(cell)
+        broker.scheduler._slice(cell)
         let_in = 0
         for _ in range(1000):
             cell.pressed = pressed  # held work does not count here: each is given up again
-            head.ask(volume=f"w{head.made}")
-            request = head.scheduler._requests.get(f"r{head.made}")
+            broker.ask(volume=f"w{broker.made}")
+            request = broker.scheduler._requests.get(f"r{broker.made}")
             if request is not None:
                 let_in += 1
-                head.do(api.Departed(request.id))
+                broker.do(api.ClientDisconnected(request.id))
                 for number in list(request.out):
-                    head.end(request.id, "cancelled", number, after_us=0, over=True)
+                    broker.end(request.id, "cancelled", number, after_us=0, over=True)
         return let_in / 1000
 
     assert 0.42 < passed([100.0] + [0.0] * (BANDS - 1)) < 0.58
@@ -232,150 +241,152 @@
 
 def test_a_clients_repeat_is_worth_what_a_late_answer_is() -> None:
     """It belongs to its first try; under pressure, first tries go before it."""
-    head = Head()
-    head.ask(volume="a")
-    head.ask(volume="b", repeated=True)
-    first, repeat = (head.scheduler._requests[f"r{i}"].band for i in (1, 2))
-    assert first == 0 and repeat >= 2  # late_worth is 0.2, a band's step 2.2
+    broker = BrokerUnderTest()
+    broker.ask(volume="a")
+    broker.ask(volume="b", is_retry=True)
+    first, repeat = (broker.scheduler._requests[f"r{i}"].band for i in (1, 2))
+    assert first == 0 and repeat >= 2  # late_priority_weight is 0.2, a band's step 2.2
 
 
 def test_the_rate_can_rise_again() -> None:
-    head = Head(head=KEEPER)
-    press(head)
-    low = head.scheduler._cells[0].capacity
-    work(head, 6 * SECOND, every_us=10_000, took_us=20_000)
-    assert head.scheduler._cells[0].capacity > low
+    broker = BrokerUnderTest(broker_index=KEEPER)
+    press(broker)
+    low = broker.scheduler._cells[0].capacity
+    work(broker, 6 * SECOND, every_us=10_000, took_us=20_000)
+    assert broker.scheduler._cells[0].capacity > low
 
 
 def test_out_stays_under_the_ceiling_whatever_was_learned() -> None:
-    head = Head()
-    cell = head.scheduler._cells[0]
+    broker = BrokerUnderTest()
+    cell = broker.scheduler._cells[0]
     cell.capacity, cell.rate = 1e6, 2e6
     out = 0
     for _ in range(80):
-        out += len(sends(head.ask(units=1.0)))
+        out += len(sends(broker.ask(units=1.0)))
     assert out == CEILING
 
 
 def test_held_requests_leave_earliest_due_first() -> None:
-    head = Head(
+    broker = BrokerUnderTest(
         classes=(
-            api.RequestClass(aim_us=900_000, deadline_us=2_000_000),
-            api.RequestClass(aim_us=400_000, deadline_us=2_000_000),
+            api.RequestClass(latency_objective_us=900_000, deadline_us=2_000_000),
+            api.RequestClass(latency_objective_us=400_000, deadline_us=2_000_000),
         )
     )
-    first = [s.request for _ in range(4) for s in sends(head.ask(0))]
+    first = [s.request_id for _ in range(4) for s in sends(broker.ask(0))]
     assert len(first) < 4
-    head.ask(1)
-    done = head.end(first[0], after_us=1_000)
-    assert [s.request for s in sends(done)] == ["r5"]
+    broker.ask(1)
+    done = broker.end(first[0], after_us=1_000)
+    assert [s.request_id for s in sends(done)] == ["r5"]
 
 
 def test_least_worth_goes_first_where_too_much_is_held() -> None:
-    head = Head(plans=(api.Plan(weight=1, price=0.1), api.Plan(weight=1, price=1)))
-    head.ask(plan=1)
-    done = head.end("r1", after_us=30_000)
+    broker = BrokerUnderTest(
+        plans=(api.Plan(weight=1, priority_factor=0.1), api.Plan(weight=1, priority_factor=1))
+    )
+    broker.ask(plan=1)
+    done = broker.end("r1", after_us=30_000)
     for i in range(1, 60):
-        done += head.ask(plan=(i + 1) % 2, volume=f"v{(i + 1) % 2}")
-    gone = [int(r.request[1:]) for r in refusals(done)]
+        done += broker.ask(plan=(i + 1) % 2, volume=f"v{(i + 1) % 2}")
+    gone = [int(r.request_id[1:]) for r in refusals(done)]
     assert gone and all(i % 2 == 0 for i in gone[:5])  # those of the cheap plan
 
 
 def test_refusals_say_when_to_come_back_only_where_that_is_heard() -> None:
-    loud, dumb = Head(), Head(may_say_when=False)
+    loud, dumb = BrokerUnderTest(), BrokerUnderTest(retry_after_allowed=False)
     assert 0 < refusals(loud.ask(shard=3))[0].retry_after_us <= 500_000
     assert refusals(dumb.ask(shard=3))[0].retry_after_us == 0
 
 
 def test_new_objects_go_to_fit_nodes_and_spread() -> None:
-    head = Head((api.NodeEntry("n0", 0), api.NodeEntry("n1", 1), api.NodeEntry("n2", 2)))
-    head.do(api.NodeList("changes", (api.NodeEntry("n2", 2, "draining"),)))
-    nodes = [s.node for _ in range(4) for s in sends(head.ask(shard=-1))]
+    broker = BrokerUnderTest((api.NodeEntry("n0", 0), api.NodeEntry("n1", 1), api.NodeEntry("n2", 2)))
+    broker.do(api.EndpointUpdate("delta", (api.NodeEntry("n2", 2, "draining"),)))
+    nodes = [s.node_id for _ in range(4) for s in sends(broker.ask(shard=-1))]
     assert set(nodes) == {"n0", "n1"}
 
 
 def test_a_silent_node_gets_single_trials_and_comes_back_with_an_answer() -> None:
-    head = Head()
-    head.ask()
+    broker = BrokerUnderTest()
+    broker.ask()
     for attempt in range(3):
-        assert not head.scheduler._nodes["n0"].silent
-        head.end("r1", "reset", attempt, after_us=10_000)
-    assert head.scheduler._nodes["n0"].silent
-    head.idle(300_000)
-    trial = sends(head.ask())
-    assert len(trial) == 1 and len(refusals(head.ask())) == 1
-    head.end(trial[0].request)
-    assert not head.scheduler._nodes["n0"].silent and sends(head.ask())
+        assert not broker.scheduler._nodes["n0"].silent
+        broker.end("r1", "reset", attempt, after_us=10_000)
+    assert broker.scheduler._nodes["n0"].silent
+    broker.idle(300_000)
+    trial = sends(broker.ask())
+    assert len(trial) == 1 and len(refusals(broker.ask())) == 1
+    broker.end(trial[0].request_id)
+    assert not broker.scheduler._nodes["n0"].silent and sends(broker.ask())
 
 
 def test_same_events_same_actions() -> None:
-    assert work(Head(), 3 * SECOND) == work(Head(), 3 * SECOND)
+    assert work(BrokerUnderTest(), 3 * SECOND) == work(BrokerUnderTest(), 3 * SECOND)
     assert START_US > 0 and not fails([])
 
 
 def test_the_module_keeps_its_size() -> None:
-    lines = Path(rules.__file__).read_text().splitlines()
+    lines = Path(scheduler_module.__file__).read_text().splitlines()
     assert len([line for line in lines if line.strip()]) <= 750  # what the operators run at most
     assert max(map(len, lines)) <= 110
     assert "harriertide/decide/api.py" in "".join(lines[:3])
 
 
 def test_attempts_end_at_the_aim_where_heads_outnumber_what_a_node_may_hold() -> None:
-    few, many = Head(heads=CEILING), Head(heads=CEILING + 1)
+    few, many = BrokerUnderTest(broker_count=CEILING), BrokerUnderTest(broker_count=CEILING + 1)
     assert sends(few.ask())[0].stop_at_us == few.now + 2_000_000
     assert sends(many.ask())[0].stop_at_us == many.now + 300_000
 
 
 def test_a_head_goes_on_bidding_while_its_shard_is_pressed() -> None:
-    head = Head(head=OTHER, heads=8)
-    head.ask()
-    head.end("r1")
+    broker = BrokerUnderTest(broker_index=OTHER, broker_count=8)
+    broker.ask()
+    broker.end("r1")
     for _ in range(12):
-        head.do(api.PeerNote(FIRST, sums([100.0] * BANDS, 80.0)))
-        head.idle(ROUND_US)
-    assert told(head.idle(2 * ROUND_US))
-    head.do(api.PeerNote(FIRST, sums([1.0] * BANDS, 80.0, pressed=False)))
-    head.scheduler._cells[0].pressed = False
-    assert not told(head.idle(4 * ROUND_US))
+        broker.do(api.PeerMessageReceived(FIRST, sums([100.0] * BANDS, 80.0)))
+        broker.idle(ROUND_US)
+    assert told(broker.idle(2 * ROUND_US))
+    broker.do(api.PeerMessageReceived(FIRST, sums([1.0] * BANDS, 80.0, pressed=False)))
+    broker.scheduler._cells[0].pressed = False
+    assert not told(broker.idle(4 * ROUND_US))
 
 
-def overtaken(kind: str, **changes: Any) -> list[api.Cancel]:
+def overtaken(kind: str, **changes: Any) -> list[api.CancelAttempt]:
     """One attempt hangs; three requests sent later to the same node end, well after its patience."""
-    head = Head(**{"may_cancel": True, **changes})
+    broker = BrokerUnderTest(**{"cancel_allowed": True, **changes})
     for _ in range(5):  # what is usual there
-        head.ask()
-        head.end(f"r{head.made}")
-    head.ask()
+        broker.ask()
+        broker.end(f"r{broker.made}")
+    broker.ask()
     done: list[api.Action] = []
     for _ in range(3):
-        head.ask()
-        done += head.end(f"r{head.made}", kind, after_us=60_000)
-    return [action for action in done if isinstance(action, api.Cancel)]
+        broker.ask()
+        done += broker.end(f"r{broker.made}", kind, after_us=60_000)
+    return [action for action in done if isinstance(action, api.CancelAttempt)]
 
 
 def test_an_attempt_that_later_answers_of_its_node_overtake_is_cancelled_once() -> None:
     """Guards against connections that fall silent: what hangs on one held its request and the bound."""
-    assert overtaken("ok") == [api.Cancel("r6", 0)]
+    assert overtaken("ok") == [api.CancelAttempt("r6", 0)]
     assert overtaken("error") == [], "quick errors overtake honest work"
-    assert overtaken("ok", may_cancel=False) == []
+    assert overtaken("ok", cancel_allowed=False) == []
 
 
 def test_a_cancelled_attempt_is_tried_again_in_time_and_its_room_is_free() -> None:
-    head = Head(may_cancel=True)
-    head.ask()
-    assert [send.request for send in sends(head.end("r1", "cancelled", over=False))] == ["r1"]
+    broker = BrokerUnderTest(cancel_allowed=True)
+    broker.ask()
+    assert [send.request_id for send in sends(broker.end("r1", "cancelled", over=False))] == ["r1"]
 
 
 def test_lost_connections_are_no_pressure_but_a_node_that_answers_nothing_is() -> None:
     """Guards against learning a rate from rounds in which attempts hung, not worked."""
-    head = Head(head=KEEPER)
+    broker = BrokerUnderTest(broker_index=KEEPER)
     for number in range(40):
-        head.ask()
-        head.end(f"r{head.made}", "timeout" if number % 10 == 0 else "ok", over=True, after_us=30_000)
-    assert not head.scheduler._cells[0].pressed
+        broker.ask()
+        broker.end(f"r{broker.made}", "timeout" if number % 10 == 0 else "ok", over=True, after_us=30_000)
+    assert not broker.scheduler._cells[0].pressed
     pressed = []  # between single trials a round may bring nothing, and says nothing
     for _ in range(20):
-        head.ask()
-        head.end(f"r{head.made}", "timeout", over=True, after_us=300_000)
-        pressed.append(head.scheduler._cells[0].pressed)
+        broker.ask()
+        broker.end(f"r{broker.made}", "timeout", over=True, after_us=300_000)
+        pressed.append(broker.scheduler._cells[0].pressed)
     assert sum(pressed) >= 5
--- a/tests/test_middlewares.py
+++ b/tests/test_middlewares.py
@@ -130,7 +130,7 @@
 
     asyncio.run(main())
     counts = broker.core.counts
-    assert counts["taken"] == sum(counts[kind] for kind in ("served", "refused", "failed", "left"))
+    assert counts["taken"] == sum(counts[kind] for kind in ("served", "rejected", "failed", "left"))
     return seen
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -139,14 +139,14 @@
         b1 expect GET /api
         b1 send 500
         c expect 503 Retry-After=0.*
-        d expect outcome_full=2 outcome_error=1""",
+        d expect outcome_rejected=2 outcome_error=1""",
     "a request that its node calls over is refused at once, and sent nowhere again": """
         c send GET /api @0
         b1 expect GET /api
         b1 send 504 X-Rejected=1
         c expect 503 Retry-After=0.*
         b1 expect nothing
-        d expect outcome_moot=1 attempts=1""",
+        d expect outcome_not_sent=1 attempts=1""",
     "a box that refuses connections is told to the client as a refusal": """
         b1 close listen
         c send GET /api @0
@@ -356,7 +356,7 @@
         s close
         wait 0.05
         s expect nothing
-        d expect list_failed=1 list_changes=1""",
+        d expect list_failed=1 list_delta=1""",
     "a reload that changes the settings: open requests keep their deadline, class and plan": f"""
         c send GET /api @0
         b1 expect GET /api
@@ -792,7 +792,7 @@
         await asyncio.sleep(0.05)
         assert daemon.core.owed() == 0
         counts = daemon.core.counts
-        assert counts["taken"] == sum(counts[kind] for kind in ("served", "refused", "failed", "left"))
+        assert counts["taken"] == sum(counts[kind] for kind in ("served", "rejected", "failed", "left"))
     finally:
         if not world.tasks:
             world.tasks.append(asyncio.create_task(daemon.stop()))
@@ -985,7 +985,7 @@
         s send list b1=draining
         c expect 503 Retry-After=0.*
         b1 expect nothing
-        d expect attempts=1 outcome_full=1"""
+        d expect attempts=1 outcome_rejected=1"""
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.lab import drains, operator_calls, upgrades
 from harriertide.lab.rig_clients import Wanted
 from harriertide.lab.upgrade_judge import IDLE_S, Found, judge
@@ -59,7 +59,7 @@
 
 
 def test_a_case_that_is_none_is_named() -> None:
-    with pytest.raises(PlainError, match="nonsense"):
+    with pytest.raises(SettingsError, match="nonsense"):
         upgrades.main(["upgrades", "--cases", "plain,nonsense"][1:])
 
 
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from harriertide.engine import record
+from harriertide.engine import workload as workloads
 from harriertide.engine.clock import until
 from harriertide.lab import parity, plant, virtual
 from harriertide.library import Ask, Box, Broker
@@ -27,7 +27,7 @@
     assert not differ, differ[:3]
     ends = [kind for _, kind in daemon.ends.values()]
     assert matched > 2000 and ends.count("served") > 500
-    assert kind in ("calm", "cold", "drains") or ends.count("refused") > 50
+    assert kind in ("calm", "cold", "drains") or ends.count("rejected") > 50
 
 
 @pytest.mark.parametrize("shape", plant.SHAPES)
@@ -75,9 +75,9 @@
     assert run(1) == run(1) != run(2)
 
 
-def replace_seed(workload: record.Workload, seed: int) -> record.Workload:
-    head = record.Head(workload.head.v, workload.head.settings, seed)
-    return record.Workload(head, workload.rows, workload.cut)
+def replace_seed(workload: workloads.Workload, seed: int) -> workloads.Workload:
+    header = workloads.WorkloadHeader(workload.header.settings, seed)
+    return workloads.Workload(header, workload.events, workload.truncated)
 
 
 def test_minutes_of_virtual_time_pass_at_once_and_a_stand_still_is_an_error() -> None:
@@ -146,7 +146,7 @@
     assert got == [(b"x", ("127.0.0.1", 2))]
 
 
-SETTINGS = replace(plant.SETTINGS, shards=2)
+SETTINGS = replace(plant.SETTINGS, shard_count=2)
 
 
 def recorded(folder: Path) -> Path:
@@ -165,17 +165,19 @@
 
 def test_a_recording_is_read_as_it_was_written(tmp_path: Path) -> None:
     path = recorded(tmp_path)
-    workload = record.load(str(path))
-    assert not workload.cut and workload.head.settings == SETTINGS and workload.head.seed == 5
-    news, *asks = workload.rows
-    assert news.news is not None and [entry.node for entry in news.news.nodes] == ["b0", "b1"]
+    workload = workloads.load(str(path))
+    assert not workload.truncated and workload.header.settings == SETTINGS and workload.header.seed == 5
+    first, *asks = workload.events
+    assert first.endpoint_update is not None and [
+        entry.node_id for entry in first.endpoint_update.entries
+    ] == ["b0", "b1"]
     assert [row.arrival.shard for row in asks if row.arrival] == [0, 1, 0]
-    assert [row.at for row in asks] == sorted(row.at for row in asks)
+    assert [row.at_us for row in asks] == sorted(row.at_us for row in asks)
     # on the clock of another play the times are the same distances
-    at_us, event = record.moved(asks[0], 10**15)
-    assert at_us - 10**15 == asks[0].at
+    at_us, event = workloads.absolute_event(asks[0], 10**15)
+    assert at_us - 10**15 == asks[0].at_us
     again = tmp_path / "again"
-    record.save(str(again), workload)
+    workloads.save(str(again), workload)
     assert again.read_bytes() == path.read_bytes()
 
 
@@ -185,9 +187,9 @@
     lines = whole.count(b"\n")
     for size in range(whole.index(b"\n") + 1, len(whole)):
         path.write_bytes(whole[:size])
-        workload = record.load(str(path))
-        assert workload.cut == (whole[size - 1 : size] != b"\n")
-        assert len(workload.rows) == whole[:size].count(b"\n") - 1 < lines
+        workload = workloads.load(str(path))
+        assert workload.truncated == (whole[size - 1 : size] != b"\n")
+        assert len(workload.events) == whole[:size].count(b"\n") - 1 < lines
 
 
 BROKEN = {
@@ -209,15 +211,15 @@
     assert old in lines[line]
     lines[line] = lines[line].replace(old, new, 1)
     path.write_bytes(b"\n".join(lines))
-    with pytest.raises(record.RecordError, match=named):
-        record.load(str(path))
+    with pytest.raises(workloads.WorkloadError, match=named):
+        workloads.load(str(path))
 
 
 def test_a_recorded_workload_plays_alike_through_both(tmp_path: Path) -> None:
     workload, boxes = plant.draw("failing", 2, 4.5)
     path = tmp_path / "workload"
-    record.save(str(path), workload)
-    loaded = record.load(str(path))
-    assert loaded.rows == workload.rows
+    workloads.save(str(path), workload)
+    loaded = workloads.load(str(path))
+    assert loaded.events == workload.events
     daemon, library = parity.play(loaded, lambda: plant.draw("failing", 2, 4.5)[1])
     assert not parity.compare(daemon, library)[1]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -48,7 +48,7 @@
     assert (got.volume, got.units, got.shard, got.hosts) == ("00000003b4d60021", 2.0, 5, 3)
     assert got.key == "7f3a9c21e0b4d655" and not got.repeated
     # the budget counts from when the client sent, which was before now
-    assert 1_470_000 < got.give_up_us < 1_480_000
+    assert 1_470_000 < got.deadline_at_us < 1_480_000
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -82,7 +82,7 @@
 def test_a_client_waits_no_longer_than_its_class_lets_it() -> None:
     """Guards against deadlines of years, which would keep what the core holds for them."""
     got = arrival("GET", "/api", {**GOOD, "X-Budget-Ms": "99999999999"})
-    assert got.give_up_us <= 1_000_000 + 2_000_000
+    assert got.deadline_at_us <= 1_000_000 + 2_000_000
 
 
 def test_only_listed_peers_are_heard_and_junk_has_no_effect() -> None:
@@ -92,9 +92,16 @@
     peers.datagram_received(b"own", ("127.0.0.1", 1))
     peers.datagram_received(b"who", ("127.0.0.1", 9))
     peers.datagram_received(b"x" * 257, ("127.0.0.1", 2))
-    assert heard == [ev.Heard(2, b"ok")] and peers.counts["junk"] == 3
+    assert heard == [ev.PeerMessageReceived(2, b"ok")] and peers.counts["junk"] == 3
     core = Reducer(SETTINGS, 1)
-    core.step(1, [ev.Heard(1, b""), ev.Heard(1, b"FT\x02odd"), ev.Heard(7, b"\xff" * 256)])
+    core.step(
+        1,
+        [
+            ev.PeerMessageReceived(1, b""),
+            ev.PeerMessageReceived(1, b"FT\x02odd"),
+            ev.PeerMessageReceived(7, b"\xff" * 256),
+        ],
+    )
     assert core.counts["module_faults"] == 0
 
 
@@ -174,10 +181,10 @@
     seen: list[int] = []
 
     def make(given_settings: Any, seed: int) -> Any:
-        seen.append(given_settings.fall_us)
+        seen.append(given_settings.collapse_window_us)
 
     Reducer(SETTINGS, 1, make)
-    assert seen == [SETTINGS.fall_us + COLD_WRITE_US]
+    assert seen == [SETTINGS.collapse_window_us + COLD_WRITE_US]
 
 
 def test_a_start_in_unix_milliseconds_becomes_the_clocks_microseconds() -> None:
@@ -185,7 +192,7 @@
     gone = {**host, "host": "g", "born_ms": 0, "health": "removed"}
     page = {"seq": 5, "whole": False, "hosts": [host, gone]}
     directory = Directory({"a": 0})
-    first, second = directory.read(page).nodes
+    first, second = directory.read(page).entries
     assert (first.started_us, first.shard, first.state) == (1_700_000_000, 3, "live")
     assert (second.started_us, second.state) == (0, "gone")
     assert directory.seq == 5 and directory.find("h") == "127.0.0.1:1" and directory.find("g") is None
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from harriertide.decide.settings import PlainError
+from harriertide.decide.settings import SettingsError
 from harriertide.lab import processes
 from harriertide.lab.script import Fault, load
 
@@ -69,8 +69,8 @@
     assert load(str(path), 4, processes.VERBS) == one
     for text, word in (("{", "--script"), ('[{"at_s":1,"verb":"odd"}]', "odd"), ('[{"x":1}]', "x")):
         path.write_text(text)
-        with pytest.raises(PlainError, match=word):
+        with pytest.raises(SettingsError, match=word):
             load(str(path), 4, processes.VERBS)
     path.write_text(json.dumps([asdict(one[0])]).replace('"a": 0', '"a": 9'))
-    with pytest.raises(PlainError, match="no broker 9"):
+    with pytest.raises(SettingsError, match="no broker 9"):
         load(str(path), 4, processes.VERBS)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,22 +18,22 @@
 @pytest.mark.parametrize(
     ("field", "value"),
     [
-        ("head", 2),
-        ("head", -1),
-        ("heads", 0),
+        ("broker_index", 2),
+        ("broker_index", -1),
+        ("broker_count", 0),
         ("classes", ()),
         ("plans", ()),
-        ("mean_units", 0),
-        ("mean_units", float("nan")),
-        ("cold_from", 0),
-        ("cold_from", 1.5),
+        ("mean_request_units", 0),
+        ("mean_request_units", float("nan")),
+        ("slow_start_initial_ratio", 0),
+        ("slow_start_initial_ratio", 1.5),
         ("max_attempts", 0),
-        ("shards", 0),
-        ("extra_floor", -1),
-        ("key_rest_us", -1),
+        ("shard_count", 0),
+        ("retry_budget_floor", -1),
+        ("key_quiet_us", -1),
         ("tick_us", 0),
-        ("spare_worth", -0.1),
-        ("heads", "3"),
+        ("beyond_quota_weight", -0.1),
+        ("broker_count", "3"),
     ],
 )
 def test_settings_out_of_range_name_the_field(field: str, value: Any) -> None:
@@ -42,14 +42,22 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value"), [("aim_us", 0), ("worth", -1), ("effect", "odd"), ("group", "odd")]
+    ("field", "value"),
+    [
+        ("latency_objective_us", 0),
+        ("priority_weight", -1),
+        ("idempotency", "odd"),
+        ("deduplication_scope", "odd"),
+    ],
 )
 def test_classes_out_of_range_name_the_field(field: str, value: Any) -> None:
     with pytest.raises(ValueError, match=field):
         replace(READ, **{field: value})
 
 
-@pytest.mark.parametrize("field", ["reserve", "weight", "price", "limit", "limit_burst"])
+@pytest.mark.parametrize(
+    "field", ["reserved_rate", "weight", "priority_factor", "rate_limit", "burst_limit_units"]
+)
 def test_plans_out_of_range_name_the_field(field: str) -> None:
     with pytest.raises(ValueError, match=field):
         api.Plan(**{field: -1.0})
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -129,13 +129,15 @@
 
 def test_a_box_that_starts_cold_beside_four_instances_gets_no_more_than_from_one() -> None:
     workload, _ = plant.draw("cold", 5, 8.0)
-    units = {row.arrival.request: row.arrival.units for row in workload.rows if row.arrival}
-    limit = plant.SETTINGS.cold_units / plant.SETTINGS.cold_from  # what it can do warm, in the window
+    units = {row.arrival.request_id: row.arrival.units for row in workload.events if row.arrival}
+    limit = (
+        plant.SETTINGS.slow_start_units / plant.SETTINGS.slow_start_initial_ratio
+    )  # what it can do warm, in the window
     for brokers, seat in ((1, lambda place: None), (4, loopback)):
         played = share("cold", brokers, seat)
         begin = 2_000_000  # box-3 starts
         sent = [(d[0], units[d[2]]) for d in played.decisions if d[1] == "attempt" and d[4] == "box-3"]
-        window = [n for at, n in sent if begin <= at < begin + plant.SETTINGS.fall_us]
+        window = [n for at, n in sent if begin <= at < begin + plant.SETTINGS.collapse_window_us]
         assert sum(window) <= limit, (brokers, sum(window))
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -11,7 +11,8 @@
 
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
-from harriertide.decide import api, rules
+from harriertide.decide import api
+from harriertide.decide import scheduler as scheduler_module
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.runtime import Runtime
 from harriertide.lab import virtual
@@ -43,8 +44,8 @@
     told: list[str] = []
 
     def post(event: ev.Event) -> None:
-        assert isinstance(event, ev.Listed)
-        told.append(event.news.kind)
+        assert isinstance(event, ev.EndpointsUpdated)
+        told.append(event.update.kind)
 
     async def main() -> list[float]:
         silent = Silent(answers)
@@ -63,7 +64,7 @@
 def test_a_watch_that_falls_silent_is_opened_anew_in_time_and_without_the_core() -> None:
     asked, told = course([True, True, True], 7.0)
     assert len(asked) == 3 and asked[1] - asked[0] < TOLD_S - 1.0 and asked[2] - asked[1] < TOLD_S - 1.0
-    assert told == ["whole"] * 3
+    assert told == ["full"] * 3
 
 
 def test_a_call_without_an_answer_is_made_again_once_and_then_the_core_says_when() -> None:
@@ -72,7 +73,7 @@
     assert len(asked) == 2 and asked[1] - asked[0] < TOLD_S - 1.0
     assert told == ["failed"]
     asked, told = course([False, True, False], 60.0)
-    assert len(asked) == 3 and told == ["whole", "failed"]  # what has spoken again may fall silent again
+    assert len(asked) == 3 and told == ["full", "failed"]  # what has spoken again may fall silent again
 
 
 # --- every way to fail, and then a drain ---------------------------------------------------------
@@ -170,7 +171,7 @@
 
     def __init__(self, heads: int, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.settings = replace(SETTINGS, heads=heads, ask_for_list=True)
+        self.settings = replace(SETTINGS, broker_count=heads, polls_endpoint_list=True)
         self.core = Reducer(self.settings, seed)
         self.runtime = Runtime(self.core, Clock(self.loop))
         self.servers: list[asyncio.Server] = []
@@ -183,7 +184,7 @@
     async def watch(self, faulty: Faulty) -> Watch:
         watch = Watch(await self.serve(faulty), Directory({}), self.runtime.post)
         self.runtime.watch = watch.open
-        self.runtime.post(ev.Listed(api.NodeList("held", (api.NodeEntry("n1", 0),))))
+        self.runtime.post(ev.EndpointsUpdated(api.EndpointUpdate("cached", (api.NodeEntry("n1", 0),))))
         await until(self.loop.time() + 0.01)
         return watch
 
@@ -230,7 +231,7 @@
         moved = place.loop.time()
         fresh = Faulty(way, 0.5)
         fresh.calls = 1  # the first is to fail as well
-        place.runtime.post(ev.Resettled(place.settings))
+        place.runtime.post(ev.SettingsChanged(place.settings))
         watch.move(await place.serve(fresh))
         told = await place.told(moved + 2 * TOLD_S)
         await place.close(watch)
@@ -242,7 +243,9 @@
 def test_the_longest_ways_to_hear_of_a_change_end_in_time() -> None:
     call, answer = CONNECT_S + HEAD_S, 0.5
     assert QUIET_S + call + answer <= TOLD_S
-    assert rules.ASK_MOST_US / 1e6 + call + answer <= TOLD_S  # it came back right behind a call that failed
+    assert (
+        scheduler_module.ASK_MOST_US / 1e6 + call + answer <= TOLD_S
+    )  # it came back right behind a call that failed
 
 
 def test_objects_of_a_watch_may_come_indented_in_pieces_and_with_brackets_in_their_strings() -> None:
@@ -266,9 +269,9 @@
     ) -> list[tuple[str, int]]:
         host = {**HOST, "health": health, "born_ms": born_ms}
         news = directory.read({"seq": seq, "whole": whole, "hosts": [host]}, kind)
-        return [(entry.state, entry.started_us) for entry in news.nodes]
+        return [(entry.state, entry.started_us) for entry in news.entries]
 
-    assert read(7, "up", True, "held") == [("live", 0)]
+    assert read(7, "up", True, "cached") == [("live", 0)]
     assert read(9, "draining", False) == read(9, "draining", False) == [("draining", 0)]  # told twice
     assert read(8, "up", False) == [("draining", 0)] and directory.seq == 9
     assert read(5, "up", True) == [("draining", 0)] and directory.seq == 5  # discovery counts anew
@@ -276,11 +279,11 @@
     assert read(7, "up", False, born_ms=4) == [("live", 4000)]  # it has started anew
     assert read(3, "up", True) == [("live", 4000)]  # and is cold, whatever an older list says
     assert read(4, "removed", False) == [("gone", 0)]
-    assert read(1, "up", True, "whole") == [("gone", 0)] and directory.find("n1") is None
+    assert read(1, "up", True, "full") == [("gone", 0)] and directory.find("n1") is None
     absent = Directory({})
     absent.read({"seq": 7, "whole": True, "hosts": [HOST]})
     absent.read({"seq": 8, "whole": True, "hosts": []})
-    assert absent.read({"seq": 6, "whole": True, "hosts": [HOST]}).nodes[0].state == "gone"
+    assert absent.read({"seq": 6, "whole": True, "hosts": [HOST]}).entries[0].state == "gone"
 
 
 def test_a_node_that_one_list_left_out_is_not_held_for_gone_once_a_newer_one_names_it() -> None:
@@ -288,4 +291,4 @@
     for seq, hosts in ((7, [HOST]), (8, []), (9, [HOST])):
         directory.read({"seq": seq, "whole": True, "hosts": hosts})
     moved = directory.read({"seq": 2, "whole": True, "hosts": [HOST]}, "whole")  # discovery is elsewhere now
-    assert [entry.state for entry in moved.nodes] == ["live"] and directory.find("n1") == HOST["dial"]
+    assert [entry.state for entry in moved.entries] == ["live"] and directory.find("n1") == HOST["dial"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -25,7 +25,7 @@
 from harriertide.lifecycle.upgrade import Hooks, Upgrade
 from harriertide.platform.configuration import BadConfigError, Config
 from harriertide.platform.discovery import Directory, DirectoryState
-from tests.helpers import START_US, Head, sends
+from tests.helpers import START_US, BrokerUnderTest, sends
 from tests.scenario import Stand, World
 from tests.test_crossings import answer
 from tests.test_crossings import short as short  # a fixture: stops are short
@@ -251,20 +251,28 @@
 def test_the_newer_list_holds_and_drains_that_either_was_told() -> None:
     old, new = Directory({}), Directory({})
     old.read(page(9, "a", "b", "c", b="draining"))
-    new.read(page(5, "a", "b", "d"), "held")
+    new.read(page(5, "a", "b", "d"), "cached")
     told = new.import_state(old.export_state())
-    assert {entry.node: entry.state for entry in told.nodes} == {"a": "live", "b": "draining", "c": "live"}
+    assert {entry.node_id: entry.state for entry in told.entries} == {
+        "a": "live",
+        "b": "draining",
+        "c": "live",
+    }
     assert new.seq == 9 and new.find("c") == "c:1" and new.find("d") is None
     newer = Directory({})
     newer.read(page(12, "a", "b", "d"))
     told = newer.import_state(old.export_state())
-    assert {entry.node: entry.state for entry in told.nodes} == {"a": "live", "b": "draining", "d": "live"}
+    assert {entry.node_id: entry.state for entry in told.entries} == {
+        "a": "live",
+        "b": "draining",
+        "d": "live",
+    }
     assert newer.seq == 12
 
 
 def test_what_was_learned_goes_on_and_nothing_is_given_out_twice() -> None:
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
-    old, new = Head((cold,)), Head((cold,))
+    old, new = BrokerUnderTest((cold,)), BrokerUnderTest((cold,))
     keeper, taker = old.scheduler, new.scheduler
     node = keeper._nodes["n0"]
     node.given.append((START_US, 3.0))
@@ -291,10 +299,10 @@
 @pytest.mark.parametrize("ahead_us", [-800_000, 0, 800_000])
 def test_a_limit_does_not_fill_by_the_difference_of_two_clocks(ahead_us: int) -> None:
     """One broker, limit 10 units a second. Its store is spent as the newer process goes on with it."""
-    old, new = Head(heads=1), Head(heads=1)
+    old, new = BrokerUnderTest(broker_count=1), BrokerUnderTest(broker_count=1)
     while sends(old.ask(plan=1, shard=0)):
         old.end(f"r{old.made}", after_us=0)
-    new.do(api.Woke(0), after_us=old.now + ahead_us - new.now if old.now + ahead_us > new.now else 0)
+    new.do(api.TimerFired(0), after_us=old.now + ahead_us - new.now if old.now + ahead_us > new.now else 0)
     handover.import_state(new.scheduler, handover.export_state(old.scheduler), old.now)
     new.now = old.now + 10_000
     assert not sends(new.ask(plan=1, shard=0))
@@ -304,8 +312,8 @@
 
 def test_a_superseded_process_gives_out_no_limit_and_nothing_of_cold_nodes() -> None:
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
-    head = Head((cold, api.NodeEntry("n1", 1)))
-    head.do(api.Resettled(handover.superseded(head.settings)))
+    head = BrokerUnderTest((cold, api.NodeEntry("n1", 1)))
+    head.do(api.SettingsChanged(handover.superseded(head.settings)))
     for _ in range(20):
         assert not sends(head.ask(plan=1, shard=1))  # of a plan with a limit
         assert not sends(head.ask(plan=0, shard=0))  # at the cold node
