--- /dev/null
+++ b/tests/test_stored_forms.py
@@ -0,0 +1,172 @@
+"""What an earlier release has stored or sent is read, and written again, byte for byte.
+
+An engineer upgrades brokers one by one and may go back: the new release finds files of the old one, and its
+datagrams and frames reach brokers that still run the old one. The files under `tests/stored/` were written by
+the text of commit 7381a03 and are never written again; their names and values are those of that text.
+"""
+
+from __future__ import annotations
+
+import gzip
+import json
+import shutil
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+from harriertide.consensus import events as consensus_events
+from harriertide.consensus.messages import Entry, Member, Members
+from harriertide.consensus.store import Store
+from harriertide.control import member as control_member
+from harriertide.decide import api, handover, peer_messages
+from harriertide.decide.scheduler import Scheduler
+from harriertide.engine import workload as workloads
+from harriertide.lifecycle import record
+from harriertide.maintenance.state import Upkeep, encode
+from harriertide.maintenance.state import _commands as commands
+from harriertide.objects.catalogue import Catalogue, Part, Piece, Stored
+from tests.helpers import SETTINGS, START_US, BrokerUnderTest
+
+STORED = Path(__file__).parent / "stored"
+
+
+def stored_json(name: str) -> Any:
+    return json.loads((STORED / name).read_text())
+
+
+# --- the workload record ------------------------------------------------------------------------------------
+
+
+def test_a_recorded_workload_of_the_release_before_is_read(tmp_path: Path) -> None:
+    path = STORED / "workload.jsonl"
+    workload = workloads.load(str(path))
+    assert workload.header == workloads.WorkloadHeader(SETTINGS, 5) and not workload.truncated
+    first, arrived, placed, delta, full = workload.events
+    entries = (api.NodeEntry("n0", 0), api.NodeEntry("n1", 1, "draining", 2, -60_000_000))
+    assert first.endpoint_update == api.EndpointUpdate("cached", entries)
+    assert arrived.arrival == api.Arrival("r1", 0, 1, "v1", 0, 900_000, 2.0, "k", 3, True)
+    assert placed.arrival == api.Arrival("r2", 2, 0, "v2", -1, 800_000)
+    assert delta.endpoint_update == api.EndpointUpdate("delta", (replace(entries[0], state="gone"),))
+    assert full.endpoint_update == api.EndpointUpdate("full", entries[1:])
+    assert [event.at_us for event in workload.events] == [10, 2_000, 2_500, 3_000, 4_000]
+    workloads.save(str(tmp_path / "again"), workload)
+    assert (tmp_path / "again").read_bytes() == path.read_bytes()
+
+
+# --- the hand-over record -----------------------------------------------------------------------------------
+
+
+def handed_over() -> record.Handover:
+    return record.decode((STORED / "handover.record").read_bytes(), "broker-7", 3, 101.0)
+
+
+def test_a_hand_over_record_of_the_release_before_is_read_and_written_alike() -> None:
+    handover_record = handed_over()
+    assert record.encode(handover_record) == (STORED / "handover.record").read_bytes()
+    assert handover_record.drained and (handover_record.clients, handover_record.nodes) == (4, 5)
+    directory = handover_record.directory
+    assert directory.seq == 9 and [entry.node_id for entry in directory.entries] == ["n0", "n1", "n2"]
+    assert directory.entries[2].state == "draining" and directory.gone == ["n9"]
+
+
+def test_decisions_go_on_from_a_hand_over_record_of_the_release_before() -> None:
+    """A new process takes over: votes that were given, what warming nodes got, and learned rates hold."""
+    handover_record = handed_over()
+    settings = replace(SETTINGS, broker_count=3)
+    scheduler = Scheduler(settings, 1)
+    scheduler.decide(START_US, [api.EndpointUpdate("cached", tuple(handover_record.directory.entries))])
+    handover.import_state(scheduler, handover_record.decisions, handover_record.unix_us)
+    again = handover.export_state(scheduler)
+    assert again.leases == handover_record.decisions.leases
+    assert again.tallies == handover_record.decisions.tallies
+    assert again.placed == handover_record.decisions.placed
+    assert [node.given for node in again.nodes] == [node.given for node in handover_record.decisions.nodes]
+
+
+# --- datagrams between brokers ------------------------------------------------------------------------------
+
+
+def test_datagrams_between_brokers_are_the_same_bytes() -> None:
+    for case in stored_json("datagrams.json"):
+        rows = [(key, figures) for key, figures in case["rows"]]
+        datagrams = [bytes.fromhex(text) for text in case["datagrams"]]
+        assert peer_messages.encode(case["kind"], rows) == datagrams
+        decoded = [row for body in datagrams for row in peer_messages.decode(body)[1]]
+        assert [key for key, _ in decoded] == [key for key, _ in rows]
+
+
+def test_a_broker_sends_the_same_datagrams_as_the_release_before() -> None:
+    broker = BrokerUnderTest(broker_index=0, broker_count=3)
+    sent = []
+    for step in range(60):
+        arrival = broker.ask(shard=step % 2, plan=step % 2, sharing_broker_count=2, volume=f"v{step % 4}")
+        actions = arrival + broker.idle(50_000)
+        messages = [action for action in actions if isinstance(action, api.SendPeerMessage)]
+        sent += [[message.recipient_index, message.body.hex()] for message in messages]
+    assert sent == stored_json("sent_datagrams.json")
+
+
+# --- members that agree -------------------------------------------------------------------------------------
+
+
+def committed(first: int, last: int, term: int) -> tuple[Entry, ...]:
+    return tuple(Entry(i, term, "command", b"command %d" % i, "client-1", i) for i in range(first, last + 1))
+
+
+def test_a_members_disk_of_the_release_before_is_read(tmp_path: Path) -> None:
+    shutil.copytree(STORED / "member", tmp_path / "member")
+    store = Store.open(tmp_path / "member")
+    store.close()
+    found = store.found
+    assert (found.cluster, found.term, found.vote) == ("cluster-1", 4, Member("b", "b1"))
+    assert found.entries == committed(5, 8, 3) + committed(9, 9, 4)
+    assert found.snapshot is not None and found.snapshot.data == b"state of the machine as of 4"
+    assert found.snapshot.members == Members((Member("a", "a1"), Member("b", "b1")), (Member("c", "c1"),))
+    assert isinstance(found, consensus_events.Restored)
+
+
+def test_frames_between_members_are_the_same_bytes() -> None:
+    frames = [bytes.fromhex(text) for text in stored_json("member_frames.json")]
+    assert len(frames) == 14
+    for frame in frames:
+        assert control_member._encode(control_member._wire.decode(frame)) == frame
+
+
+def test_a_maintenance_state_of_the_release_before_is_read_and_written_alike() -> None:
+    snapshot = (STORED / "maintenance.state").read_bytes()
+    upkeep = Upkeep()
+    upkeep.load(snapshot)
+    assert upkeep.dump() == snapshot
+    assert {step.machine: step.phase for step in upkeep.under_way()} == {"x1": "out", "b0": "out"}
+    assert upkeep.state.held and upkeep.state.gone == {"b3"} and upkeep.state.fence == 2
+
+
+def test_a_log_of_the_release_before_comes_to_the_same_state() -> None:
+    upkeep = Upkeep()
+    for index, (command, answer) in enumerate(stored_json("maintenance_log.json"), 1):
+        data = bytes.fromhex(command)
+        assert upkeep.apply(index, data).hex() == answer
+        assert encode(commands.decode(data)) == data
+    assert upkeep.dump() == (STORED / "maintenance.state").read_bytes()
+
+
+# --- the catalogue ------------------------------------------------------------------------------------------
+
+
+def test_a_catalogue_of_the_release_before_is_read(tmp_path: Path) -> None:
+    path = tmp_path / "catalogue"
+    path.write_bytes(gzip.decompress((STORED / "catalogue.db.gz").read_bytes()))
+    catalogue = Catalogue(str(path))
+    pieces = (Piece("p1", "x1", 0, 3, "t1"), Piece("p2", "x2", 1, 4, "t2"))
+    kept = Stored("e1", "image/png", 7, 1_000, pieces, {"x-amz-meta-a": "b"})
+    assert catalogue.find("photos", "a/1") == kept
+    upload = catalogue.upload("up1", "photos", "big")
+    assert upload is not None and upload.state == "open" and upload.headers == {"x-amz-meta-c": "d"}
+    digest = "0123456789abcdef" * 2
+    assert catalogue.parts("up1") == [
+        Part(1, Piece("p6", "x1", 0, 6, "t6"), digest, 5_000),
+        Part(2, Piece("p7", "x2", 1, 7, "t7"), digest[::-1], 5_001),
+    ]
+    orphans = {row[1] for row in catalogue.strays(10**9, 100)}
+    assert orphans == {"p3", "p5"}  # one was replaced, the other was on its way when the process ended
+    catalogue.close()
