--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -34,7 +34,7 @@
 from harriertide.platform.probes import Probes
 
 if TYPE_CHECKING:  # a broker of the platform does without the object front, and starts the sooner
-    from harriertide.cli.replacement import Replacement
+    from harriertide.cli.in_place_upgrade import InPlaceUpgrade
     from harriertide.config.model import Maintenance, Operator
     from harriertide.control.maintenance_service import Service
     from harriertide.lifecycle.operator_api import OperatorApi
@@ -59,14 +59,14 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.stopping = asyncio.Event()
-        self.life = Lifecycle()
+        self.lifecycle = Lifecycle()
         self.operator_api: OperatorApi | None = None
         self.list_heard = asyncio.Event()  # the first list, where one is waited for
         self.list_heard.set()
         self._door: tuple[str, int] | socket.socket | None = None  # where clients of the platform come
         self._door_server: asyncio.Server | None = None
         self.open = False  # all listeners are up
-        self.replacement: Replacement | None = None
+        self.in_place_upgrade: InPlaceUpgrade | None = None
         self.config = config
         if config is not None:
             settings, names, seed = config.settings, config.names, config.seed
@@ -86,7 +86,7 @@
         self.client = NodeClient(self._find, names.connect_us, names.idle_us, limits)
         self.bodies = BodyBudget(limits.bodies)
         self.front = Front(self.runtime, self.client, names, self.bodies)
-        self.apply_life()
+        self.apply_lifecycle()
         self.watch: Watch | None = None
         self.peers: Peers | None = None
         self.objects: ObjectService | None = None
@@ -112,8 +112,8 @@
         from harriertide.control.maintenance_service import Service
 
         def ready(on: bool) -> None:
-            self.life.in_maintenance = not on
-            self.apply_life()
+            self.lifecycle.is_in_maintenance = not on
+            self.apply_lifecycle()
             objects.front.ready = on
 
         def unix_us() -> int:
@@ -131,17 +131,17 @@
     def settings_in_force(self) -> api.Settings:
         """Those of the configuration, less what a newer process of this broker gives out."""
         assert self.config is not None
-        if not self.life.superseded:
+        if not self.lifecycle.is_superseded:
             return self.config.settings
         from harriertide.decide.handover import superseded
 
         return superseded(self.config.settings)
 
-    def apply_life(self) -> None:
+    def apply_lifecycle(self) -> None:
         """Have all parts go by the state of this process, in the same turn of the loop."""
-        life, front = self.life, self.front
-        front.ready, front.last = life.healthy, life.ends_connections
-        self.clients.retire(life.drained)
+        lifecycle, front = self.lifecycle, self.front
+        front.ready, front.last = lifecycle.is_healthy, lifecycle.closes_connections
+        self.clients.retire(lifecycle.is_draining)
 
     def reload(self, environment: Mapping[str, str]) -> None:
         """Go by the configuration file as it is now; by what was there before if it can't be used.
@@ -179,8 +179,8 @@
         """Have both sides' connections go by the limits; two processes of one broker share them."""
         assert self.config is not None
         limits = self.config.limits
-        if self.replacement is not None:
-            limits = self.replacement.share(limits)
+        if self.in_place_upgrade is not None:
+            limits = self.in_place_upgrade.share(limits)
         self.client.pool.limit(limits)
         self.clients.limit(limits)
         self.bodies.most = limits.bodies
@@ -247,14 +247,14 @@
 
     async def _take_over(self, config: Config) -> None:
         """Start beside the process that serves, and go on in its place once this one could."""
-        from harriertide.cli.replacement import Replacement  # only where the platform upgrades in place
+        from harriertide.cli.in_place_upgrade import InPlaceUpgrade
 
-        self.replacement = Replacement(self, config)
+        self.in_place_upgrade = InPlaceUpgrade(self, config)
         self.apply_limits()
         if self.peers is not None:
             self.peers.hold()
         await self.hear_peers()  # before the process in charge lets go of it
-        if await self.replacement.take_over():
+        if await self.in_place_upgrade.take_over():
             self.list_heard.set()  # the list of the process before is as new as an agent's
         if self.peers is not None:
             self.peers.let_through()
@@ -271,7 +271,7 @@
         """Open the operators' address."""
         from harriertide.lifecycle.operator_api import OperatorApi  # only where there is one
 
-        self.operator_api = OperatorApi(self.life, self.apply_life)
+        self.operator_api = OperatorApi(self.lifecycle, self.apply_lifecycle)
         try:
             self._operator_server = await listen(at, self.operator_api.connection)
         except OSError as fault:
@@ -298,8 +298,8 @@
     def _can_serve(self) -> None:
         """All that it takes to serve is there, unless a list or a listener is still waited for."""
         if self.list_heard.is_set() and self.open:
-            self.life.serve()
-            self.apply_life()
+            self.lifecycle.mark_serving()
+            self.apply_lifecycle()
 
     async def _listen(self, at: tuple[str, int] | socket.socket | None, web_server: FrontServer) -> None:
         assert at is not None
@@ -323,10 +323,10 @@
         """
         loop = asyncio.get_running_loop()
         self.stopping.set()
-        self.life.stop()
-        if self.replacement is not None:
-            self.replacement.upgrade.stop()
-        self.apply_life()
+        self.lifecycle.mark_stopping()
+        if self.in_place_upgrade is not None:
+            self.in_place_upgrade.upgrade.stop()
+        self.apply_lifecycle()
         longest_s = max(kind.deadline_us for kind in self.core.settings.classes) / 1e6
         finish_by = loop.time() + min(LONGEST_S, longest_s) + SLACK_S
         log("stopping")
@@ -335,8 +335,8 @@
             stop_listening(listener)
         while self._busy() and loop.time() < finish_by - LAST_S:
             await until(loop.time() + 0.02)
-        self.life.last_answers = True
-        self.apply_life()
+        self.lifecycle.is_closing_connections = True
+        self.apply_lifecycle()
         if self.objects is not None:
             self.objects.front.ready = False
         while self._busy() and loop.time() < finish_by:
@@ -352,8 +352,8 @@
         if self.operator_api is not None:
             self._operator_server.close()
             self.operator_api.close()
-        if self.replacement is not None:
-            self.replacement.upgrade.close()
+        if self.in_place_upgrade is not None:
+            self.in_place_upgrade.upgrade.close()
         if self.watch is not None:
             await self.watch.close()
         if self.peers is not None:
--- a/harriertide/cli/replacement.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -16,9 +16,9 @@
 from harriertide.engine.log import log
 from harriertide.http.limits import Limits
 from harriertide.http.listening import IN_FLIGHT
+from harriertide.lifecycle.active_process import ActiveProcessHooks, ActiveProcessLease
+from harriertide.lifecycle.process_registry import ProcessRegistry
 from harriertide.lifecycle.record import Handover, RecordError, decode, encode
-from harriertide.lifecycle.succession import Succession
-from harriertide.lifecycle.upgrade import Hooks, Upgrade
 from harriertide.platform.configuration import BadConfigError, Config
 
 if TYPE_CHECKING:
@@ -28,24 +28,24 @@
 CLOCK_US = 1_000_000  # by which the clocks of two processes may differ for the one's times to be of use
 
 
-def folder(name: str) -> Path:
+def meeting_folder(name: str) -> Path:
     """Where the processes of one broker meet."""
     return Path(tempfile.gettempdir()) / f"harriertide-{xxh3_64_hexdigest(name.encode())}"
 
 
-class Replacement:
+class InPlaceUpgrade:
     """Carries out on a daemon what an upgrade in place asks of it."""
 
     def __init__(self, daemon: Daemon, config: Config) -> None:
         self._daemon, self._name = daemon, config.name
-        hooks = Hooks(self._give_up, self._supersede, self._take_back, self._share)
+        hooks = ActiveProcessHooks(self._give_up, self._supersede, self._take_back, self._share)
         try:
-            succession = Succession(folder(config.name))
+            registry = ProcessRegistry(meeting_folder(config.name))
         except OSError as fault:
             raise BadConfigError(f"TMPDIR: {fault.strerror}: {fault.filename}") from None
-        self.alone = not succession.others()
+        self.alone = not registry.has_other_processes()
         self._part: Limits | None = None  # None: nothing is known of the other process
-        self.upgrade = Upgrade(succession, hooks)
+        self.upgrade = ActiveProcessLease(registry, hooks)
         daemon.runtime.fence = self.upgrade.check
 
     def share(self, limits: Limits) -> Limits:
@@ -76,8 +76,8 @@
         clock, scheduler = daemon.runtime.clock, daemon.core.scheduler
         if abs(clock.unix_us(record.monotonic_s) - record.unix_us) > CLOCK_US:
             raise RecordError("the system's clock was set meanwhile")
-        daemon.life.drained = daemon.life.drained or record.drained
-        daemon.apply_life()
+        daemon.lifecycle.is_draining = daemon.lifecycle.is_draining or record.drained
+        daemon.apply_lifecycle()
         self._part = self._rest_of(record.clients, record.nodes)
         daemon.apply_limits()
         daemon.runtime.post(ev.EndpointsUpdated(daemon.directory.import_state(record.directory)))
@@ -114,7 +114,7 @@
                 epoch=claimed,
                 monotonic_s=now_s,
                 unix_us=clock.unix_us(now_s),
-                drained=daemon.life.drained,
+                drained=daemon.lifecycle.is_draining,
                 clients=self._clients_kept(),
                 nodes=self._nodes_kept(),
                 directory=daemon.directory.export_state(),
@@ -150,8 +150,8 @@
         """A newer process is in charge. What was taken is finished here."""
         daemon = self._daemon
         daemon.close_door()
-        daemon.life.supersede()
-        daemon.apply_life()
+        daemon.lifecycle.mark_superseded()
+        daemon.apply_lifecycle()
         self.alone = False
         self._part = self._limits().part(self._clients_kept(), self._nodes_kept())
         daemon.apply_limits()
@@ -161,8 +161,8 @@
     def _take_back(self) -> None:
         daemon = self._daemon
         self._part = None
-        daemon.life.take_back()
-        daemon.apply_life()
+        daemon.lifecycle.mark_active_again()
+        daemon.apply_lifecycle()
         daemon.apply_limits()
         daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
         self._opening = asyncio.get_running_loop().create_task(daemon.open_door())
--- a/harriertide/lab/operator_thread.py
+++ b/harriertide/lab/operator_thread.py
@@ -22,9 +22,9 @@
         clients_loop, operators_loop = asyncio.get_running_loop(), asyncio.new_event_loop()
 
         def changed() -> None:
-            clients_loop.call_soon_threadsafe(self.apply_life)
+            clients_loop.call_soon_threadsafe(self.apply_lifecycle)
 
-        self.operator_api = OperatorApi(self.life, changed)
+        self.operator_api = OperatorApi(self.lifecycle, changed)
         threading.Thread(target=operators_loop.run_forever, daemon=True).start()
         listening = listen(at, self.operator_api.connection)
         future = asyncio.run_coroutine_threadsafe(listening, operators_loop)
--- a/harriertide/lifecycle/machine.py
+++ b/harriertide/lifecycle/machine.py
@@ -20,10 +20,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class CommandResult:
     """What an operator's call comes to. state: one line that says how the process is now."""
 
-    done: bool
+    accepted: bool
     state: str
 
 
@@ -32,73 +32,73 @@
     """What a process may do, from its start to its end."""
 
     stage: Stage = Stage.STARTING
-    drained: bool = False
-    superseded: bool = False
-    in_maintenance: bool = False  # the brokers have settled that this one is taken out for work
-    last_answers: bool = False  # the end of a stop is near: no connection is kept after its answer
+    is_draining: bool = False
+    is_superseded: bool = False
+    is_in_maintenance: bool = False  # the brokers have settled that this one is taken out for work
+    is_closing_connections: bool = False  # the end of a stop is near: no connection is kept after its answer
 
     # --- questions -----------------------------------------------------------------------------
 
     @property
-    def can_serve(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether this process can serve, whether or not clients are sent to it."""
         return self.stage is Stage.SERVING
 
     @property
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """What clients' health checks hear of the broker. A superseded process speaks for the newer one."""
-        serving = self.stage is Stage.SERVING or (self.superseded and self.stage is Stage.STOPPING)
-        return serving and not (self.drained or self.in_maintenance)
+        serving = self.stage is Stage.SERVING or (self.is_superseded and self.stage is Stage.STOPPING)
+        return serving and not (self.is_draining or self.is_in_maintenance)
 
     @property
-    def ends_connections(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether each answer is the last on its connection."""
-        return self.drained or self.superseded or self.last_answers
+        return self.is_draining or self.is_superseded or self.is_closing_connections
 
     @property
     def state(self) -> str:
         """One line for operators."""
         words = [self.stage.value]
-        words += ["drained"] if self.drained else []
-        words += ["superseded"] if self.superseded else []
-        words += ["in maintenance"] if self.in_maintenance else []
+        words += ["drained"] if self.is_draining else []
+        words += ["superseded"] if self.is_superseded else []
+        words += ["in maintenance"] if self.is_in_maintenance else []
         return ", ".join(words)
 
     # --- calls of operators: each may come twice, and at any time ------------------------------
 
-    def ready(self) -> Verdict:
+    def report_readiness(self) -> CommandResult:
         """Whether this process can serve."""
-        return Verdict(self.can_serve, self.state)
+        return CommandResult(self.is_serving, self.state)
 
-    def evacuate(self) -> Verdict:
+    def evacuate(self) -> CommandResult:
         """Send clients away. One that comes before the process serves holds from its first moment."""
-        if self.superseded:
-            return Verdict(False, self.state)
-        self.drained = True
-        return Verdict(True, self.state)
+        if self.is_superseded:
+            return CommandResult(False, self.state)
+        self.is_draining = True
+        return CommandResult(True, self.state)
 
-    def rejoin(self) -> Verdict:
+    def rejoin(self) -> CommandResult:
         """The end of a drain. A process that stops, or that a newer one took over from, takes none back."""
-        if self.superseded or self.stage is Stage.STOPPING:
-            return Verdict(False, self.state)
-        self.drained = False
-        return Verdict(True, self.state)
+        if self.is_superseded or self.stage is Stage.STOPPING:
+            return CommandResult(False, self.state)
+        self.is_draining = False
+        return CommandResult(True, self.state)
 
     # --- the course of the process -------------------------------------------------------------
 
-    def serve(self) -> None:
+    def mark_serving(self) -> None:
         """It can serve now."""
         if self.stage is Stage.STARTING:
             self.stage = Stage.SERVING
 
-    def supersede(self) -> None:
+    def mark_superseded(self) -> None:
         """A newer process of this broker accepts from now on."""
-        self.superseded = True
+        self.is_superseded = True
 
     def take_back(self) -> None:
         """The newer process has died; this one accepts again, unless it stops."""
         if self.stage is not Stage.STOPPING:
-            self.superseded = False
+            self.is_superseded = False
 
     def stop(self) -> None:
         """It has been told to end."""
--- a/harriertide/lifecycle/operator_api.py
+++ b/harriertide/lifecycle/operator_api.py
@@ -17,34 +17,35 @@
 from aiohttp.streams import StreamReader
 
 from harriertide.http.limits import OPERATORS
-from harriertide.lifecycle.machine import Lifecycle, Verdict
-
-MOST_CALLERS = OPERATORS - 2  # its listener has one descriptor, a caller that is about to be dropped another
-CALL_S = 5.0  # for a whole call to come
-CLOSE_S = 0.3  # for the caller to read its answer and to end its side
-HEAD_BYTES = 8 * 1024
-BODY_BYTES = 64 * 1024
+from harriertide.lifecycle.machine import CommandResult, Lifecycle
+
+# The listener has one descriptor, a caller that is about to be dropped another.
+MAX_CONNECTION_COUNT = OPERATORS - 2
+REQUEST_TIMEOUT_S = 5.0  # for a whole call to come
+CLOSE_TIMEOUT_S = 0.3  # for the caller to read its answer and to end its side
+MAX_HEAD_BYTES = 8 * 1024
+MAX_BODY_BYTES = 64 * 1024
 _REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
     409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
     503: "Service Unavailable",
 }  # fmt: skip
 
-Call = Callable[[], Verdict]
+Call = Callable[[], CommandResult]
 
 
 class OperatorApi:
     """The calls that operators may make, and their connections. changed: called after each."""
 
-    def __init__(self, life: Lifecycle, changed: Callable[[], None]) -> None:
+    def __init__(self, lifecycle: Lifecycle, changed: Callable[[], None]) -> None:
         self.counts: Counter[str] = Counter()
         self._changed = changed
         self._calls: Mapping[str, tuple[str, Call, int]] = {  # by path: method, call, status where it is a no
-            "/api/ready": ("GET", life.ready, 503),
-            "/api/evacuate": ("POST", life.evacuate, 409),
-            "/api/rejoin": ("POST", life.rejoin, 409),
+            "/api/ready": ("GET", lifecycle.report_readiness, 503),
+            "/api/evacuate": ("POST", lifecycle.evacuate, 409),
+            "/api/rejoin": ("POST", lifecycle.rejoin, 409),
         }
-        self._callers: dict[OperatorConnection, None] = {}  # the longest there first
+        self._connections: dict[OperatorConnection, None] = {}  # the longest there first
 
     def connection(self) -> OperatorConnection:
         """The protocol of a new connection."""
@@ -52,14 +53,14 @@
 
     def admit(self, caller: OperatorConnection) -> None:
         """A new connection."""
-        self._callers[caller] = None
-        if len(self._callers) > MOST_CALLERS:
+        self._connections[caller] = None
+        if len(self._connections) > MAX_CONNECTION_COUNT:
             self.counts["made_room"] += 1
-            next(iter(self._callers)).drop()
+            next(iter(self._connections)).drop()
 
     def forget(self, caller: OperatorConnection) -> None:
         """It is gone."""
-        self._callers.pop(caller, None)
+        self._connections.pop(caller, None)
 
     def answer(self, method: str, target: str) -> tuple[int, str, str]:
         """Make a call that has come whole: status, one line, and the method it takes if it is another."""
@@ -72,11 +73,11 @@
         verdict = call()
         self.counts[path.rpartition("/")[2]] += 1
         self._changed()
-        return 200 if verdict.done else refused, verdict.state, ""
+        return 200 if verdict.accepted else refused, verdict.state, ""
 
     def close(self) -> None:
         """Drop all callers."""
-        for caller in list(self._callers):
+        for caller in list(self._connections):
             caller.drop()
 
 
@@ -86,14 +87,19 @@
     def __init__(self, api: OperatorApi) -> None:
         loop = asyncio.get_running_loop()
         self._call_parser = HttpRequestParser(
-            self, loop, BODY_BYTES, max_line_size=HEAD_BYTES, max_field_size=HEAD_BYTES, auto_decompress=False
+            self,
+            loop,
+            MAX_BODY_BYTES,
+            max_line_size=MAX_HEAD_BYTES,
+            max_field_size=MAX_HEAD_BYTES,
+            auto_decompress=False,
         )
         super().__init__(loop, self._call_parser)
         self._api, self._answered = api, False
         self._received = 0
         self._message: RawRequestMessage | None = None
         self._body: StreamReader | None = None
-        self._limit = loop.call_later(CALL_S, self._give_up)
+        self._limit = loop.call_later(REQUEST_TIMEOUT_S, self._give_up)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A caller has come."""
@@ -114,7 +120,7 @@
         try:
             messages, upgraded, _ = self._call_parser.feed_data(data)
         except (HttpProcessingError, ValueError) as fault:
-            if isinstance(fault, LineTooLong) or (self._message is None and self._received > HEAD_BYTES):
+            if isinstance(fault, LineTooLong) or (self._message is None and self._received > MAX_HEAD_BYTES):
                 self._respond(431, "the head is too long")
             else:
                 self._respond(400, "the call can't be read")
@@ -130,11 +136,11 @@
         """Answer once the call is whole, or can't become a good one any more."""
         message, body = self._message, self._body
         if message is None or body is None:
-            if self._received > HEAD_BYTES:
+            if self._received > MAX_HEAD_BYTES:
                 self._respond(431, "the head is too long")
         elif body.exception() is not None:
             self._respond(400, "the body can't be read")
-        elif self._received > HEAD_BYTES + BODY_BYTES:
+        elif self._received > MAX_HEAD_BYTES + MAX_BODY_BYTES:
             self._respond(413, "the body is too long")
         elif body.is_eof():
             self._respond(*self._api.answer(message.method, message.path))
@@ -157,7 +163,7 @@
         shown = text if self._message is None or self._message.method != "HEAD" else text[: -len(line) - 1]
         transport.write(shown.encode())
         self._limit.cancel()
-        self._limit = asyncio.get_running_loop().call_later(CLOSE_S, self.drop)
+        self._limit = asyncio.get_running_loop().call_later(CLOSE_TIMEOUT_S, self.drop)
         try:
             transport.write_eof()
         except (OSError, RuntimeError):  # the caller is gone already
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,7 +14,7 @@
 from harriertide.http.listening import listen
 from harriertide.lifecycle import operator_api
 from harriertide.lifecycle.machine import Lifecycle, Stage
-from harriertide.lifecycle.operator_api import MOST_CALLERS, OperatorApi
+from harriertide.lifecycle.operator_api import MAX_CONNECTION_COUNT, OperatorApi
 from harriertide.platform.configuration import BadConfigError
 from tests.test_crossings import House, inside
 from tests.test_crossings import answer as reply
@@ -30,46 +30,47 @@
 
 
 def test_a_process_that_starts_is_not_ready_and_a_drain_told_then_holds_from_its_first_moment() -> None:
-    life = Lifecycle()
-    assert not life.ready().done and not life.healthy
-    assert life.evacuate().done
-    life.serve()
-    assert life.ready().done and not life.healthy and life.ends_connections
-    assert life.rejoin().done and life.healthy and not life.ends_connections
+    lifecycle = Lifecycle()
+    assert not lifecycle.report_readiness().accepted and not lifecycle.is_healthy
+    assert lifecycle.evacuate().accepted
+    lifecycle.mark_serving()
+    assert lifecycle.report_readiness().accepted and not lifecycle.is_healthy and lifecycle.closes_connections
+    assert lifecycle.rejoin().accepted and lifecycle.is_healthy and not lifecycle.closes_connections
 
 
 def test_calls_that_come_twice_change_nothing_more() -> None:
-    life = Lifecycle(Stage.SERVING)
+    lifecycle = Lifecycle(Stage.SERVING)
     for _ in range(2):
-        assert life.evacuate().done and life.drained
+        assert lifecycle.evacuate().accepted and lifecycle.is_draining
     for _ in range(2):
-        assert life.rejoin().done and life.healthy
+        assert lifecycle.rejoin().accepted and lifecycle.is_healthy
 
 
 def test_a_process_that_stops_takes_no_clients_back() -> None:
-    life = Lifecycle(Stage.SERVING)
-    life.evacuate()
-    life.stop()
-    assert not life.rejoin().done and not life.healthy and not life.ready().done
-    assert life.evacuate().done
+    lifecycle = Lifecycle(Stage.SERVING)
+    lifecycle.evacuate()
+    lifecycle.mark_stopping()
+    assert not lifecycle.rejoin().accepted and not lifecycle.is_healthy
+    assert not lifecycle.report_readiness().accepted
+    assert lifecycle.evacuate().accepted
 
 
 def test_a_superseded_process_speaks_for_the_newer_one_and_takes_no_calls() -> None:
-    life = Lifecycle(Stage.SERVING)
-    life.supersede()
-    assert life.healthy and life.ends_connections
-    assert not life.evacuate().done and not life.rejoin().done
-    life.stop()
-    assert life.healthy  # the broker serves, if not this process
+    lifecycle = Lifecycle(Stage.SERVING)
+    lifecycle.mark_superseded()
+    assert lifecycle.is_healthy and lifecycle.closes_connections
+    assert not lifecycle.evacuate().accepted and not lifecycle.rejoin().accepted
+    lifecycle.mark_stopping()
+    assert lifecycle.is_healthy  # the broker serves, if not this process
 
 
 def test_a_process_takes_back_from_a_newer_one_that_died_unless_it_stops() -> None:
-    life = Lifecycle(Stage.SERVING, superseded=True)
-    life.take_back()
-    assert not life.superseded
-    life = Lifecycle(Stage.STOPPING, superseded=True)
-    life.take_back()
-    assert life.superseded
+    lifecycle = Lifecycle(Stage.SERVING, is_superseded=True)
+    lifecycle.mark_active_again()
+    assert not lifecycle.is_superseded
+    lifecycle = Lifecycle(Stage.STOPPING, is_superseded=True)
+    lifecycle.mark_active_again()
+    assert lifecycle.is_superseded
 
 
 # --- calls on sockets ----------------------------------------------------------------------------
@@ -86,8 +87,8 @@
 
 
 @asynccontextmanager
-async def address(life: Lifecycle) -> AsyncIterator[tuple[int, OperatorApi]]:
-    api = OperatorApi(life, lambda: None)
+async def address(lifecycle: Lifecycle) -> AsyncIterator[tuple[int, OperatorApi]]:
+    api = OperatorApi(lifecycle, lambda: None)
     server = await listen(("127.0.0.1", 0), api.connection)
     try:
         yield server.sockets[0].getsockname()[1], api
@@ -129,22 +130,22 @@
 
 def test_a_call_in_single_bytes_counts_once_it_is_whole_and_half_of_one_never() -> None:
     async def main() -> None:
-        life = Lifecycle(Stage.SERVING)
-        async with address(life) as (port, _):
+        lifecycle = Lifecycle(Stage.SERVING)
+        async with address(lifecycle) as (port, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             whole = b"POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nyes"
             for byte in whole[:-1]:
                 writer.write(bytes([byte]))
                 await writer.drain()
             await call(port, GOOD)  # all that was written has been read by now, or nearly
-            assert not life.drained
+            assert not lifecycle.is_draining
             writer.write(whole[-1:])
-            assert (await reader.read()).startswith(b"HTTP/1.1 200") and life.drained
+            assert (await reader.read()).startswith(b"HTTP/1.1 200") and lifecycle.is_draining
             _, half = await asyncio.open_connection("127.0.0.1", port)
             half.write(b"POST /api/rejoin HTTP/1.1\r\nHost: x\r\n")
             half.close()
             await call(port, GOOD)
-            assert life.drained
+            assert lifecycle.is_draining
 
     asyncio.run(main())
 
@@ -153,13 +154,13 @@
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, api):
             silent = []
-            for number in range(MOST_CALLERS + 40):
+            for number in range(MAX_CONNECTION_COUNT + 40):
                 silent.append(await asyncio.open_connection("127.0.0.1", port))
                 if number % 2:
                     silent[-1][1].write(b"GET /api/re")
                 if number % 8 == 0:
                     assert (await call(port, GOOD))[0] == 200
-            assert len(api._callers) <= MOST_CALLERS
+            assert len(api._connections) <= MAX_CONNECTION_COUNT
             for _, writer in silent:
                 writer.close()
 
@@ -167,13 +168,13 @@
 
 
 def test_half_a_call_is_ended_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator_api, "CALL_S", 0.05)
+    monkeypatch.setattr(operator_api, "REQUEST_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, api):
             assert (await call(port, b"GET /api/ready HTTP/1.1\r\n"))[0] == 408
             async with asyncio.timeout(SOON_S):
-                while api._callers:
+                while api._connections:
                     await asyncio.sleep(0.01)
 
     asyncio.run(main())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from harriertide.cli import replacement
+from harriertide.cli import in_place_upgrade
 from harriertide.cli.daemon import Daemon
 from harriertide.decide import api, handover
 from harriertide.decide.leases import Slot
@@ -19,10 +19,10 @@
 from harriertide.decide.state import Store, Tally, Volume
 from harriertide.http.limits import Limits
 from harriertide.http.listening import IN_FLIGHT
-from harriertide.lifecycle import record, upgrade
+from harriertide.lifecycle import active_process, record
+from harriertide.lifecycle.active_process import ActiveProcessHooks, ActiveProcessLease
+from harriertide.lifecycle.process_registry import ACTIVE_LEASE_S, ProcessRegistry
 from harriertide.lifecycle.record import Handover, RecordError
-from harriertide.lifecycle.succession import LEASE_S, Succession
-from harriertide.lifecycle.upgrade import Hooks, Upgrade
 from harriertide.platform.configuration import BadConfigError, Config
 from harriertide.platform.discovery import Directory, DirectoryState
 from tests.helpers import START_US, BrokerUnderTest, sends
@@ -38,54 +38,54 @@
 
 
 def test_epochs_rise_and_a_process_lives_for_as_long_as_it_holds_its_lock(tmp_path: Path) -> None:
-    first, second = Succession(tmp_path), Succession(tmp_path)
-    assert first.epoch < second.epoch and first.others() and second.lives(first.epoch)
+    first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
+    assert first.epoch < second.epoch and first.has_other_processes() and second.is_alive(first.epoch)
     first.close()
-    assert not second.lives(first.epoch) and not second.others()
-    assert Succession(tmp_path).epoch > second.epoch
+    assert not second.is_alive(first.epoch) and not second.has_other_processes()
+    assert ProcessRegistry(tmp_path).epoch > second.epoch
 
 
 def test_one_process_at_a_time_takes_over(tmp_path: Path) -> None:
-    first, second = Succession(tmp_path), Succession(tmp_path)
-    assert first.begin() and not second.begin()
-    first.take_charge()
-    first.end()
-    assert second.begin() and second.current() == first.epoch
+    first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
+    assert first.try_lock_takeover() and not second.try_lock_takeover()
+    first.become_active()
+    first.end_takeover()
+    assert second.try_lock_takeover() and second.active_epoch() == first.epoch
 
 
 def test_a_claim_counts_for_as_long_as_its_process_lives(tmp_path: Path) -> None:
-    old, new = Succession(tmp_path), Succession(tmp_path)
-    new.begin()
-    new.ask()
-    assert old.claim() == new.epoch and new.claim() == 0
+    old, new = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
+    new.try_lock_takeover()
+    new.write_claim()
+    assert old.claimed_epoch() == new.epoch and new.claimed_epoch() == 0
     new.close()
-    assert old.claim() == 0
+    assert old.claimed_epoch() == 0
 
 
 def test_files_of_processes_that_are_gone_go_with_the_next_take_over(tmp_path: Path) -> None:
-    gone, new = Succession(tmp_path), Succession(tmp_path)
+    gone, new = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     gone.close()
-    new.begin()
-    new.ask()
-    new.leave_state(gone.epoch, b"x")
-    new.take_charge()
-    new.end()
+    new.try_lock_takeover()
+    new.write_claim()
+    new.write_handover_record(gone.epoch, b"x")
+    new.become_active()
+    new.end_takeover()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["current", f"process-{new.epoch}", "takeover"]
 
 
 class Process:
-    """An Upgrade whose hooks write down what they are told."""
+    """An ActiveProcessLease whose hooks write down what they are told."""
 
     def __init__(self, folder: Path) -> None:
         self.said: list[str] = []
-        self.succession = Succession(folder)
-        hooks = Hooks(
+        self.registry = ProcessRegistry(folder)
+        hooks = ActiveProcessHooks(
             self.give_up,
             lambda: self.said.append("fenced"),
             lambda: self.said.append("took back"),
             lambda on: None,
         )
-        self.upgrade = Upgrade(self.succession, hooks)
+        self.upgrade = ActiveProcessLease(self.registry, hooks)
 
     def give_up(self, claimed: int) -> bytes:
         self.said.append("gave up")
@@ -110,7 +110,7 @@
         old, new, third = Process(tmp_path), Process(tmp_path), Process(tmp_path)
         assert await old.upgrade.take_over() is None
         assert await new.upgrade.take_over() == b"state for %d" % new.upgrade.epoch
-        assert old.said == ["gave up"] and new.upgrade.in_charge and not old.upgrade.in_charge
+        assert old.said == ["gave up"] and new.upgrade.is_active and not old.upgrade.is_active
         assert await third.upgrade.take_over() == b"state for %d" % third.upgrade.epoch
         assert old.said == ["gave up"] and new.said == ["gave up"]
 
@@ -136,14 +136,14 @@
         if charged:
             await new.upgrade.take_over()
         else:
-            new.succession.begin()
-            new.succession.ask()
+            new.registry.try_lock_takeover()
+            new.registry.write_claim()
             await old.heard("gave up")
         new.die()
         if not charged:
-            new.succession.end()  # as the system does with a dead process's locks
+            new.registry.end_takeover()  # as the system does with a dead process's locks
         await old.heard("gave up", "took back")
-        assert old.upgrade.in_charge and old.succession.current() == old.upgrade.epoch
+        assert old.upgrade.is_active and old.registry.active_epoch() == old.upgrade.epoch
 
     asyncio.run(course())
 
@@ -167,10 +167,10 @@
         await old.upgrade.take_over()
         old.stand_still()
         taking = asyncio.create_task(new.upgrade.take_over())
-        while old.succession.claim() == 0:  # killed in the middle: asked, and not answered yet
+        while old.registry.claimed_epoch() == 0:  # killed in the middle: asked, and not answered yet
             await asyncio.sleep(0)
         old.die()
-        assert await taking is None and new.upgrade.in_charge
+        assert await taking is None and new.upgrade.is_active
 
     asyncio.run(course())
 
@@ -178,7 +178,7 @@
 def test_one_that_stood_still_is_fenced_before_it_acts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upgrade, "ANSWER_S", 0.05)
+    monkeypatch.setattr(active_process, "CLAIM_ANSWER_TIMEOUT_S", 0.05)
 
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
@@ -186,9 +186,9 @@
         old.stand_still()
         begun = time.monotonic()
         assert await new.upgrade.take_over() is None
-        assert time.monotonic() - begun > LEASE_S  # what the old one may still have done is over
+        assert time.monotonic() - begun > ACTIVE_LEASE_S  # what the old one may still have done is over
         old.upgrade.check()
-        assert old.said == ["fenced"] and not old.upgrade.in_charge
+        assert old.said == ["fenced"] and not old.upgrade.is_active
 
     asyncio.run(course())
 
@@ -384,7 +384,7 @@
 def on_platform(
     course: Callable[[Platform], Awaitable[None]], folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(replacement, "folder", lambda name: folder / name)
+    monkeypatch.setattr(in_place_upgrade, "meeting_folder", lambda name: folder / name)
 
     async def main() -> None:
         async with Platform(folder) as platform:
@@ -404,7 +404,7 @@
         waiting[1].write(platform.request())
         asked = (await platform.box.asked.get())[3]
         new = await platform.process()
-        assert old.life.superseded and new.life.can_serve and old.life.can_serve
+        assert old.lifecycle.is_superseded and new.lifecycle.is_serving and old.lifecycle.is_serving
         answer(asked)
         assert b"200" in await waiting[0].readuntil(b"ok")
         assert b"Connection: close" in await platform.served(*kept)
@@ -451,7 +451,7 @@
         line.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * 200_000)
         await reader.readuntil(b"\r\n\r\n")
         await platform.process()
-        assert old.life.superseded
+        assert old.lifecycle.is_superseded
         line.writer.write(b"x" * (size - 200_000))
         async with asyncio.timeout(PATIENCE_S):
             assert len(await reader.readexactly(size)) == size
@@ -478,11 +478,11 @@
     async def course(platform: Platform) -> None:
         old = await platform.process()
         new = await platform.process()
-        assert new.replacement is not None and new.peers is not None
+        assert new.in_place_upgrade is not None and new.peers is not None
         new.close_door()  # as the system does with a dead process's descriptors
-        new.replacement.upgrade.close()
+        new.in_place_upgrade.upgrade.close()
         async with asyncio.timeout(PATIENCE_S):
-            while old.life.superseded or len(old.servers) < 1:
+            while old.lifecycle.is_superseded or len(old.servers) < 1:
                 await asyncio.sleep(0.01)
         assert b"Connection: close" not in await platform.served(*await platform.client())
         assert old.core.settings.plans == from_wire(WIRE).plans
@@ -501,7 +501,7 @@
         old = await platform.process()
         monkeypatch.setattr(handover, "export_state", fail)
         new = await platform.process()
-        assert old.life.superseded and old._door_server is None and new.life.can_serve
+        assert old.lifecycle.is_superseded and old._door_server is None and new.lifecycle.is_serving
         await platform.served(*await platform.client())
         assert new.core.counts["taken"] == 1
 
@@ -519,7 +519,7 @@
         monkeypatch.setattr(handover, "import_state", fail)
         new = await platform.process()
         async with asyncio.timeout(PATIENCE_S):
-            while not new.life.can_serve:
+            while not new.lifecycle.is_serving:
                 await asyncio.sleep(0.01)
         await platform.served(*await platform.client())
 
@@ -531,13 +531,13 @@
 ) -> None:
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        old.life.evacuate()
+        old.lifecycle.evacuate()
         old.core.scheduler._cells[0].capacity = 42.0  # type: ignore[attr-defined]
         old.directory.read(
             {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
         )
         new = await platform.process()
-        assert new.life.drained and not new.life.healthy and new.life.can_serve
+        assert new.lifecycle.is_draining and not new.lifecycle.is_healthy and new.lifecycle.is_serving
         assert new.core.scheduler._cells[0].capacity == 42.0  # type: ignore[attr-defined]
         assert new.directory.seq == 8 and new.core.nodes()["b1"].state == "draining"
 
@@ -553,7 +553,7 @@
         await asyncio.sleep(0)
         new = await platform.process()
         await stopping
-        assert new.life.can_serve and b"200" in await platform.served(*await platform.client())
+        assert new.lifecycle.is_serving and b"200" in await platform.served(*await platform.client())
 
     on_platform(course, tmp_path, monkeypatch)
 
@@ -562,7 +562,7 @@
     async def course(platform: Platform) -> None:
         await platform.process()
         await asyncio.gather(platform.process(), platform.process())
-        assert sorted(daemon.life.superseded for daemon in platform.started) == [False, True, True]
+        assert sorted(daemon.lifecycle.is_superseded for daemon in platform.started) == [False, True, True]
         assert sum(daemon._door_server is not None for daemon in platform.started) == 1
         await platform.served(*await platform.client())
 
@@ -573,7 +573,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old one takes no clients any more: what it has, and all that it may still open, counts."""
-    monkeypatch.setattr(upgrade, "ALONE_S", 0.05)
+    monkeypatch.setattr(active_process, "LIVENESS_CHECK_INTERVAL_S", 0.05)
 
     async def course(platform: Platform) -> None:
         old = await platform.process()
@@ -600,13 +600,13 @@
 ) -> None:
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        assert old.replacement is not None
+        assert old.in_place_upgrade is not None
         clients = [socket.create_connection(platform.door.getsockname()) for _ in range(2 * IN_FLIGHT)]
         for client in clients:
             client.sendall(platform.request())
         for _ in range(turns):
             await asyncio.sleep(0)
-        old.replacement._supersede()
+        old.in_place_upgrade._supersede()
         await asyncio.sleep(0.05)
         assert old.clients.counts["turned_away"] == 0
         assert len(old.clients) <= old.clients.most
