--- a/harriertide/cli/counters.py
+++ b/harriertide/cli/counters.py
@@ -12,9 +12,13 @@
 
 
 def main(given: dict[str, str]) -> int:
-    """As SIGUSR1 does."""
+    """Send SIGUSR1 to the process.
+
+    :returns: exit status 0; the counters are in the daemon's log, not here.
+    :raises SettingsError: where there is no such process, or it is another user's.
+    """
     try:
         os.kill(int(given["PID"]), signal.SIGUSR1)
-    except (ValueError, OSError) as fault:
-        raise SettingsError(f"PID {given['PID']}: {fault}") from None
+    except (ValueError, OSError) as error:
+        raise SettingsError(f"PID {given['PID']}: {error}") from None
     return 0
--- a/harriertide/cli/plan.py
+++ b/harriertide/cli/plan.py
@@ -13,22 +13,28 @@
 import json
 from pathlib import Path
 
-from harriertide.config import diff
-from harriertide.config.client import call
-from harriertide.config.model import OperatorFileError, load
+from harriertide.config.client import call_admin
+from harriertide.config.errors import AdminUnavailableError, PlanError
+from harriertide.config.operator_file import load_operator_file
+from harriertide.config.state_diff import describe_changes
 
 
 def main(given: dict[str, str]) -> int:
-    """As the page says."""
-    operator = load(given["FILE"])
-    status, held = call("GET", operator.admin, "/state")
-    if status != 200:
-        raise OperatorFileError(f"admin: {operator.admin} answered {status}")
-    said = diff.lines(held["state"], operator.state)
-    text = {"admin": operator.admin, "from": held["digest"], "state": operator.state, "lines": said}
+    """Run the command on arguments of the page above.
+
+    :returns: exit status 0.
+    :raises SettingsError: in one plain line; the caller ends with 2.
+    """
+    wanted = load_operator_file(given["FILE"])
+    response = call_admin("GET", wanted.admin, "/state")
+    if response.status != 200:
+        raise AdminUnavailableError(f"admin: {wanted.admin} answered {response.status}")
+    running = response.document
+    changes = describe_changes(running["state"], wanted.state)
+    plan = {"admin": wanted.admin, "from": running["digest"], "state": wanted.state, "lines": changes}
     try:
-        Path(given["-o"]).write_text(json.dumps(text, indent=1) + "\n", encoding="utf-8")
-    except OSError as fault:
-        raise OperatorFileError(f"{given['-o']}: {fault.strerror}") from None
-    print("\n".join(said) if said else "no change")
+        Path(given["-o"]).write_text(json.dumps(plan, indent=1) + "\n", encoding="utf-8")
+    except OSError as error:
+        raise PlanError(f"{given['-o']}: {error.strerror}") from None
+    print("\n".join(changes) if changes else "no change")
     return 0
--- a/harriertide/cli/version.py
+++ b/harriertide/cli/version.py
@@ -9,6 +9,9 @@
 
 
 def main(given: dict[str, object]) -> int:
-    """One line."""
+    """Print one line.
+
+    :returns: exit status 0.
+    """
     print(f"harriertide {__version__}")
     return 0
--- a/harriertide/config/__init__.py
+++ b/harriertide/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file: what it may say, how it differs from what runs, and how that is applied."""
+"""The operator's file, its checks, the plan of its changes, and the admin address that takes them."""
--- a/harriertide/config/client.py
+++ b/harriertide/config/client.py
@@ -4,28 +4,43 @@
 
 import asyncio
 import json
+from dataclasses import dataclass
 from typing import Any
 
 import aiohttp
 
-from harriertide.config.model import OperatorFileError
+from harriertide.config.errors import AdminUnavailableError
 
-ANSWER_S = 10.0
+ANSWER_TIMEOUT_S = 10.0  # over the longest call, an order that a majority has to agree on
 
 
-async def _ask(method: str, url: str, body: object = None) -> tuple[int, dict[str, Any]]:
+@dataclass(frozen=True, slots=True)
+class AdminResponse:
+    """A daemon's answer: its HTTP status and its document."""
+
+    status: int
+    document: dict[str, Any]
+
+
+def call_admin(method: str, address: str, path: str, body: object = None) -> AdminResponse:
+    """Make one call and wait for its answer.
+
+    :param address: of the admin listener, `host:port`.
+    :param body: sent as JSON; None: no body.
+    :raises AdminUnavailableError: where there is no answer, or none that is JSON.
+    """
+    try:
+        return asyncio.run(_send(method, f"http://{address}{path}", body))
+    except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
+        reason = str(error) or "no answer"
+        raise AdminUnavailableError(f"admin: {address} does not answer: {reason}") from None
+
+
+async def _send(method: str, url: str, body: object) -> AdminResponse:
     loop = asyncio.get_running_loop()
     async with (
-        asyncio.timeout_at(loop.time() + ANSWER_S),
+        asyncio.timeout_at(loop.time() + ANSWER_TIMEOUT_S),
         aiohttp.ClientSession(trust_env=False) as session,
         session.request(method, url, json=body, allow_redirects=False) as response,
     ):
-        return response.status, json.loads(await response.read())
-
-
-def call(method: str, admin: str, path: str, body: object = None) -> tuple[int, dict[str, Any]]:
-    """Status and document of a daemon's answer; OperatorFileError where there is none."""
-    try:
-        return asyncio.run(_ask(method, f"http://{admin}{path}", body))
-    except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as fault:
-        raise OperatorFileError(f"admin: {admin} does not answer: {fault or 'no answer'}") from None
+        return AdminResponse(response.status, json.loads(await response.read()))
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -18,7 +18,8 @@
 import xxhash
 from aiohttp import web
 
-from harriertide.config.model import Maintenance, State
+from harriertide.config.maintenance_section import MaintenanceSettings
+from harriertide.config.operator_file import State
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.fanout import Report, Round, Sums, bits
 from harriertide.control.member import Broker, CallError, Events, Outside
@@ -82,7 +83,7 @@
 
     def __init__(
         self,
-        settings: Maintenance,
+        settings: MaintenanceSettings,
         core: Core,
         boxes: Boxes,
         unix_us: Callable[[], int],
--- a/harriertide/lab/fleet.py
+++ b/harriertide/lab/fleet.py
@@ -19,7 +19,8 @@
 from random import Random
 from typing import Any
 
-from harriertide.config.model import Maintenance, State
+from harriertide.config.maintenance_section import MaintenanceSettings
+from harriertide.config.operator_file import State
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import Entry, Snapshot
 from harriertide.control.maintenance_service import Service
@@ -234,7 +235,9 @@
     async def start(self, name: str) -> None:
         """A process on the disk as it is."""
         self.lives[name] += 1
-        settings = Maintenance(name, "", "", self.lease_ms, self.blind_s, 0, self._rows_of, self._labels)
+        settings = MaintenanceSettings(
+            name, "", "", self.lease_ms, self.blind_s, 0, self._rows_of, self._labels
+        )
 
         async def write(work: Callable[[], None]) -> None:
             loop = asyncio.get_running_loop()
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -14,7 +14,7 @@
 from types import TracebackType
 from typing import Any, Generic, TypeVar, cast
 
-from harriertide.config import model
+from harriertide.config import decision_settings, operator_file
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
@@ -181,7 +181,7 @@
     ) -> Broker:
         """The same tables as in an operator's file, as arguments."""
         given = {"boxes": boxes, "grades": grades, "volumes": volumes, "limits": limits or {}}
-        state = model.read_state({section: dict(table) for section, table in given.items()})
+        state = operator_file.read_state({section: dict(table) for section, table in given.items()})
         rows = state["boxes"].items()
         fixed = Fixed(
             Box(name, row["shard"], row["address"], state="live" if row["state"] == "up" else "draining")
@@ -190,16 +190,18 @@
         return cls._stated(state, fixed, seed)
 
     @classmethod
-    def _stated(cls, state: model.State, source: Source, seed: int | None) -> Broker:
+    def _stated(cls, state: operator_file.State, source: Source, seed: int | None) -> Broker:
         grades = list(state["grades"])
-        return cls(model.settings(state, grades), source, names=_names(state, grades), seed=seed)
+        return cls(
+            decision_settings.build_settings(state, grades), source, names=_names(state, grades), seed=seed
+        )
 
-    def restate(self, state: model.State) -> None:
+    def restate(self, state: operator_file.State) -> None:
         """Go by another state of the operator's tables; requests under way keep what they came with."""
         self._grades += [name for name in state["grades"] if name not in self._grades]
         self.names = _names(state, self._grades)
         if self._runtime is not None:
-            self._resettle(model.settings(state, self._grades))
+            self._resettle(decision_settings.build_settings(state, self._grades))
 
     # --- life ----------------------------------------------------------------------------------
 
@@ -356,7 +358,7 @@
         return counts.fields(parts)
 
 
-def _names(state: model.State, grades: list[str]) -> Names:
+def _names(state: operator_file.State, grades: list[str]) -> Names:
     plans = {name: place for place, name in enumerate(grades)}
     volumes = {name: plans[row["grade"]] for name, row in state["volumes"].items()}
     return Names({"read": 0, "write": 1, "bulk": 2}, plans, volumes)
--- a/harriertide/library/sources.py
+++ b/harriertide/library/sources.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from harriertide.config import model
+from harriertide.config import decision_settings, operator_file
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.decide.settings import SettingsError
@@ -92,8 +92,8 @@
     the old state in force, and is said once.
     """
 
-    def __init__(self, path: str, look_s: float, changed: Callable[[model.State], None]) -> None:
-        self.state = model.load(path).state
+    def __init__(self, path: str, look_s: float, changed: Callable[[operator_file.State], None]) -> None:
+        self.state = operator_file.load_operator_file(path).state
         self._path, self._look_s, self._changed = path, look_s, changed
         self._post: Post | None = None
         self._task: asyncio.Task[None] | None = None
@@ -108,8 +108,12 @@
 
     def start(self, post: Post) -> None:
         self._post = post
-        none: model.State = {section: {} for section in model.SECTIONS}
-        post(ev.EndpointsUpdated(api.EndpointUpdate("cached", model.news(none, self.state).entries)))
+        none: operator_file.State = {section: {} for section in operator_file.SECTIONS}
+        post(
+            ev.EndpointsUpdated(
+                api.EndpointUpdate("cached", decision_settings.endpoint_update(none, self.state).entries)
+            )
+        )
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     async def _follow(self) -> None:
@@ -124,7 +128,7 @@
     def reread(self) -> None:
         """Go by the file as it is now."""
         try:
-            state = model.load(self._path).state
+            state = operator_file.load_operator_file(self._path).state
             self._changed(state)
         except SettingsError as fault:
             if str(fault) != self._said:
@@ -132,7 +136,7 @@
                 log("the operator's file is refused, the old state stays in force", reason=str(fault))
             return
         self._said = ""
-        news = model.news(self.state, state)
+        news = decision_settings.endpoint_update(self.state, state)
         self.state = state
         if news.entries and self._post is not None:
             self._post(ev.EndpointsUpdated(news))
--- a/harriertide/lifecycle/process_registry.py
+++ b/harriertide/lifecycle/process_registry.py
@@ -9,7 +9,8 @@
 - `current`: the epoch of the process in charge. Invariant: it is written by the holder of `takeover` alone.
 
 A process in charge acts for at most ACTIVE_LEASE_S after it last saw its own epoch in `current`; the next
-waits that long where the last does not answer. So no two act as the one in charge at once, even if one was stopped.
+waits that long where the last does not answer. So no two act as the one in charge at once, even if one was
+stopped.
 """
 
 from __future__ import annotations
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -5,9 +5,10 @@
 import asyncio
 from collections import Counter
 
-from harriertide.config import model
-from harriertide.config.admin import Admin
-from harriertide.config.model import Operator, OperatorFileError, State
+from harriertide.config import decision_settings
+from harriertide.config.admin import AdminApi
+from harriertide.config.errors import OperatorFileError
+from harriertide.config.operator_file import OperatorFile, State
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.runtime import Runtime
@@ -25,7 +26,7 @@
 
     def __init__(
         self,
-        operator: Operator,
+        operator: OperatorFile,
         runtime: Runtime,
         client: NodeClient,
         platform: dict[str, int] | None,
@@ -44,12 +45,16 @@
             kinds = Kinds(reads[0], changes[0], changes[0])
         else:
             runtime.post(
-                ev.EndpointsUpdated(api.EndpointUpdate("cached", model.news(_NONE, operator.state).entries))
+                ev.EndpointsUpdated(
+                    api.EndpointUpdate(
+                        "cached", decision_settings.endpoint_update(_NONE, operator.state).entries
+                    )
+                )
             )
         self._catalogue = Catalogue(operator.catalogue)
         self.store = Store(runtime, client, self._catalogue, lambda: self.state, self.plans, kinds)
         self.front = ObjectFront(self.store)
-        self.admin = Admin(lambda: self.state, self.enact)
+        self.admin = AdminApi(lambda: self.state, self.enact)
         self._sweeper: asyncio.Task[None] | None = None
 
     def _check(self, state: State) -> None:
@@ -97,7 +102,7 @@
         if self._platform is not None:
             return
         self._grades += [name for name in state["grades"] if name not in self._grades]
-        self._runtime.post(ev.SettingsChanged(model.settings(state, self._grades)))
+        self._runtime.post(ev.SettingsChanged(decision_settings.build_settings(state, self._grades)))
         self._tell(old)
 
     def shown(self) -> State:
@@ -116,7 +121,7 @@
         self._tell(old)
 
     def _tell(self, old: State) -> None:
-        news = model.news(old, self.shown(), self._started_us)
+        news = decision_settings.endpoint_update(old, self.shown(), self._started_us)
         if news.entries:
             self._runtime.post(ev.EndpointsUpdated(news))
 
--- a/harriertide/objects/store.py
+++ b/harriertide/objects/store.py
@@ -11,7 +11,7 @@
 
 import aiohttp
 
-from harriertide.config.model import State
+from harriertide.config.operator_file import State
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.clock import until
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 
 from harriertide.cli import daemon as daemons
 from harriertide.cli.daemon import Daemon
-from harriertide.config import model
+from harriertide.config import operator_file
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire, names_from_wire
@@ -104,7 +104,9 @@
         ports = {"b1": await box.start(), "s": await discovery.start()}
         if objects:
             boxes = {"b1": {"address": f"127.0.0.1:{ports['b1']}", "shard": 0}}
-            daemon = Daemon(None, model.read_operator({**OPERATOR, "boxes": boxes, "catalogue": objects}))
+            daemon = Daemon(
+                None, operator_file.read_operator_file({**OPERATOR, "boxes": boxes, "catalogue": objects})
+            )
         else:
             host = World({}, ports, None).host("b1", "up")
             config = Config(
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from harriertide.config.model import OperatorFileError
+from harriertide.config.errors import OperatorFileError
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.library import (
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from harriertide.config import model
+from harriertide.config import operator_file
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
@@ -527,14 +527,14 @@
 )  # fmt: skip
 def test_what_cannot_be_used_of_the_section_names_the_key(keys: dict[str, Any], said: str) -> None:
     with pytest.raises(SettingsError, match=said):
-        model.read_operator(raw(**keys))
+        operator_file.read_operator_file(raw(**keys))
 
 
 def test_a_file_without_the_section_is_as_before(tmp_path: Path) -> None:
     plain = raw()
     del plain["maintenance"]
-    assert model.read_operator(plain).maintenance is None
-    made = model.read_operator(raw())
+    assert operator_file.read_operator_file(plain).maintenance is None
+    made = operator_file.read_operator_file(raw())
     assert (
         made.maintenance is not None and made.maintenance.lease_ms == 3_000 and made.maintenance.blind_s == 0
     )
@@ -545,7 +545,7 @@
     import tomllib
 
     root = Path(__file__).parent.parent
-    made = model.load(str(root / "deploy" / "maintenance.toml"))
+    made = operator_file.load_operator_file(str(root / "deploy" / "maintenance.toml"))
     assert made.maintenance is not None and set(made.maintenance.labels) == {"box-1", "box-2"}
     page = (root / "docs" / "operators" / "maintenance.md").read_text()
     blocks = [
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 import pytest
 
 from harriertide.cli.daemon import Daemon
-from harriertide.config import model
+from harriertide.config import operator_file
 from harriertide.decide.settings import from_wire, names_from_wire
 from harriertide.http import clients
 from harriertide.http.node_connection import NodeConnection
@@ -734,7 +734,7 @@
     if objects:
         boxes = {n: {"address": f"127.0.0.1:{ports[n]}", "shard": int(n[1]) - 1} for n in ("b1", "b2")}
         raw = {**OPERATOR, "boxes": boxes, "catalogue": str(folder / "catalogue")}
-        daemon = Daemon(None, model.read_operator(raw))
+        daemon = Daemon(None, operator_file.read_operator_file(raw))
 
         async def operate(words: list[str]) -> None:
             for word in words:
@@ -744,7 +744,7 @@
                 else:
                     boxes[name]["state"] = state
             assert daemon.objects is not None
-            daemon.objects.enact(model.read_state(raw))
+            daemon.objects.enact(operator_file.read_state(raw))
 
         world.operate = operate
     else:
@@ -777,7 +777,7 @@
 
         world.reload = reload
         raw = {**OPERATOR, "catalogue": str(folder / "catalogue")}
-        daemon = Daemon(config, model.read_operator(raw) if both else None)
+        daemon = Daemon(config, operator_file.read_operator_file(raw) if both else None)
     world.daemon = daemon
     await daemon.start()
     ports["front"] = daemon.port(1 if both else 0)
