--- a/harriertide/cli/benchlink.py
+++ b/harriertide/cli/benchlink.py
@@ -1,4 +1,9 @@
-"""The wire adapter: JSON lines to events, actions to JSON lines. It decides nothing."""
+"""The simulator's wire: lines of JSON to events, actions to lines of JSON. It decides nothing.
+
+The simulator runs many brokers in one process of this program and calls each an instance. It sends a batch:
+`batch` with its clock, any lines, `eob`. The reply is the actions of each instance in the batch, then `next`.
+The wire's own words are mapped here and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +12,7 @@
 import sys
 import traceback
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from typing import Any, BinaryIO
 
 import orjson
@@ -15,187 +21,325 @@
 from harriertide.decide.scheduler import Scheduler
 from harriertide.decide.settings import Fields, from_wire
 
-_KINDS = {
-    0: "ok", 5: "error", 11: "rejected", 110: "timeout", 111: "connect_failed",
-    104: "reset", 125: "cancelled", 114: "not_sent",
-}  # fmt: skip
-_STATES = {"live": "live", "quiescing": "draining", "dead": "gone"}
-_LISTS = {"delta": "delta", "full": "full", "cached": "cached", "failed": "failed"}
+EXIT_UNUSABLE_INPUT = 2
+
+# What an attempt or a health check ended with, by the wire's code: errno's numbers where there is one.
+_OUTCOME_KINDS: dict[int, api.OutcomeKind] = {
+    0: "ok",
+    5: "error",
+    11: "rejected",
+    104: "reset",
+    110: "timeout",
+    111: "connect_failed",
+    114: "not_sent",
+    125: "cancelled",
+}
+_NODE_STATES = {"live": "live", "quiescing": "draining", "dead": "gone"}
+_ENDPOINT_UPDATE_KINDS = ("delta", "full", "cached", "failed")
 
 
 class WireError(Exception):
-    """A line that the adapter cannot use."""
+    """A line of the simulator's that cannot be used: the sender is at fault."""
+
+
+# --- lines to events -------------------------------------------------------------------------------------
 
 
-def _entry(raw: Fields) -> api.NodeEntry:
+def _decode_node_entry(fields: Fields) -> api.NodeEntry:
     return api.NodeEntry(
-        node_id=raw["shelf"],
-        shard=raw["pod"],
-        state=_STATES[raw["state"]],  # type: ignore[arg-type]
-        zone=raw["zone"],
-        started_us=raw.get("lastStartUs") or 0,
+        node_id=fields["shelf"],
+        shard=fields["pod"],
+        state=_NODE_STATES[fields["state"]],  # type: ignore[arg-type]
+        zone=fields["zone"],
+        started_us=fields.get("lastStartUs") or 0,
     )
 
 
-def _demand(raw: Fields) -> api.Event:
+def _decode_arrival(fields: Fields) -> api.Arrival:
     return api.Arrival(
-        request_id=raw["req"],
-        request_class=raw["band"],
-        plan=raw["policyNo"],
-        volume=raw["owner"],
-        shard=int(raw["slotNo"]),
-        deadline_at_us=raw["validUntilUs"],
-        units=raw["costUnits"],
-        key=raw.get("item") or "",
-        sharing_broker_count=int(raw["writers"]),
-        is_retry=bool(raw.get("resent")),
+        request_id=fields["req"],
+        request_class=fields["band"],
+        plan=fields["policyNo"],
+        volume=fields["owner"],
+        shard=int(fields["slotNo"]),
+        deadline_at_us=fields["validUntilUs"],
+        units=fields["costUnits"],
+        key=fields.get("item") or "",
+        sharing_broker_count=int(fields["writers"]),
+        is_retry=bool(fields.get("resent")),
     )
 
 
-def _done(raw: Fields) -> api.Event:
+def _decode_response_started(fields: Fields) -> api.ResponseStarted:
+    return api.ResponseStarted(request_id=fields["req"], attempt=fields["sendNo"])
+
+
+def _decode_attempt_finished(fields: Fields) -> api.AttemptFinished:
     return api.AttemptFinished(
-        request_id=raw["req"],
-        attempt=raw["sendNo"],
-        node_id=raw["shelf"],
-        kind=_KINDS[raw["code"]],  # type: ignore[arg-type]
-        latency_us=raw.get("delaySeenUs") or 0,
-        is_final=bool(raw.get("complete")),
+        request_id=fields["req"],
+        attempt=fields["sendNo"],
+        node_id=fields["shelf"],
+        kind=_OUTCOME_KINDS[fields["code"]],
+        latency_us=fields.get("delaySeenUs") or 0,
+        is_final=bool(fields.get("complete")),
     )
 
 
-def _note(raw: Fields) -> api.Event:
+def _decode_client_disconnected(fields: Fields) -> api.ClientDisconnected:
+    return api.ClientDisconnected(request_id=fields["req"])
+
+
+def _decode_probe_finished(fields: Fields) -> api.ProbeFinished:
+    return api.ProbeFinished(node_id=fields["shelf"], kind=_OUTCOME_KINDS[fields["code"]])
+
+
+def _decode_timer_fired(fields: Fields) -> api.TimerFired:
+    return api.TimerFired(token=fields["ctx"])
+
+
+def _decode_peer_message(fields: Fields) -> api.PeerMessageReceived:
+    """A message of another broker; one that was garbled on its way counts as empty, as on a real network."""
     try:
-        body = base64.b64decode(raw["body"], validate=True)
+        body = base64.b64decode(fields["body"], validate=True)
     except (binascii.Error, ValueError):
         body = b""
-    return api.PeerMessageReceived(sender_index=raw["neighbour"], body=body)
+    return api.PeerMessageReceived(sender_index=fields["neighbour"], body=body)
 
 
-_EVENTS: dict[str, Callable[[Fields], api.Event]] = {
-    "demand": _demand,
-    "done": _done,
-    "established": lambda raw: api.ResponseStarted(request_id=raw["req"], attempt=raw["sendNo"]),
-    "aborted": lambda raw: api.ClientDisconnected(request_id=raw["req"]),
-    "sampled": lambda raw: api.ProbeFinished(raw["shelf"], _KINDS[raw["code"]]),  # type: ignore[arg-type]
-    "wake": lambda raw: api.TimerFired(token=raw["ctx"]),
-    "noteFrom": _note,
+_EVENT_DECODERS: dict[str, Callable[[Fields], api.Event]] = {
+    "demand": _decode_arrival,
+    "established": _decode_response_started,
+    "done": _decode_attempt_finished,
+    "aborted": _decode_client_disconnected,
+    "sampled": _decode_probe_finished,
+    "wake": _decode_timer_fired,
+    "noteFrom": _decode_peer_message,
 }
-_ACTIONS: dict[type, Callable[[Any], tuple[str, Fields]]] = {
-    api.StartAttempt: lambda a: ("try", {"req": a.request, "stopAtUs": a.stop_at_us, "shelf": a.node}),
-    api.CancelAttempt: lambda a: ("undoSend", {"req": a.request, "sendNo": a.attempt}),
-    api.Reject: lambda a: ("decline", {"req": a.request, "notBeforeForUs": a.retry_after_us}),
-    api.Fail: lambda a: ("lose", {"req": a.request}),
-    api.SetTimer: lambda a: ("wakeMe", {"sleepForUs": a.after_us, "ctx": a.token}),
-    api.WatchEndpoints: lambda a: ("tail", {"enable": True}),
-    api.SendPeerMessage: lambda a: ("announce", {"whom": a.head, "body": base64.b64encode(a.body).decode()}),
-    api.StartProbe: lambda a: ("askLoad", {"shelf": a.node}),
-    api.LogLine: lambda a: ("journalLine", {"message": a.text}),
+
+
+# --- actions to lines ------------------------------------------------------------------------------------
+
+
+def _encode_start_attempt(action: api.StartAttempt) -> Fields:
+    return {"req": action.request_id, "stopAtUs": action.stop_at_us, "shelf": action.node_id}
+
+
+def _encode_cancel_attempt(action: api.CancelAttempt) -> Fields:
+    return {"req": action.request_id, "sendNo": action.attempt}
+
+
+def _encode_reject(action: api.Reject) -> Fields:
+    return {"req": action.request_id, "notBeforeForUs": action.retry_after_us}
+
+
+def _encode_fail(action: api.Fail) -> Fields:
+    return {"req": action.request_id}
+
+
+def _encode_set_timer(action: api.SetTimer) -> Fields:
+    return {"sleepForUs": action.after_us, "ctx": action.token}
+
+
+def _encode_watch_endpoints(action: api.WatchEndpoints) -> Fields:
+    return {"enable": True}
+
+
+def _encode_peer_message(action: api.SendPeerMessage) -> Fields:
+    return {"whom": action.recipient_index, "body": base64.b64encode(action.body).decode()}
+
+
+def _encode_start_probe(action: api.StartProbe) -> Fields:
+    return {"shelf": action.node_id}
+
+
+def _encode_log_line(action: api.LogLine) -> Fields:
+    return {"message": action.text}
+
+
+_ACTION_ENCODERS: dict[type, tuple[str, Callable[[Any], Fields]]] = {  # the line's word, and its fields
+    api.StartAttempt: ("try", _encode_start_attempt),
+    api.CancelAttempt: ("undoSend", _encode_cancel_attempt),
+    api.Reject: ("decline", _encode_reject),
+    api.Fail: ("lose", _encode_fail),
+    api.SetTimer: ("wakeMe", _encode_set_timer),
+    api.WatchEndpoints: ("tail", _encode_watch_endpoints),
+    api.SendPeerMessage: ("announce", _encode_peer_message),
+    api.StartProbe: ("askLoad", _encode_start_probe),
+    api.LogLine: ("journalLine", _encode_log_line),
 }
 
 
-class Link:
-    """Reads batches from a stream, hosts one Scheduler for each instance, writes the replies."""
+def _encode_action(instance: str, action: api.Action) -> bytes:
+    word, encode = _ACTION_ENCODERS[type(action)]
+    return orjson.dumps({word: {"who": instance, **encode(action)}})
+
+
+def _encode_failure(instance: str, reason: str) -> bytes:
+    return orjson.dumps({"die": {"who": instance, "message": reason}})
+
+
+# --- the link --------------------------------------------------------------------------------------------
+
+
+@dataclass(slots=True)
+class Batch:
+    """What the simulator sends of one moment.
+
+    :param now_us: its clock.
+    :param events: by instance, in the order of their first lines: the order of the reply.
+    """
+
+    now_us: int
+    events: dict[str, list[api.Event]] = field(default_factory=dict)
+
+    def add(self, instance: str, event: api.Event) -> None:
+        """Append an event of an instance."""
+        self.events.setdefault(instance, []).append(event)
+
+
+class SimulatorLink:
+    """Reads batches from a stream, runs one scheduler for each instance, and writes the replies."""
 
     def __init__(self, source: BinaryIO, sink: BinaryIO) -> None:
         self._source = source
         self._sink = sink
-        self._line = 0
-        self._pages: dict[int, tuple[api.NodeEntry, ...]] = {}
-        self._instances: dict[str, Scheduler] = {}
-        self._named: set[str] = set()
-        self._faults: dict[str, str] = {}
+        self._batch: Batch | None = None
+        self._manifests: dict[int, tuple[api.NodeEntry, ...]] = {}  # endpoint lists, by page
+        self._schedulers: dict[str, Scheduler] = {}
+        self._start_failures: dict[str, str] = {}  # instances whose settings can't be used, and why
+        self._unknown_words: set[str] = set()  # each is reported once
+        self._handlers: dict[str, Callable[[Batch, Fields], None]] = {
+            "manifest": self._on_manifest,
+            "begin": self._on_begin,
+            "down": self._on_down,
+            "view": self._on_view,
+            "eob": self._on_end_of_batch,
+        }
 
     def run(self) -> None:
-        """Serve until the end of the input."""
-        now_us: int | None = None
-        batch: dict[str, list[api.Event]] = {}
-        for raw_line in self._source:
-            self._line += 1
-            if not raw_line.strip():
+        """Serve until the end of the input.
+
+        :raises WireError: naming the line that cannot be used; nothing of its batch was answered.
+        """
+        for number, line in enumerate(self._source, start=1):
+            if not line.strip():
                 continue
-            name, raw = self._parse(raw_line)
             try:
-                if name == "batch":
-                    now_us, batch = int(raw["clockUs"]), {}
-                elif now_us is None:
-                    raise WireError(f"{name} outside a batch")
-                elif name == "eob":
-                    self._reply(now_us, batch)
-                    now_us = None
-                else:
-                    self._take(name, raw, batch)
-            except KeyError as gap:
-                raise WireError(f"line {self._line}: {name}: missing or unknown value: {gap}") from None
-            except WireError as fault:
-                raise WireError(f"line {self._line}: {fault}") from None
-            except (TypeError, AttributeError, ValueError) as fault:
-                raise WireError(f"line {self._line}: {name}: {fault}") from None
-
-    def _parse(self, raw_line: bytes) -> tuple[str, Fields]:
+                self._on_line(line)
+            except WireError as error:
+                raise WireError(f"line {number}: {error}") from None
+
+    def _on_line(self, line: bytes) -> None:
+        word, fields = _parse_line(line)
         try:
-            value = orjson.loads(raw_line)
-        except orjson.JSONDecodeError as fault:
-            raise WireError(f"line {self._line}: not JSON: {fault}") from None
-        if not isinstance(value, dict) or len(value) != 1:
-            raise WireError(f"line {self._line}: not an object with one key")
-        name, raw = next(iter(value.items()))
-        if not isinstance(raw, dict):
-            raise WireError(f"line {self._line}: {name}: its value is not an object")
-        return name, raw
-
-    def _take(self, name: str, raw: Fields, batch: dict[str, list[api.Event]]) -> None:
-        if name == "manifest":
-            self._pages[raw["page"]] = tuple(_entry(entry) for entry in raw["records"])
-        elif name == "begin":
-            batch[raw["who"]] = []
-            self._faults.pop(raw["who"], None)
-            try:
-                self._instances[raw["who"]] = Scheduler(from_wire(raw["settings"]), raw["initSeed"])
-            except ValueError as fault:
-                traceback.print_exc(file=sys.stderr)
-                self._faults[raw["who"]] = f"ValueError: {fault}"
-        elif name == "down":
-            self._instances.pop(raw["who"], None)
-            batch.pop(raw["who"], None)
-        elif name == "view":
-            kind = _LISTS[raw["mode"]]
-            nodes = () if kind == "failed" else self._pages[raw["page"]]
-            batch.setdefault(raw["who"], []).append(api.EndpointUpdate(kind=kind, entries=nodes))  # type: ignore[arg-type]
-        elif name in _EVENTS:
-            batch.setdefault(raw["who"], []).append(_EVENTS[name](raw))
-        elif name not in self._named:
-            self._named.add(name)
-            print(f"unknown event disregarded: {name}", file=sys.stderr)
-
-    def _reply(self, now_us: int, batch: dict[str, list[api.Event]]) -> None:
+            self._on_word(word, fields)
+        except KeyError as gap:
+            raise WireError(f"{word}: missing or unknown value: {gap}") from None
+        except (TypeError, AttributeError, ValueError) as error:
+            raise WireError(f"{word}: {error}") from None
+
+    def _on_word(self, word: str, fields: Fields) -> None:
+        if word == "batch":
+            self._batch = Batch(now_us=int(fields["clockUs"]))
+            return
+        batch = self._batch
+        if batch is None:
+            raise WireError(f"{word} outside a batch")
+        decode = _EVENT_DECODERS.get(word)
+        if decode is not None:
+            batch.add(fields["who"], decode(fields))
+            return
+        handle = self._handlers.get(word)
+        if handle is not None:
+            handle(batch, fields)
+        elif word not in self._unknown_words:
+            self._unknown_words.add(word)
+            print(f"unknown event disregarded: {word}", file=sys.stderr)
+
+    def _on_manifest(self, batch: Batch, fields: Fields) -> None:
+        """An endpoint list, which views of any instance refer to by its page."""
+        self._manifests[fields["page"]] = tuple(_decode_node_entry(entry) for entry in fields["records"])
+
+    def _on_begin(self, batch: Batch, fields: Fields) -> None:
+        """Start an instance, anew if there is one of that name."""
+        instance = fields["who"]
+        batch.events[instance] = []
+        self._start_failures.pop(instance, None)
+        try:
+            self._schedulers[instance] = Scheduler(from_wire(fields["settings"]), fields["initSeed"])
+        except ValueError as error:
+            traceback.print_exc(file=sys.stderr)
+            self._start_failures[instance] = f"ValueError: {error}"
+
+    def _on_down(self, batch: Batch, fields: Fields) -> None:
+        """An instance was killed: nothing is asked of it any more."""
+        instance = fields["who"]
+        self._schedulers.pop(instance, None)
+        batch.events.pop(instance, None)
+
+    def _on_view(self, batch: Batch, fields: Fields) -> None:
+        """An instance's endpoint list is one of the manifests, or could not be had."""
+        kind = fields["mode"]
+        if kind not in _ENDPOINT_UPDATE_KINDS:
+            raise KeyError(kind)
+        entries = () if kind == "failed" else self._manifests[fields["page"]]
+        batch.add(fields["who"], api.EndpointUpdate(kind=kind, entries=entries))
+
+    def _on_end_of_batch(self, batch: Batch, fields: Fields) -> None:
+        """Have every instance of the batch decide, and reply."""
         lines: list[bytes] = []
-        for who, events in batch.items():
-            if who in self._faults:
-                lines.append(orjson.dumps({"die": {"who": who, "message": self._faults[who]}}))
-                continue
-            scheduler = self._instances.get(who)
-            if scheduler is None:
-                continue
-            try:
-                for action in scheduler.decide(now_us, events):
-                    name, fields = _ACTIONS[type(action)](action)
-                    lines.append(orjson.dumps({name: {"who": who, **fields}}))
-            except Exception as fault:  # the module's own failure, told as such
-                traceback.print_exc(file=sys.stderr)
-                text = f"{type(fault).__name__}: {fault}"
-                lines.append(orjson.dumps({"die": {"who": who, "message": text}}))
+        for instance, events in batch.events.items():
+            lines += self._decide(batch.now_us, instance, events)
         lines.append(b'{"next":{}}\n')
         self._sink.write(b"\n".join(lines))
         self._sink.flush()
+        self._batch = None
+
+    def _decide(self, now_us: int, instance: str, events: list[api.Event]) -> list[bytes]:
+        """One instance's part of the reply.
+
+        A fault of the decision module itself is reported as the instance's end, behind the actions before it:
+        the simulator then counts it against this program and goes on with the other instances.
+        """
+        if instance in self._start_failures:
+            return [_encode_failure(instance, self._start_failures[instance])]
+        scheduler = self._schedulers.get(instance)
+        if scheduler is None:
+            return []
+        lines: list[bytes] = []
+        try:
+            for action in scheduler.decide(now_us, events):
+                lines.append(_encode_action(instance, action))
+        except Exception as error:
+            traceback.print_exc(file=sys.stderr)
+            lines.append(_encode_failure(instance, f"{type(error).__name__}: {error}"))
+        return lines
+
+
+def _parse_line(line: bytes) -> tuple[str, Fields]:
+    """The line's word and its fields."""
+    try:
+        value = orjson.loads(line)
+    except orjson.JSONDecodeError as error:
+        raise WireError(f"not JSON: {error}") from None
+    if not isinstance(value, dict) or len(value) != 1:
+        raise WireError("not an object with one key")
+    word, fields = next(iter(value.items()))
+    if not isinstance(fields, dict):
+        raise WireError(f"{word}: its value is not an object")
+    return word, fields
 
 
 def main() -> int:
-    """Run the adapter on standard input and output; 2 on a line it cannot use."""
+    """Run the link on standard input and output.
+
+    :returns: exit status; 2 where a line cannot be used.
+    """
     try:
-        Link(sys.stdin.buffer, sys.stdout.buffer).run()
-    except WireError as fault:
-        print(fault, file=sys.stderr)
-        return 2
+        SimulatorLink(sys.stdin.buffer, sys.stdout.buffer).run()
+    except WireError as error:
+        print(error, file=sys.stderr)
+        return EXIT_UNUSABLE_INPUT
     return 0
 
 
--- a/harriertide/cli/demo.py
+++ b/harriertide/cli/demo.py
@@ -18,14 +18,17 @@
 import tempfile
 import time
 from contextlib import ExitStack
-from functools import partial
 from pathlib import Path
-from typing import IO, Any
+from typing import IO, Any, NoReturn
 
 from harriertide.decide.settings import SettingsError
 
-STOP_S = 10.0
-FILE = """\
+CHILD_STOP_TIMEOUT_S = 10.0  # over the longest graceful shutdown of a daemon
+CHILD_CHECK_INTERVAL_S = 0.2
+BROKER_COUNTS = ("1", "3", "5")
+NUMBER_BOUNDS = {"--port": (0, 65_535), "--boxes": (1, 32)}
+LISTENING_MARK = "event=serves on="  # of the daemon's log line; the object front's comes first, then admin's
+OPERATOR_FILE = """\
 listen = "127.0.0.1:{port}"
 admin = "127.0.0.1:0"
 catalogue = "{catalogue}"
@@ -45,134 +48,200 @@
 [volumes.layouts]
 grade = "archive"
 """
-
-
-def _start(stack: ExitStack, *words: str) -> subprocess.Popen[str]:
-    command = [sys.executable, "-m", "harriertide", *words]
-    out = subprocess.PIPE if words[0] == "box" else None
-    err = None if words[0] == "box" else subprocess.PIPE
-    # a process group of its own: Ctrl-C reaches this process only, which then ends them in order
-    child = subprocess.Popen(command, stdout=out, stderr=err, text=True, start_new_session=True)
-    stack.callback(_stop, child)
-    return child
-
-
-def _stop(child: subprocess.Popen[str]) -> None:
-    if child.poll() is None:
-        child.send_signal(signal.SIGTERM)
-        try:
-            child.communicate(timeout=STOP_S)
-        except subprocess.TimeoutExpired:
-            child.kill()
-            child.communicate()
-
-
-def _word(stream: IO[str] | None, mark: str) -> str:
-    """What follows a mark in the next line that has it."""
-    assert stream is not None
-    while line := stream.readline():
-        if mark in line:
-            return line.partition(mark)[2].strip()
-        print(line, end="", file=sys.stderr)
-    raise SettingsError("demo: a part of it did not start")
+MAINTENANCE_ORDER = """\
+order = "firmware"
+machines = ["box-1", "box-2"]
+work = "restart"
+takes_s = 60
+"""
 
 
 def main(given: dict[str, Any]) -> int:
-    """Until it is interrupted."""
-    if given["--brokers"] not in ("1", "3", "5"):
-        raise SettingsError(f"--brokers: {given['--brokers']} is none of 1, 3 and 5")
-    for name, least, most in (("--port", 0, 65535), ("--boxes", 1, 32)):
-        if not str(given[name]).isdigit() or not least <= int(given[name]) <= most:
-            raise SettingsError(f"{name}: {given[name]} is no whole number from {least} to {most}")
-
-    def interrupted(number: int, frame: object) -> None:
-        raise KeyboardInterrupt
+    """Run until it is interrupted.
 
+    :returns: exit status 0.
+    :raises SettingsError: where an option is wrong, or a process of the demo did not start or has ended.
+    """
+    _check_options(given)
+    port, node_count, broker_count = (int(given[name]) for name in ("--port", "--boxes", "--brokers"))
     for number in (signal.SIGINT, signal.SIGTERM):  # also where the shell had them ignored
-        signal.signal(number, interrupted)
+        signal.signal(number, _interrupt)
     with ExitStack() as stack:
         try:
-            made = tempfile.TemporaryDirectory(prefix="harriertide-")
-            folder = given["--folder"] or stack.enter_context(made)
-            Path(folder).mkdir(exist_ok=True)
-            play = _play if given["--brokers"] == "1" else partial(_several, int(given["--brokers"]))
-            play(stack, Path(folder), int(given["--port"]), int(given["--boxes"]))
+            folder = _open_folder(stack, given["--folder"])
+            if broker_count == 1:
+                _run_one_broker(stack, folder, port, node_count)
+            else:
+                _run_agreeing_brokers(stack, folder, broker_count, node_count)
         except KeyboardInterrupt:
             print("stopping", flush=True)
     return 0
 
 
-def _free(port: int) -> None:
-    """SettingsError where the port is taken, before anything is started."""
-    with socket.socket() as probe:
-        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        try:
-            probe.bind(("127.0.0.1", port))
-        except OSError as fault:
-            raise SettingsError(f"--port: 127.0.0.1:{port} can't be had: {fault.strerror}") from None
+def _check_options(given: dict[str, Any]) -> None:
+    if given["--brokers"] not in BROKER_COUNTS:
+        raise SettingsError(f"--brokers: {given['--brokers']} is none of 1, 3 and 5")
+    for name, (minimum, maximum) in NUMBER_BOUNDS.items():
+        text = str(given[name])
+        if not text.isdigit() or not minimum <= int(text) <= maximum:
+            raise SettingsError(f"{name}: {text} is no whole number from {minimum} to {maximum}")
 
 
-def _boxes(stack: ExitStack, count: int) -> str:
-    """Start boxes; their rows of the operator's file."""
-    rows = ""
-    for place in range(count):
-        at = _word(_start(stack, "box").stdout, "box on ")
-        print(f"box-{place + 1}       on {at}")
-        rows += f'\n[boxes.box-{place + 1}]\naddress = "{at}"\nshard = {place}\n'
-    return rows
+def _interrupt(number: int, frame: object) -> NoReturn:
+    raise KeyboardInterrupt
+
+
+def _open_folder(stack: ExitStack, given: str | None) -> Path:
+    """The folder that was given, or one that is deleted at the end."""
+    if given is None:
+        return Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="harriertide-")))
+    folder = Path(given)
+    folder.mkdir(exist_ok=True)
+    return folder
+
+
+# --- what it runs ----------------------------------------------------------------------------------------
+
+
+def _run_one_broker(stack: ExitStack, folder: Path, port: int, node_count: int) -> NoReturn:
+    """One daemon, its log passed on, and calls of the object front to try."""
+    _check_port_is_free(port)
+    boxes = _start_nodes(stack, node_count)
+    file = folder / "objects.toml"
+    text = OPERATOR_FILE.format(port=port, catalogue=folder / "catalogue.sqlite3", boxes=boxes)
+    file.write_text(text, encoding="utf-8")
+    daemon = _start_daemon(stack, file)
+    front = _read_after(daemon.stderr, LISTENING_MARK)
+    admin = _read_after(daemon.stderr, LISTENING_MARK)
+    print(f"object front on {front}\nadmin       on {admin}\nfile        {file}\n\ntry:")
+    for command in _object_commands(front, folder / "big"):
+        print(f"  {command}")
+    print("\nCtrl-C ends it.", flush=True)
+    assert daemon.stderr is not None
+    for line in daemon.stderr:
+        print(line, end="", file=sys.stderr, flush=True)
+    raise SettingsError("demo: the daemon has ended")
 
 
-def _several(number: int, stack: ExitStack, folder: Path, port: int, count: int) -> None:
-    """Brokers that agree, one process each."""
-    held = [stack.enter_context(socket.socket()) for _ in range(number)]
-    for each in held:
-        each.bind(("127.0.0.1", 0))
-    names = [f"broker-{place + 1}" for place in range(number)]
-    section = ""
-    for name, each in zip(names, held, strict=True):
-        at = f"127.0.0.1:{each.getsockname()[1]}"
-        section += f'\n[maintenance.brokers.{name}]\naddress = "{at}"\nvoter = "yes"\n'
-        each.close()
-    boxes = _boxes(stack, count)
-    admins, daemons = [], []
+def _object_commands(front: str, big_file: Path) -> list[str]:
+    return [
+        f"curl -X PUT --data-binary 'hold the front page' http://{front}/photos/story",
+        f"curl http://{front}/photos/story",
+        f"curl -H 'Range: bytes=9-13' http://{front}/photos/story",
+        f"head -c 12582912 /dev/urandom >{big_file}",
+        f"curl -T {big_file} http://{front}/photos/big",
+        f"curl -s http://{front}/photos/big | cmp - {big_file} && echo the same",
+    ]
+
+
+def _run_agreeing_brokers(stack: ExitStack, folder: Path, broker_count: int, node_count: int) -> NoReturn:
+    """Brokers that agree on maintenance, one process each, and calls of the command `maintenance` to try."""
+    names = [f"broker-{number}" for number in range(1, broker_count + 1)]
+    broker_section = "".join(
+        f'\n[maintenance.brokers.{name}]\naddress = "127.0.0.1:{port}"\nvoter = "yes"\n'
+        for name, port in zip(names, _choose_free_ports(broker_count), strict=True)
+    )
+    boxes = _start_nodes(stack, node_count)
+    admin_addresses = []
+    daemons = []
     for name in names:
         file = folder / f"{name}.toml"
-        text = FILE.format(port=0, catalogue=folder / f"{name}.sqlite3", boxes=boxes)
-        own = f'\n[maintenance]\nname = "{name}"\nfolder = "{folder / name}"\n'
-        file.write_text(text + own + section, encoding="utf-8")
-        daemon = _start(stack, "serve", "--objects", str(file))
-        at, admin = (_word(daemon.stderr, "event=serves on=") for _ in range(2))
-        print(f"{name} front on {at}, admin on {admin}")
-        admins.append(admin)
+        text = OPERATOR_FILE.format(port=0, catalogue=folder / f"{name}.sqlite3", boxes=boxes)
+        own_section = f'\n[maintenance]\nname = "{name}"\nfolder = "{folder / name}"\n'
+        file.write_text(text + own_section + broker_section, encoding="utf-8")
+        daemon = _start_daemon(stack, file)
+        front = _read_after(daemon.stderr, LISTENING_MARK)
+        admin = _read_after(daemon.stderr, LISTENING_MARK)
+        print(f"{name} front on {front}, admin on {admin}")
+        admin_addresses.append(admin)
         daemons.append(daemon)
     order = folder / "order.toml"
-    order.write_text('order = "firmware"\nmachines = ["box-1", "box-2"]\nwork = "restart"\ntakes_s = 60\n')
+    order.write_text(MAINTENANCE_ORDER, encoding="utf-8")
     print("\ntry:")
     for words in ("status", f"plan {order}", f"request {order}", "status", "done box-1"):
-        print(f"  {sys.executable} -m harriertide maintenance {words} --at {admins[0]}")
+        print(f"  {sys.executable} -m harriertide maintenance {words} --at {admin_addresses[0]}")
     print("\nCtrl-C ends it.", flush=True)
     while all(daemon.poll() is None for daemon in daemons):
-        time.sleep(0.2)
+        time.sleep(CHILD_CHECK_INTERVAL_S)
     raise SettingsError("demo: a broker has ended")
 
 
-def _play(stack: ExitStack, folder: Path, port: int, count: int) -> None:
-    _free(port)
-    rows = _boxes(stack, count)
-    file = folder / "objects.toml"
-    text = FILE.format(port=port, catalogue=folder / "catalogue.sqlite3", boxes=rows)
-    file.write_text(text, encoding="utf-8")
-    daemon = _start(stack, "serve", "--objects", str(file))
-    at, admin = (_word(daemon.stderr, "event=serves on=") for _ in range(2))
-    print(f"object front on {at}\nadmin       on {admin}\nfile        {file}\n\ntry:")
-    print(f"  curl -X PUT --data-binary 'hold the front page' http://{at}/photos/story")
-    print(f"  curl http://{at}/photos/story")
-    print(f"  curl -H 'Range: bytes=9-13' http://{at}/photos/story")
-    big = folder / "big"
-    print(f"  head -c 12582912 /dev/urandom >{big}")
-    print(f"  curl -T {big} http://{at}/photos/big")
-    print(f"  curl -s http://{at}/photos/big | cmp - {big} && echo the same\n\nCtrl-C ends it.", flush=True)
-    assert daemon.stderr is not None
-    for line in daemon.stderr:
-        print(line, end="", file=sys.stderr, flush=True)
-    raise SettingsError("demo: the daemon has ended")
+# --- its processes ---------------------------------------------------------------------------------------
+
+
+def _start_nodes(stack: ExitStack, count: int) -> str:
+    """Start stand-in nodes.
+
+    :returns: their rows of the operator's file.
+    """
+    rows = ""
+    for shard in range(count):
+        name = f"box-{shard + 1}"
+        node = _start(stack, ["node"], stdout=subprocess.PIPE)
+        address = _read_after(node.stdout, "node on ")
+        print(f"{name}       on {address}")
+        rows += f'\n[boxes.{name}]\naddress = "{address}"\nshard = {shard}\n'
+    return rows
+
+
+def _start_daemon(stack: ExitStack, file: Path) -> subprocess.Popen[str]:
+    return _start(stack, ["serve", "--objects", str(file)], stderr=subprocess.PIPE)
+
+
+def _start(
+    stack: ExitStack, words: list[str], stdout: int | None = None, stderr: int | None = None
+) -> subprocess.Popen[str]:
+    """Start a command of this program; it is stopped as the stack unwinds.
+
+    It has a session of its own: Ctrl-C reaches this process alone, which then ends the others in order.
+    """
+    child = subprocess.Popen(
+        [sys.executable, "-m", "harriertide", *words],
+        stdout=stdout,
+        stderr=stderr,
+        text=True,
+        start_new_session=True,
+    )
+    stack.callback(_stop, child)
+    return child
+
+
+def _stop(child: subprocess.Popen[str]) -> None:
+    """Stop it gracefully, or kill it where that takes too long; its output is read to the end."""
+    if child.poll() is not None:
+        return
+    child.send_signal(signal.SIGTERM)
+    try:
+        child.communicate(timeout=CHILD_STOP_TIMEOUT_S)
+    except subprocess.TimeoutExpired:
+        child.kill()
+        child.communicate()
+
+
+def _read_after(stream: IO[str] | None, mark: str) -> str:
+    """What follows a mark in the next line that has it; lines before go to standard error."""
+    assert stream is not None
+    while line := stream.readline():
+        if mark in line:
+            return line.partition(mark)[2].strip()
+        print(line, end="", file=sys.stderr)
+    raise SettingsError("demo: a part of it did not start")
+
+
+def _check_port_is_free(port: int) -> None:
+    """Guard against a demo that starts nodes and then ends as its port is taken: look before the start."""
+    with socket.socket() as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        try:
+            probe.bind(("127.0.0.1", port))
+        except OSError as error:
+            raise SettingsError(f"--port: 127.0.0.1:{port} can't be had: {error.strerror}") from None
+
+
+def _choose_free_ports(count: int) -> list[int]:
+    """Ports that the system has free now; all are held at once, so that none comes twice."""
+    with ExitStack() as held:
+        sockets = [held.enter_context(socket.socket()) for _ in range(count)]
+        for each in sockets:
+            each.bind(("127.0.0.1", 0))
+        return [int(each.getsockname()[1]) for each in sockets]
--- a/harriertide/cli/lab.py
+++ b/harriertide/cli/lab.py
@@ -4,16 +4,16 @@
 
 Experiments:
   bench-library  what a request costs direct, through the library and through the daemon
-  bench-maintenance  what rolling work and agreement cost
-  consensus-check  a search through the states of three members of the agreed log, and drawn courses of five
+  bench-maintenance  what rolling maintenance and consensus cost
+  consensus-check  a search through the states of three members of the agreed log, and random runs of five
   drains         drains of a real broker under load
-  limits         how much of a plan's limit heads use that lose messages and die
-  maintenance    orders of work on real brokers and boxes, with drawn faults between them
+  limits         how much of a plan's limit brokers use that lose messages and die
+  maintenance    orders of work on real brokers and nodes, with random faults between them
   operator-calls  how soon operators are answered under overload, on a part of a core
   parity         one workload through daemon and library; every decision compared
-  processes      real brokers with faults between them, judged at the box by a plan's limit
-  upgrades       upgrades in place of a real broker under load, with drawn faults
-  second-copy    look for second copies on real sockets; see docs/measurements/second-copy.md
+  processes      real brokers with faults between them, checked at the node by a plan's limit
+  upgrades       upgrades in place of a real broker under load, with random faults
+  second-copy    look for hedged requests on real sockets; see docs/measurements/second-copy.md
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from harriertide.decide.settings import SettingsError
 
-EXPERIMENTS = {
+MODULES = {  # by experiment, under harriertide/lab/
     "bench-library": "bench_library",
     "bench-maintenance": "bench_upkeep",
     "consensus-check": "check",
@@ -39,11 +39,14 @@
 
 
 def main(given: dict[str, Any]) -> int:
-    """Run one."""
-    if given["EXPERIMENT"] not in EXPERIMENTS:
-        raise SettingsError(
-            f"lab: {given['EXPERIMENT']}: no such experiment; there is {', '.join(EXPERIMENTS)}"
-        )
-    # by name: experiments start whole daemons, so their floor is above this one
-    module = import_module(f"harriertide.lab.{EXPERIMENTS[given['EXPERIMENT']]}")
+    """Run one experiment.
+
+    :returns: its exit status.
+    :raises SettingsError: where there is no such experiment, or it can't use its arguments.
+    """
+    name = given["EXPERIMENT"]
+    if name not in MODULES:
+        raise SettingsError(f"lab: {name}: no such experiment; there is {', '.join(MODULES)}")
+    # imported by name: experiments start whole daemons, so their layer is above this one
+    module = import_module(f"harriertide.lab.{MODULES[name]}")
     return int(module.main(given["ARGUMENT"]))
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -14,7 +14,7 @@
 from aiohttp import ClientSession, web
 
 from examples import aiohttp_app, starlette_app
-from harriertide.cli import box
+from harriertide.cli import node
 from harriertide.library import Broker
 
 ROOT = Path(__file__).parent.parent
@@ -34,7 +34,7 @@
 @asynccontextmanager
 async def stand(folder: Path) -> AsyncIterator[Path]:
     """One box, and the operator's file that names it."""
-    runner, port = await box.listen(box.Box(4, 4, 0, 1), "127.0.0.1", 0)
+    runner, port = await node.listen(node.StandInNode(node.NodeOptions(4, 4, 0, 1)), "127.0.0.1", 0)
     file = folder / "boxes.toml"
     file.write_text(FILE.format(port=port))
     try:
