--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -1,28 +1,35 @@
-"""The life of the daemon: configuration in, sockets up, signals, an orderly end."""
+"""The daemon: one broker's process, composed of its parts.
+
+What happens to it is in modules of its own, each a function over the process: `startup`, `reload` (SIGHUP),
+`shutdown` (SIGTERM, SIGINT) and `in_place_upgrade` (a newer process of the same broker takes over).
+"""
 
 from __future__ import annotations
 
 import asyncio
 import gc
 import signal
-import socket
 import sqlite3
 import sys
 import time
 from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from harriertide.cli.listeners import Address, Listeners
+from harriertide.cli.reload import reload
+from harriertide.cli.shutdown import shut_down
+from harriertide.cli.startup import Readiness, start_up
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
 from harriertide.decide.settings import Names, SettingsError
-from harriertide.engine.clock import Clock, until
+from harriertide.engine.clock import Clock
 from harriertide.engine.counts import fields
 from harriertide.engine.log import adopt_libraries, log
 from harriertide.engine.runtime import Runtime
-from harriertide.http.clients import ConnectionTable, FrontServer
+from harriertide.http.clients import ConnectionTable
 from harriertide.http.limits import read_limits
-from harriertide.http.listening import InheritError, inherit, listen, stop_listening
 from harriertide.http.nodes import NodeClient
 from harriertide.http.relay import BodyBudget
 from harriertide.lifecycle.machine import Lifecycle
@@ -30,107 +37,152 @@
 from harriertide.platform.connection import PlatformServer
 from harriertide.platform.discovery import Directory, Watch
 from harriertide.platform.front import Front
-from harriertide.platform.peers import Peers, address
+from harriertide.platform.peers import Peers
 from harriertide.platform.probes import Probes
 
 if TYPE_CHECKING:  # a broker of the platform does without the object front, and starts the sooner
     from harriertide.cli.in_place_upgrade import InPlaceUpgrade
-    from harriertide.config.model import Maintenance, Operator
+    from harriertide.config.maintenance_section import MaintenanceSettings
+    from harriertide.config.operator_file import OperatorFile
     from harriertide.control.maintenance_service import Service
     from harriertide.lifecycle.operator_api import OperatorApi
     from harriertide.objects.service import ObjectService
 
-# After SIGTERM: new connections are taken this long. Then those that clients keep are served on, as long as
-# a request may take (LONGEST_S at most) and a little less than SLACK_S more; what is open by then is refused.
-ACCEPT_S, LONGEST_S, SLACK_S = 0.5, 3.0, 0.4
-LIST_S = 2.0  # at the start an agent that says nothing, as discovery is away, is waited for so long
-LAST_S = 0.3  # before that end no connection is kept after its answer
-LINGER_S = 0.15  # after it clients may read their last answers: a close on bytes unread would reset them away
+EXIT_UNUSABLE = 2  # the configuration or the operator's file can't be used
+
+# Without a platform: no names to translate, and connections to nodes on loopback.
+_LOCAL_NAMES = Names({}, {}, {}, connect_us=250_000, idle_us=15_000_000)
+_EMPTY_ENDPOINT_LIST: dict[str, Any] = {"seq": 0, "whole": True, "hosts": []}
+
+
+@dataclass(frozen=True, slots=True)
+class InitialSettings:
+    """What the core and the fronts start with, whoever states it.
+
+    :param seed: of the core's random numbers.
+    :param endpoint_list: the list to start with, in discovery's form.
+    """
 
+    settings: api.Settings
+    names: Names
+    seed: int
+    endpoint_list: dict[str, Any]
 
-_LOCAL = Names({}, {}, {}, connect_us=250_000, idle_us=15_000_000)  # without a platform
+
+def find_initial_settings(config: Config | None, operator_file: OperatorFile | None) -> InitialSettings:
+    """The platform's configuration counts where there is one, else the operator's file.
+
+    :raises BadConfigError: where there is neither.
+    """
+    if config is not None:
+        return InitialSettings(config.settings, config.names, config.seed, config.known)
+    if operator_file is None:
+        raise BadConfigError("nothing to serve")
+    from harriertide.config.decision_settings import build_settings
+
+    state = operator_file.state
+    settings = build_settings(state, list(state["grades"]))
+    return InitialSettings(settings, _LOCAL_NAMES, time.time_ns(), _EMPTY_ENDPOINT_LIST)
 
 
 class Daemon:
-    """One process in service: the platform's front, the object front, or both on one core."""
+    """One process in service: the platform's front, the object front, or both on one core.
+
+    :param config: the platform's configuration; None: there is no platform.
+    :param operator_file: of the object front; None: there is none.
+    :param maintenance_overrides: arguments of the maintenance service, in place of the disk and the wall
+        clock: for experiments.
+    """
 
     def __init__(
-        self, config: Config | None, operator: Operator | None, hooks: dict[str, Any] | None = None
+        self,
+        config: Config | None,
+        operator_file: OperatorFile | None,
+        maintenance_overrides: dict[str, Any] | None = None,
     ) -> None:
-        loop = asyncio.get_running_loop()
+        initial = find_initial_settings(config, operator_file)
+        self.config = config
         self.stopping = asyncio.Event()
         self.lifecycle = Lifecycle()
+        self.listeners = Listeners()
+        self.readiness = Readiness(self._on_ready)
         self.operator_api: OperatorApi | None = None
-        self.list_heard = asyncio.Event()  # the first list, where one is waited for
-        self.list_heard.set()
-        self._door: tuple[str, int] | socket.socket | None = None  # where clients of the platform come
-        self._door_server: asyncio.Server | None = None
-        self.open = False  # all listeners are up
         self.in_place_upgrade: InPlaceUpgrade | None = None
-        self.config = config
+        self.watch: Watch | None = None
+        self.peers: Peers | None = None
+        self.objects: ObjectService | None = None
+        self.maintenance: Service | None = None
+        self._compose_core(initial)
         if config is not None:
-            settings, names, seed = config.settings, config.names, config.seed
-            known = config.known
-        elif operator is not None:
-            from harriertide.config import model
-
-            settings, names = model.settings(operator.state, list(operator.state["grades"])), _LOCAL
-            seed, known = time.time_ns(), {"seq": 0, "whole": True, "hosts": []}
-        else:
-            raise BadConfigError("nothing to serve")
-        self.core, self.seed = Reducer(settings, seed), seed
-        self.runtime = Runtime(self.core, Clock(loop))
+            self._compose_platform_side(config, initial)
+        if operator_file is not None:
+            self._compose_object_front(operator_file, initial.names)
+            if operator_file.maintenance is not None:
+                self._compose_maintenance(operator_file.maintenance, maintenance_overrides or {})
+
+    # --- composition ---------------------------------------------------------------------------
+
+    def _compose_core(self, initial: InitialSettings) -> None:
+        """What every process has: the core on its loop, clients on one side and nodes on the other."""
+        names = initial.names
+        limits = self.config.limits if self.config is not None else read_limits()
+        self.seed = initial.seed
+        self.core = Reducer(initial.settings, initial.seed)
+        self.runtime = Runtime(self.core, Clock(asyncio.get_running_loop()))
         self.directory = Directory(names.zones)
-        limits = config.limits if config is not None else read_limits()
         self.clients = ConnectionTable(limits)
-        self.client = NodeClient(self._find, names.connect_us, names.idle_us, limits)
+        self.client = NodeClient(self._find_node_address, names.connect_us, names.idle_us, limits)
         self.bodies = BodyBudget(limits.bodies)
         self.front = Front(self.runtime, self.client, names, self.bodies)
-        self.apply_lifecycle()
-        self.watch: Watch | None = None
-        self.peers: Peers | None = None
-        self.objects: ObjectService | None = None
         self.probes = Probes(self.client, self.runtime.post)
         self.runtime.probe = self.probes.start
-        if config is not None:
-            self.watch = Watch(config.discovery, self.directory, self.runtime.post)
-            self.peers = Peers(config.peers, config.settings.broker_index, self.runtime.post)
-            self.runtime.watch, self.runtime.tell = self.watch.open, self.peers.tell
-            self.runtime.post(ev.EndpointsUpdated(self.directory.read(known, "cached")))
-        if operator is not None:
-            from harriertide.objects.service import ObjectService
-
-            platform = names.plans if config is not None else None
-            writes = config.writes if config is not None else ()
-            self.objects = ObjectService(operator, self.runtime, self.client, platform, writes)
-        self.upkeep: Service | None = None
-        if operator is not None and operator.maintenance is not None and self.objects is not None:
-            self.upkeep = self._agree(operator.maintenance, self.objects, hooks or {})
-
-    def _agree(self, settings: Maintenance, objects: ObjectService, hooks: dict[str, Any]) -> Service:
-        """Take part in what brokers agree on. hooks: in place of the disk's sync and the wall's clock."""
+        self.apply_lifecycle()
+
+    def _compose_platform_side(self, config: Config, initial: InitialSettings) -> None:
+        """The endpoint list from discovery, and messages between brokers."""
+        self.watch = Watch(config.discovery, self.directory, self.runtime.post)
+        self.peers = Peers(config.peers, config.settings.broker_index, self.runtime.post)
+        self.runtime.watch = self.watch.open
+        self.runtime.tell = self.peers.tell
+        cached = self.directory.read(initial.endpoint_list, "cached")
+        self.runtime.post(ev.EndpointsUpdated(cached))
+
+    def _compose_object_front(self, operator_file: OperatorFile, names: Names) -> None:
+        from harriertide.objects.service import ObjectService
+
+        config = self.config
+        platform_plans = names.plans if config is not None else None
+        writes = config.writes if config is not None else ()
+        self.objects = ObjectService(operator_file, self.runtime, self.client, platform_plans, writes)
+
+    def _compose_maintenance(self, settings: MaintenanceSettings, overrides: dict[str, Any]) -> None:
+        """Take part in what the brokers agree on."""
         from harriertide.control.maintenance_service import Service
 
-        def ready(on: bool) -> None:
-            self.lifecycle.is_in_maintenance = not on
-            self.apply_lifecycle()
-            objects.front.ready = on
+        objects = self.objects
+        assert objects is not None, "maintenance is a section of the object front's file"
 
-        def unix_us() -> int:
-            return self.runtime.clock.now_us()
+        def set_ready(is_ready: bool) -> None:
+            self.lifecycle.is_in_maintenance = not is_ready
+            self.apply_lifecycle()
+            objects.front.ready = is_ready
 
-        made = Service(settings, self.core, objects, unix_us, self.stopping.set, ready, **hooks)
-        objects.admin.more["maintenance"] = made.handle
-        return made
+        clock = self.runtime.clock
+        self.maintenance = Service(
+            settings, self.core, objects, clock.now_us, self.stopping.set, set_ready, **overrides
+        )
+        objects.admin.add_subsystem("maintenance", self.maintenance.handle)
 
-    def _find(self, node: str) -> str | None:
-        """Where a box is dialled: as discovery says, or the operator."""
+    def _find_node_address(self, node: str) -> str | None:
+        """Where a node is dialled: as the operator says, else as discovery does."""
         own = self.objects.find(node) if self.objects is not None else None
         return own or self.directory.find(node)
 
+    # --- what holds for the parts now ----------------------------------------------------------
+
     def settings_in_force(self) -> api.Settings:
-        """Those of the configuration, less what a newer process of this broker gives out."""
-        assert self.config is not None
+        """The settings of the configuration, less what a newer process of this broker gives out."""
+        assert self.config is not None, "only a platform's settings change hands"
         if not self.lifecycle.is_superseded:
             return self.config.settings
         from harriertide.decide.handover import superseded
@@ -138,46 +190,14 @@
         return superseded(self.config.settings)
 
     def apply_lifecycle(self) -> None:
-        """Have all parts go by the state of this process, in the same turn of the loop."""
-        lifecycle, front = self.lifecycle, self.front
-        front.ready, front.last = lifecycle.is_healthy, lifecycle.closes_connections
-        self.clients.retire(lifecycle.is_draining)
-
-    def reload(self, environment: Mapping[str, str]) -> None:
-        """Go by the configuration file as it is now; by what was there before if it can't be used.
-
-        Requests that are under way keep their deadlines, their classes and their plans. Where this process
-        listens stays as it is.
-        """
-        held = self.config
-        if held is None or self.watch is None or self.peers is None:
-            log("nothing to reload", reason="no configuration file; plan and apply change the operator's")
-            return
-        try:
-            fresh = read_config(environment, held)
-            self.peers.relist(fresh.peers, fresh.settings.broker_index)
-        except (BadConfigError, ValueError) as fault:
-            log("reload refused, what was configured before stays in force", reason=str(fault))
-            return
-        self.config = fresh
-        names = fresh.names
-        self.front.names, self.directory.zones = names, names.zones
-        self.client.connect_us = names.connect_us
-        self.apply_limits()
-        self.runtime.post(ev.SettingsChanged(self.settings_in_force()))
-        if self.objects is not None:
-            self.objects.replan(names.plans)
-        if fresh.discovery != self.watch.address:
-            self.watch.move(fresh.discovery)
-        self.watch.follow(not fresh.settings.polls_endpoint_list)
-        addresses = [(each.listen, each.peer_listen, each.operator) for each in (fresh, held)]
-        if addresses[0] != addresses[1]:
-            log("listen, peer_listen and operator take effect at the next start")
-        log("reloaded, the configuration file is in force")
+        """Have all parts go by the lifecycle as it is now, in the same turn of the loop."""
+        self.front.ready = self.lifecycle.is_healthy
+        self.front.last = self.lifecycle.closes_connections
+        self.clients.retire(self.lifecycle.is_draining)
 
     def apply_limits(self) -> None:
         """Have both sides' connections go by the limits; two processes of one broker share them."""
-        assert self.config is not None
+        assert self.config is not None, "only a platform's limits change"
         limits = self.config.limits
         if self.in_place_upgrade is not None:
             limits = self.in_place_upgrade.share(limits)
@@ -186,234 +206,148 @@
         self.bodies.most = limits.bodies
 
     def counters(self) -> dict[str, int]:
-        """All counts, by part and name."""
-        parts = {"core": self.core.counts, "front": self.front.counts, "boxes": self.client.counts}
-        parts |= {"clients": self.clients.counts, "probes": self.probes.counts}
-        if self.watch is not None and self.peers is not None:
-            parts |= {"watch": self.watch.counts, "peers": self.peers.counts}
+        """All counters, as `part.name`."""
+        parts = {
+            "core": self.core.counts,
+            "front": self.front.counts,
+            "boxes": self.client.counts,
+            "clients": self.clients.counts,
+            "probes": self.probes.counts,
+        }
+        if self.watch is not None:
+            parts["watch"] = self.watch.counts
+        if self.peers is not None:
+            parts["peers"] = self.peers.counts
         if self.operator_api is not None:
-            parts |= {"operators": self.operator_api.counts}
+            parts["operators"] = self.operator_api.counts
         if self.objects is not None:
             parts |= self.objects.counts()
-        if self.upkeep is not None:
-            parts |= self.upkeep.broker.counters()
+        if self.maintenance is not None:
+            parts |= self.maintenance.broker.counters()
         return fields(parts)
 
-    async def start(self) -> None:
-        """Bring the sockets up."""
-        config = self.config
-        self.servers: list[asyncio.Server] = []
-        if config is not None:
-            self._door = config.listen if config.inherited_descriptor is None else self._inherit(config)
-            if config.operator is not None:
-                await self._serve_operators(config.operator)
-            if self.watch is not None:
-                if not config.settings.polls_endpoint_list:
-                    self._wait_for_list(self.watch)
-                self.watch.follow(not config.settings.polls_endpoint_list)
-            if isinstance(self._door, socket.socket):
-                await self._take_over(config)
-            await self.open_door()
-        if self.objects is not None:
-            for at, web_server in self.objects.servers(self.clients):
-                await self._listen(address(at), web_server)
-            self.objects.start()
-        if self.upkeep is not None:
-            await self.upkeep.start()
-        self.open = True
-        self._can_serve()
-
-    async def open_door(self) -> None:
-        """Hear other brokers and clients of the platform."""
-        await self.hear_peers()
-        await self._listen(self._door, PlatformServer(self.front, self.clients))
-        self._door_server = self.servers[-1]
-
-    async def hear_peers(self) -> None:
-        """Open the address for other brokers, if it is not open yet."""
+    # --- listening -----------------------------------------------------------------------------
+
+    async def open_operator_api(self, at: Address) -> None:
+        """Answer operators at this address."""
+        from harriertide.lifecycle.operator_api import OperatorApi  # only where there is an address for it
+
+        self.operator_api = OperatorApi(self.lifecycle, self.apply_lifecycle)
+        await self.listeners.open_for_operators(at, self.operator_api.connection)
+
+    async def open_peer_listener(self) -> None:
+        """Receive messages of other brokers, unless it does already."""
         config, peers = self.config, self.peers
         if config is None or config.peer_listen is None or peers is None or peers.listens:
             return
         await peers.listen(config.peer_listen, shared=config.inherited_descriptor is not None)
 
-    def close_door(self) -> None:
-        """Hear neither of them any more: another process of this broker does."""
-        if self._door_server is not None:
-            stop_listening(self._door_server)
-            self.servers.remove(self._door_server)
-            self._door_server = None
+    async def start_accepting(self) -> None:
+        """Accept the platform's clients, and messages of other brokers."""
+        await self.open_peer_listener()
+        await self.listeners.open_for_clients(PlatformServer(self.front, self.clients))
+
+    def stop_accepting(self) -> None:
+        """Accept neither any more: another process of this broker does."""
+        self.listeners.close_for_clients()
         if self.peers is not None:
             self.peers.release()
 
-    async def _take_over(self, config: Config) -> None:
-        """Start beside the process that serves, and go on in its place once this one could."""
-        from harriertide.cli.in_place_upgrade import InPlaceUpgrade
+    def create_in_place_upgrade(self, config: Config) -> InPlaceUpgrade:
+        """Enter this process among those of its broker."""
+        from harriertide.cli.in_place_upgrade import InPlaceUpgrade  # only with an inherited descriptor
 
         self.in_place_upgrade = InPlaceUpgrade(self, config)
-        self.apply_limits()
-        if self.peers is not None:
-            self.peers.hold()
-        await self.hear_peers()  # before the process in charge lets go of it
-        if await self.in_place_upgrade.take_over():
-            self.list_heard.set()  # the list of the process before is as new as an agent's
-        if self.peers is not None:
-            self.peers.let_through()
+        return self.in_place_upgrade
 
-    def _inherit(self, config: Config) -> socket.socket:
-        """The clients' listening socket as the platform holds it."""
-        assert config.inherited_descriptor is not None
-        try:
-            return inherit(config.inherited_descriptor, config.listen)
-        except InheritError as fault:
-            raise BadConfigError(f"LB_INHERITED_FD: {fault}") from None
+    # --- from start to end ---------------------------------------------------------------------
 
-    async def _serve_operators(self, at: tuple[str, int]) -> None:
-        """Open the operators' address."""
-        from harriertide.lifecycle.operator_api import OperatorApi  # only where there is one
-
-        self.operator_api = OperatorApi(self.lifecycle, self.apply_lifecycle)
-        try:
-            self._operator_server = await listen(at, self.operator_api.connection)
-        except OSError as fault:
-            raise BadConfigError(f"operator: cannot listen on {at[0]}:{at[1]}: {fault.strerror}") from None
-        log("serves operators", on=f"{at[0]}:{at[1]}")
-
-    def _wait_for_list(self, watch: Watch) -> None:
-        """Ready with the first list, or LIST_S later.
-
-        What an agent has counts as told from the first moment of a process, and the list in the configuration
-        may be old.
-        """
-        self.list_heard.clear()
-
-        def ready() -> None:
-            timer.cancel()
-            watch.heard = lambda: None
-            self.list_heard.set()
-            self._can_serve()
-
-        timer = asyncio.get_running_loop().call_later(LIST_S, ready)
-        watch.heard = ready
-
-    def _can_serve(self) -> None:
-        """All that it takes to serve is there, unless a list or a listener is still waited for."""
-        if self.list_heard.is_set() and self.open:
-            self.lifecycle.mark_serving()
-            self.apply_lifecycle()
-
-    async def _listen(self, at: tuple[str, int] | socket.socket | None, web_server: FrontServer) -> None:
-        assert at is not None
-        self.servers.append(await listen(at, web_server))
-        host, port = self.servers[-1].sockets[0].getsockname()[:2]
-        log("serves", on=f"{host}:{port}")
+    async def start(self) -> None:
+        """Bring the process up; see `startup`."""
+        await start_up(self)
 
-    def port(self, place: int) -> int:
-        """The port of a listener, where the system chose it."""
-        return int(self.servers[place].sockets[0].getsockname()[1])
+    def _on_ready(self) -> None:
+        self.lifecycle.mark_serving()
+        self.apply_lifecycle()
 
-    def operator_port(self) -> int:
-        """The port of the operators' address."""
-        return int(self._operator_server.sockets[0].getsockname()[1])
+    def reload(self, environment: Mapping[str, str]) -> None:
+        """Go by the configuration file as it is now; see `reload`."""
+        reload(self, environment)
 
     async def stop(self) -> None:
-        """Not ready; take what still comes for a while; finish what is taken; close.
-
-        Clients of a broker that restarts have no other to go to: each request served on a connection that
-        they keep is one that does not fail.
-        """
-        loop = asyncio.get_running_loop()
-        self.stopping.set()
-        self.lifecycle.mark_stopping()
-        if self.in_place_upgrade is not None:
-            self.in_place_upgrade.upgrade.stop()
-        self.apply_lifecycle()
-        longest_s = max(kind.deadline_us for kind in self.core.settings.classes) / 1e6
-        finish_by = loop.time() + min(LONGEST_S, longest_s) + SLACK_S
-        log("stopping")
-        await until(loop.time() + ACCEPT_S)
-        for listener in self.servers:
-            stop_listening(listener)
-        while self._busy() and loop.time() < finish_by - LAST_S:
-            await until(loop.time() + 0.02)
-        self.lifecycle.is_closing_connections = True
-        self.apply_lifecycle()
-        if self.objects is not None:
-            self.objects.front.ready = False
-        while self._busy() and loop.time() < finish_by:
-            self.clients.close_idle()  # also what was about to be read the last time
-            await until(loop.time() + 0.02)
-        self.front.stopped = True  # what is still read is refused, never sent on
-        self.runtime.post(ev.ShutdownStarted())
-        await until(loop.time() + 0.02)
-        while len(self.clients) and loop.time() < finish_by + LINGER_S:
-            self.clients.close_idle()
-            await until(loop.time() + 0.02)
-        self.clients.close()
-        if self.operator_api is not None:
-            self._operator_server.close()
-            self.operator_api.close()
-        if self.in_place_upgrade is not None:
-            self.in_place_upgrade.upgrade.close()
-        if self.watch is not None:
-            await self.watch.close()
-        if self.peers is not None:
-            self.peers.close()
-        if self.upkeep is not None:
-            await self.upkeep.close()
-        if self.objects is not None:
-            await self.objects.close()
-        await self.probes.close()
-        await self.client.close()
-
-    def _busy(self) -> bool:
-        return self.core.owed() > 0 or len(self.clients) > 0
+        """Shut down gracefully; see `shutdown`."""
+        await shut_down(self)
 
     async def serve(self, environment: Mapping[str, str]) -> None:
-        """Serve until told to stop, then finish what is taken."""
+        """Serve until a signal or the maintenance ends it, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload, environment)
-        loop.add_signal_handler(signal.SIGUSR1, lambda: log("counters", **self.counters()))
+        loop.add_signal_handler(signal.SIGUSR1, self._log_counters)
         await self.start()
-        gc.collect()
-        gc.freeze()  # what stands at the start need not be looked through again and again
-        gc.enable()
+        _resume_garbage_collection()
         await self.stopping.wait()
         await self.stop()
         log.last("counters", **self.counters())
 
+    def _log_counters(self) -> None:
+        log("counters", **self.counters())
+
+
+def _resume_garbage_collection() -> None:
+    """Collect again, as the start is over (see `main._start_lean`).
+
+    What stands by now stays for good, and need not be looked through again and again.
+    """
+    gc.collect()
+    gc.freeze()
+    gc.enable()
+
+
+async def _serve(daemon: Daemon, environment: Mapping[str, str], record_path: str | None) -> None:
+    """Serve, and record what the core is told of requests and nodes where a file is named for it."""
+    if record_path is None:
+        await daemon.serve(environment)
+        return
+    from harriertide.engine.workload import Recorder  # its library is loaded only where it is wanted
+
+    with open(record_path, "wb") as file:
+        now_us = daemon.runtime.clock.now_us()
+        daemon.runtime.record = Recorder(file, daemon.core.settings, daemon.seed, now_us).take
+        await daemon.serve(environment)
+
 
 def run(
     environment: Mapping[str, str],
-    objects: str | None = None,
-    record: str | None = None,
-    hooks: dict[str, Any] | None = None,
+    operator_path: str | None = None,
+    record_path: str | None = None,
+    maintenance_overrides: dict[str, Any] | None = None,
 ) -> int:
-    """Serve as the environment and the operator's file say; 2 with one plain line where it can't be."""
+    """Serve as the environment and the operator's file say, until the end of the process.
+
+    :param operator_path: of the operator's file; None: there is no object front.
+    :param record_path: of the workload record to write; None: none is written.
+    :param maintenance_overrides: see `Daemon`.
+    :returns: exit status; 2 with one plain line where something can't be used.
+    """
     adopt_libraries()
 
     async def main() -> None:
-        daemon = Daemon(config, operator, hooks)
-        if record is None:
-            await daemon.serve(environment)
-            return
-        from harriertide.engine.workload import Recorder  # its library is loaded only where it is wanted
-
-        with open(record, "wb") as file:
-            clock = daemon.runtime.clock
-            daemon.runtime.record = Recorder(file, daemon.core.settings, daemon.seed, clock.now_us()).take
-            await daemon.serve(environment)
+        daemon = Daemon(config, operator_file, maintenance_overrides)
+        await _serve(daemon, environment, record_path)
 
     try:
-        operator = None
-        if objects:
-            from harriertide.config import model
-
-            operator = model.load(objects)
-        config = read_config(environment) if environment.get("LB_CONFIG") or operator is None else None
+        operator_file = None
+        if operator_path:
+            from harriertide.config.operator_file import load_operator_file
+
+            operator_file = load_operator_file(operator_path)
+        config = None
+        if environment.get("LB_CONFIG") or operator_file is None:
+            config = read_config(environment)
         asyncio.run(main())
-    except (SettingsError, OSError, sqlite3.Error) as fault:
-        print(f"harriertide: {fault}", file=sys.stderr)
-        return 2
+    except (SettingsError, OSError, sqlite3.Error) as error:
+        print(f"harriertide: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE
     return 0
--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -1,4 +1,8 @@
-"""A daemon as one of several processes of its broker, which replace each other while it serves."""
+"""Upgrade in place: a process of a broker as one of several, which replace each other while they serve.
+
+The lease of the active process (`lifecycle/active_process`) says when; this module says what the process does
+then: export its state, stop accepting, finish what it has, go on in the place of another, accept again.
+"""
 
 from __future__ import annotations
 
@@ -6,168 +10,243 @@
 import tempfile
 import traceback
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from xxhash import xxh3_64_hexdigest
 
 from harriertide.core import events as ev
-from harriertide.decide import handover
+from harriertide.core.reducer import Reducer
+from harriertide.decide import api, handover
 from harriertide.decide.scheduler import Scheduler
 from harriertide.engine.log import log
+from harriertide.engine.runtime import Runtime
+from harriertide.http.clients import ConnectionTable
 from harriertide.http.limits import Limits
 from harriertide.http.listening import IN_FLIGHT
+from harriertide.http.nodes import NodeClient
 from harriertide.lifecycle.active_process import ActiveProcessHooks, ActiveProcessLease
+from harriertide.lifecycle.machine import Lifecycle
 from harriertide.lifecycle.process_registry import ProcessRegistry
 from harriertide.lifecycle.record import Handover, RecordError, decode, encode
 from harriertide.platform.configuration import BadConfigError, Config
+from harriertide.platform.discovery import Directory
 
-if TYPE_CHECKING:
-    from harriertide.cli.daemon import Daemon
-
-NODES_KEPT = 8  # part of the connections to nodes that a superseded process may have at least
-CLOCK_US = 1_000_000  # by which the clocks of two processes may differ for the one's times to be of use
+# A superseded process may have at least this part of the connections to nodes: it has requests to finish, and
+# retries of them need connections too.
+SUPERSEDED_NODE_CONNECTIONS_RATIO = 1 / 8
+# The new process may have at least this part of each side's connections, whatever the other one keeps.
+MIN_ACTIVE_CONNECTIONS_RATIO = 1 / 4
+MAX_CLOCK_DIFFERENCE_US = 1_000_000  # where two processes' clocks differ by more, a record's times mislead
 
 
 def meeting_folder(name: str) -> Path:
-    """Where the processes of one broker meet."""
+    """Where the processes of one broker meet.
+
+    :param name: of the broker; any text, as only its hash goes into the path.
+    """
     return Path(tempfile.gettempdir()) / f"harriertide-{xxh3_64_hexdigest(name.encode())}"
 
 
+class UpgradableProcess(Protocol):
+    """What an upgrade in place needs of the process."""
+
+    config: Config | None
+    lifecycle: Lifecycle
+    runtime: Runtime
+    core: Reducer
+    directory: Directory
+    clients: ConnectionTable
+    client: NodeClient
+
+    def apply_lifecycle(self) -> None:
+        """Have all parts go by the lifecycle as it is now."""
+
+    def apply_limits(self) -> None:
+        """Have both sides' connections go by the limits, as far as `share` leaves them to this process."""
+
+    def settings_in_force(self) -> api.Settings:
+        """The settings of the configuration, as far as they hold for this process."""
+
+    async def start_accepting(self) -> None:
+        """Accept the platform's clients, and messages of other brokers."""
+
+    def stop_accepting(self) -> None:
+        """Accept neither any more."""
+
+
 class InPlaceUpgrade:
-    """Carries out on a daemon what an upgrade in place asks of it."""
+    """Carries out on a process what the lease of the active process asks of it.
 
-    def __init__(self, daemon: Daemon, config: Config) -> None:
-        self._daemon, self._name = daemon, config.name
-        hooks = ActiveProcessHooks(self._give_up, self._supersede, self._take_back, self._share)
+    :raises BadConfigError: where the folder in which processes meet can't be used.
+    """
+
+    def __init__(self, process: UpgradableProcess, config: Config) -> None:
+        self._process = process
+        self._broker = config.name
         try:
             registry = ProcessRegistry(meeting_folder(config.name))
-        except OSError as fault:
-            raise BadConfigError(f"TMPDIR: {fault.strerror}: {fault.filename}") from None
-        self.alone = not registry.has_other_processes()
-        self._part: Limits | None = None  # None: nothing is known of the other process
-        self.upgrade = ActiveProcessLease(registry, hooks)
-        daemon.runtime.fence = self.upgrade.check
+        except OSError as error:
+            raise BadConfigError(f"TMPDIR: {error.strerror}: {error.filename}") from None
+        self._is_alone = not registry.has_other_processes()
+        self._own_share: Limits | None = None  # None: nothing is known of the other process
+        self._reopening: asyncio.Task[None] | None = None
+        hooks = ActiveProcessHooks(
+            release=self._release,
+            on_fenced=self._supersede,
+            on_reclaimed=self._reclaim,
+            on_liveness=self._on_liveness,
+        )
+        self.lease = ActiveProcessLease(registry, hooks)
+        process.runtime.fence = self.lease.check_fence
 
     def share(self, limits: Limits) -> Limits:
-        """What this process may have of the broker's limits."""
-        if self.alone:
+        """What this process may have of the broker's limits, as long as two share them."""
+        if self._is_alone:
             return limits
-        return self._part or limits.half()
+        return self._own_share or limits.half()
+
+    def stop_reclaiming(self) -> None:
+        """The process was told to end: it does not accept again where the newer one dies."""
+        self.lease.stop_reclaiming()
+
+    def close(self) -> None:
+        """Leave the processes of this broker."""
+        self.lease.close()
+
+    # --- taking over ---------------------------------------------------------------------------
 
     async def take_over(self) -> bool:
-        """Go on in the place of the process in charge; False: from nothing, as it left no record of use."""
-        data = await self.upgrade.take_over()
+        """Go on in the place of the active process.
+
+        :returns: False: with no state, as there was no active process or it left no record that can be used.
+        """
+        data = await self.lease.take_over()
         if data is None:
-            log("in charge", epoch=self.upgrade.epoch, state="none")
+            log("in charge", epoch=self.lease.epoch, state="none")
             return False
         try:
-            record = decode(data, self._name, self.upgrade.epoch, asyncio.get_running_loop().time())
-            self._import(record)
-        except RecordError as fault:
-            log("the record of the process before is set aside", reason=str(fault))
+            now_s = asyncio.get_running_loop().time()
+            self._import(decode(data, self._broker, self.lease.epoch, now_s))
+        except RecordError as error:
+            log("the record of the process before is set aside", reason=str(error))
             return False
-        except Exception:  # guards against a start that ends on what another release has left
+        except Exception:
+            # Guards against a start that ends on what another release has left: any fault in the record means
+            # a start with no state, and the platform would otherwise restart this process for ever.
             log("the record of the process before could not be used", trace=traceback.format_exc())
             return False
         return True
 
     def _import(self, record: Handover) -> None:
-        daemon = self._daemon
-        clock, scheduler = daemon.runtime.clock, daemon.core.scheduler
-        if abs(clock.unix_us(record.monotonic_s) - record.unix_us) > CLOCK_US:
+        process = self._process
+        clock = process.runtime.clock
+        scheduler = process.core.scheduler
+        if abs(clock.unix_us(record.monotonic_s) - record.unix_us) > MAX_CLOCK_DIFFERENCE_US:
             raise RecordError("the system's clock was set meanwhile")
-        daemon.lifecycle.is_draining = daemon.lifecycle.is_draining or record.drained
-        daemon.apply_lifecycle()
-        self._part = self._rest_of(record.clients, record.nodes)
-        daemon.apply_limits()
-        daemon.runtime.post(ev.EndpointsUpdated(daemon.directory.import_state(record.directory)))
-        daemon.runtime.flush()
+        process.lifecycle.is_draining = process.lifecycle.is_draining or record.drained
+        process.apply_lifecycle()
+        self._own_share = self._limits_beside(record.clients, record.nodes)
+        process.apply_limits()
+        process.runtime.post(ev.EndpointsUpdated(process.directory.import_state(record.directory)))
+        process.runtime.flush()
         clock.adopt(record.monotonic_s, record.unix_us)
         if isinstance(scheduler, Scheduler):
             handover.import_state(scheduler, record.decisions, clock.now_us())
-        log("in charge", epoch=self.upgrade.epoch, shards=len(record.decisions.shards))
+        log("in charge", epoch=self.lease.epoch, shards=len(record.decisions.shards))
 
-    # --- hooks ---------------------------------------------------------------------------------
+    # --- being taken over from -----------------------------------------------------------------
 
-    def _give_up(self, claimed: int) -> bytes:
-        """Accept nothing more; the state as it is then, of which nothing is given out here any more."""
-        daemon = self._daemon
-        daemon.close_door()
-        daemon.runtime.flush()  # what has come until now counts
+    def _release(self, claimed_epoch: int) -> bytes:
+        """Accept nothing more and export the state as it is then; none of it is given out here afterwards."""
+        process = self._process
+        process.stop_accepting()
+        process.runtime.flush()  # what has come until now counts
         try:
-            data = self._record(claimed)
-        except Exception:  # guards against two in charge: without a record the new one starts from nothing
+            data = self._export(claimed_epoch)
+        except Exception:
+            # Guards against two active processes: without a record the newer one starts with no state, but
+            # this one must not go on beside it.
             log("the state could not be written down", trace=traceback.format_exc())
             data = b""
         self._supersede()
         return data
 
-    def _record(self, claimed: int) -> bytes:
-        """The state as it is now, for the process that claims."""
-        daemon = self._daemon
-        clock, scheduler = daemon.runtime.clock, daemon.core.scheduler
+    def _export(self, claimed_epoch: int) -> bytes:
+        """The hand-over record for the process that claims."""
+        process = self._process
+        clock = process.runtime.clock
+        scheduler = process.core.scheduler
         assert isinstance(scheduler, Scheduler)
         now_s = asyncio.get_running_loop().time()
         return encode(
             Handover(
-                broker=self._name,
-                epoch=claimed,
+                broker=self._broker,
+                epoch=claimed_epoch,
                 monotonic_s=now_s,
                 unix_us=clock.unix_us(now_s),
-                drained=daemon.lifecycle.is_draining,
-                clients=self._clients_kept(),
-                nodes=self._nodes_kept(),
-                directory=daemon.directory.export_state(),
+                drained=process.lifecycle.is_draining,
+                clients=self._kept_client_count(),
+                nodes=self._kept_node_connection_count(),
+                directory=process.directory.export_state(),
                 decisions=handover.export_state(scheduler),
             )
         )
 
+    def _supersede(self) -> None:
+        """A newer process is the active one; what was accepted here is finished here."""
+        process = self._process
+        process.stop_accepting()
+        process.lifecycle.mark_superseded()
+        process.apply_lifecycle()
+        self._is_alone = False
+        self._own_share = self._limits().part(self._kept_client_count(), self._kept_node_connection_count())
+        process.apply_limits()
+        process.runtime.at_once(ev.SettingsChanged(process.settings_in_force()))
+        log("superseded by a newer process", open=process.core.owed(), connections=len(process.clients))
+
+    # --- going on again ------------------------------------------------------------------------
+
+    def _reclaim(self) -> None:
+        """The newer process has died: accept again, with all of the limits that are free."""
+        process = self._process
+        self._own_share = None
+        process.lifecycle.mark_active_again()
+        process.apply_lifecycle()
+        process.apply_limits()
+        process.runtime.at_once(ev.SettingsChanged(process.settings_in_force()))
+        self._reopening = asyncio.get_running_loop().create_task(process.start_accepting())
+
+    # --- limits that two processes share -------------------------------------------------------
+
+    def _on_liveness(self, is_alone: bool) -> None:
+        if is_alone != self._is_alone:
+            self._is_alone = is_alone
+            self._own_share = None
+            self._process.apply_limits()
+
     def _limits(self) -> Limits:
-        assert self._daemon.config is not None
-        return self._daemon.config.limits
+        config = self._process.config
+        assert config is not None, "only the platform upgrades in place"
+        return config.limits
 
-    def _clients_kept(self) -> int:
+    def _kept_client_count(self) -> int:
         """Connections of clients, with those that were accepted and are not heard of yet.
 
-        Guards against a bound that turns these away: they have sent their requests already.
+        Guards against a limit that closes these: they have sent their requests already.
         """
-        return len(self._daemon.clients) + IN_FLIGHT
+        return len(self._process.clients) + IN_FLIGHT
 
-    def _nodes_kept(self) -> int:
-        """Connections to nodes that a process finishes its requests with when another takes over."""
-        return max(len(self._daemon.client.pool), self._limits().boxes // NODES_KEPT)
+    def _kept_node_connection_count(self) -> int:
+        """Connections to nodes that a superseded process finishes its requests with."""
+        minimum = int(self._limits().boxes * SUPERSEDED_NODE_CONNECTIONS_RATIO)
+        return max(len(self._process.client.pool), minimum)
 
-    def _rest_of(self, clients: int, nodes: int) -> Limits:
-        """What is left beside a process that keeps so many connections: a quarter at least."""
+    def _limits_beside(self, kept_client_count: int, kept_node_connection_count: int) -> Limits:
+        """What is left beside a process that keeps so many connections."""
         limits = self._limits()
-        left = (
-            max(limits.clients // 4, limits.clients - clients),
-            max(limits.boxes // 4, limits.boxes - nodes),
+        least_clients = int(limits.clients * MIN_ACTIVE_CONNECTIONS_RATIO)
+        least_nodes = int(limits.boxes * MIN_ACTIVE_CONNECTIONS_RATIO)
+        return limits.part(
+            max(least_clients, limits.clients - kept_client_count),
+            max(least_nodes, limits.boxes - kept_node_connection_count),
         )
-        return limits.part(*left)
-
-    def _supersede(self) -> None:
-        """A newer process is in charge. What was taken is finished here."""
-        daemon = self._daemon
-        daemon.close_door()
-        daemon.lifecycle.mark_superseded()
-        daemon.apply_lifecycle()
-        self.alone = False
-        self._part = self._limits().part(self._clients_kept(), self._nodes_kept())
-        daemon.apply_limits()
-        daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
-        log("superseded by a newer process", open=daemon.core.owed(), connections=len(daemon.clients))
-
-    def _take_back(self) -> None:
-        daemon = self._daemon
-        self._part = None
-        daemon.lifecycle.mark_active_again()
-        daemon.apply_lifecycle()
-        daemon.apply_limits()
-        daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
-        self._opening = asyncio.get_running_loop().create_task(daemon.open_door())
-
-    def _share(self, alone: bool) -> None:
-        if alone != self.alone:
-            self.alone, self._part = alone, None
-            self._daemon.apply_limits()
--- /dev/null
+++ b/harriertide/cli/listeners.py
@@ -0,0 +1,108 @@
+"""The listening sockets of a broker's process: of its clients, its operators and the object front.
+
+The peers' datagrams have a socket of their own, in `platform/peers`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+from harriertide.engine.log import log
+from harriertide.http.clients import FrontServer
+from harriertide.http.listening import InheritError, inherit, listen, stop_listening
+from harriertide.platform.configuration import BadConfigError, Config
+
+Address = tuple[str, int]  # host and port
+
+
+def find_client_address(config: Config) -> Address | socket.socket:
+    """Where clients of the platform connect: an address, or the listening socket that the platform holds.
+
+    :raises BadConfigError: where the inherited descriptor is another socket.
+    """
+    if config.inherited_descriptor is None:
+        return config.listen
+    try:
+        return inherit(config.inherited_descriptor, config.listen)
+    except InheritError as error:
+        raise BadConfigError(f"LB_INHERITED_FD: {error}") from None
+
+
+class Listeners:
+    """What one process listens on.
+
+    :ivar client_address: where clients of the platform connect; None: there is no platform.
+    :ivar servers: those of clients and of the object front, in the order of their opening.
+    :ivar operator_server: the operators' own, which outlasts the others in a shutdown.
+    """
+
+    def __init__(self) -> None:
+        self.client_address: Address | socket.socket | None = None
+        self.servers: list[asyncio.Server] = []
+        self.operator_server: asyncio.Server | None = None
+        self._client_server: asyncio.Server | None = None
+
+    async def open(self, at: Address | socket.socket, protocol: FrontServer) -> asyncio.Server:
+        """Accept connections at an address, or on a socket that listens already."""
+        server = await listen(at, protocol)
+        self.servers.append(server)
+        host, port = server.sockets[0].getsockname()[:2]
+        log("serves", on=f"{host}:{port}")
+        return server
+
+    # --- clients of the platform ---------------------------------------------------------------
+
+    @property
+    def accepts_clients(self) -> bool:
+        """Whether this process accepts connections of the platform's clients."""
+        return self._client_server is not None
+
+    async def open_for_clients(self, protocol: FrontServer) -> None:
+        """Accept connections of the platform's clients."""
+        assert self.client_address is not None, "only with a platform"
+        self._client_server = await self.open(self.client_address, protocol)
+
+    def close_for_clients(self) -> None:
+        """Accept none of them any more; those that were accepted are kept."""
+        if self._client_server is None:
+            return
+        stop_listening(self._client_server)
+        self.servers.remove(self._client_server)
+        self._client_server = None
+
+    # --- operators -----------------------------------------------------------------------------
+
+    async def open_for_operators(self, at: Address, protocol: Callable[[], asyncio.BaseProtocol]) -> None:
+        """Accept calls of operators.
+
+        :raises BadConfigError: where the address can't be had.
+        """
+        host, port = at
+        try:
+            self.operator_server = await listen(at, protocol)
+        except OSError as error:
+            raise BadConfigError(f"operator: cannot listen on {host}:{port}: {error.strerror}") from None
+        log("serves operators", on=f"{host}:{port}")
+
+    def close_for_operators(self) -> None:
+        """Accept no more calls of operators."""
+        if self.operator_server is not None:
+            self.operator_server.close()
+
+    # --- all of them ---------------------------------------------------------------------------
+
+    def stop_accepting(self) -> None:
+        """Accept nothing more but calls of operators; connections that were accepted are kept."""
+        for server in self.servers:
+            stop_listening(server)
+
+    def port(self, index: int) -> int:
+        """The port of a server, where the system chose it."""
+        return int(self.servers[index].sockets[0].getsockname()[1])
+
+    def operator_port(self) -> int:
+        """The port of the operators' address, where the system chose it."""
+        assert self.operator_server is not None
+        return int(self.operator_server.sockets[0].getsockname()[1])
--- /dev/null
+++ b/harriertide/cli/reload.py
@@ -0,0 +1,85 @@
+"""Reload of the configuration file, on SIGHUP: reread, refuse a bad file, put a good one in force.
+
+Requests that are open keep their deadlines, their classes and their plans. Where the process listens stays as
+it is until the next start.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Protocol
+
+from harriertide.core import events as ev
+from harriertide.decide import api
+from harriertide.engine.log import log
+from harriertide.engine.runtime import Runtime
+from harriertide.http.nodes import NodeClient
+from harriertide.platform.configuration import BadConfigError, Config, read_config
+from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.front import Front
+from harriertide.platform.peers import Peers
+
+if TYPE_CHECKING:  # loaded only where there is an object front
+    from harriertide.objects.service import ObjectService
+
+
+class ReloadableProcess(Protocol):
+    """What a reload needs of the process."""
+
+    config: Config | None
+    front: Front
+    directory: Directory
+    client: NodeClient
+    runtime: Runtime
+    watch: Watch | None
+    peers: Peers | None
+    objects: ObjectService | None
+
+    def apply_limits(self) -> None:
+        """Have both sides' connections go by the limits of the configuration."""
+
+    def settings_in_force(self) -> api.Settings:
+        """The settings of the configuration, as far as they hold for this process."""
+
+
+def reload(process: ReloadableProcess, environment: Mapping[str, str]) -> None:
+    """Go by the configuration file as it is now; by what was in force before if it can't be used."""
+    running = process.config
+    if running is None or process.watch is None or process.peers is None:
+        log("nothing to reload", reason="no configuration file; plan and apply change the operator's")
+        return
+    try:
+        config = read_config(environment, running)
+        process.peers.relist(config.peers, config.settings.broker_index)
+    except (BadConfigError, ValueError) as error:
+        log("reload refused, what was configured before stays in force", reason=str(error))
+        return
+    process.config = config
+    _apply_names(process, config)
+    process.apply_limits()
+    process.runtime.post(ev.SettingsChanged(process.settings_in_force()))
+    _follow_discovery(process.watch, config)
+    _log_what_waits_for_a_restart(config, running)
+    log("reloaded, the configuration file is in force")
+
+
+def _apply_names(process: ReloadableProcess, config: Config) -> None:
+    """Classes, plans and zones by the names of the new file; numbers that were given out stay."""
+    names = config.names
+    process.front.names = names
+    process.directory.zones = names.zones
+    process.client.connect_us = names.connect_us
+    if process.objects is not None:
+        process.objects.replan(names.plans)
+
+
+def _follow_discovery(watch: Watch, config: Config) -> None:
+    if config.discovery != watch.address:
+        watch.move(config.discovery)
+    watch.follow(not config.settings.polls_endpoint_list)
+
+
+def _log_what_waits_for_a_restart(config: Config, running: Config) -> None:
+    configured = (config.listen, config.peer_listen, config.operator)
+    if configured != (running.listen, running.peer_listen, running.operator):
+        log("listen, peer_listen and operator take effect at the next start")
--- a/harriertide/cli/serve.py
+++ b/harriertide/cli/serve.py
@@ -4,7 +4,7 @@
 
 Options:
   --objects FILE  the operator's file of the object front
-  --record FILE   write down what the core is told of requests and boxes, to be played again
+  --record FILE   write down what the core is told of requests and nodes, to be played again
   --log FORM      text (key=value) or json [default: text]
 """
 
@@ -17,9 +17,14 @@
 
 
 def main(given: dict[str, Any]) -> int:
-    """Until it is told to stop."""
+    """Serve until the process is told to stop.
+
+    :returns: exit status.
+    :raises SettingsError: where an option is wrong.
+    """
     if given["--log"] not in ("text", "json"):
         raise SettingsError(f"--log: {given['--log']} is neither text nor json")
+    # only now: a wrong option is answered without the start of a daemon
     from harriertide.cli.daemon import run
     from harriertide.engine.log import log
 
--- /dev/null
+++ b/harriertide/cli/startup.py
@@ -0,0 +1,150 @@
+"""Startup of a broker's process: its steps in order, and when it counts as serving."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Protocol
+
+from harriertide.cli.listeners import Address, Listeners, find_client_address
+from harriertide.http.clients import ConnectionTable
+from harriertide.platform.configuration import Config
+from harriertide.platform.discovery import Watch
+from harriertide.platform.peers import Peers, address
+
+if TYPE_CHECKING:  # each is loaded only where the configuration asks for it
+    from harriertide.cli.in_place_upgrade import InPlaceUpgrade
+    from harriertide.control.maintenance_service import Service
+    from harriertide.objects.service import ObjectService
+
+# An agent that pushes the endpoint list and says nothing, as discovery is away, holds up a start for so long.
+FIRST_LIST_TIMEOUT_S = 2.0
+
+
+class Readiness:
+    """What has to be there before this process serves: its listeners, and an endpoint list if one is pushed.
+
+    :param on_ready: called once both are there; it may be called again.
+    """
+
+    def __init__(self, on_ready: Callable[[], None]) -> None:
+        self._on_ready = on_ready
+        self._listeners_are_open = False
+        self._awaits_endpoint_list = False
+
+    def await_endpoint_list(self, watch: Watch) -> None:
+        """Wait for the first list of an agent on this machine, FIRST_LIST_TIMEOUT_S at most.
+
+        Changes that an agent has count as known from the first moment of a process, and the list in the
+        configuration may be old: guards against requests to nodes that are draining by now.
+        """
+        self._awaits_endpoint_list = True
+
+        def on_list_or_timeout() -> None:
+            timer.cancel()
+            watch.heard = lambda: None
+            self.skip_endpoint_list()
+
+        timer = asyncio.get_running_loop().call_later(FIRST_LIST_TIMEOUT_S, on_list_or_timeout)
+        watch.heard = on_list_or_timeout
+
+    def skip_endpoint_list(self) -> None:
+        """The list that this process has is as new as it can be."""
+        self._awaits_endpoint_list = False
+        self._check()
+
+    def listeners_opened(self) -> None:
+        """All listeners are open."""
+        self._listeners_are_open = True
+        self._check()
+
+    def _check(self) -> None:
+        if self._listeners_are_open and not self._awaits_endpoint_list:
+            self._on_ready()
+
+
+class StartingProcess(Protocol):
+    """What a startup needs of the process."""
+
+    config: Config | None
+    listeners: Listeners
+    readiness: Readiness
+    clients: ConnectionTable
+    watch: Watch | None
+    peers: Peers | None
+    objects: ObjectService | None
+    maintenance: Service | None
+
+    async def open_operator_api(self, at: Address) -> None:
+        """Answer operators at this address."""
+
+    async def open_peer_listener(self) -> None:
+        """Receive messages of other brokers."""
+
+    async def start_accepting(self) -> None:
+        """Accept the platform's clients, and messages of other brokers."""
+
+    def apply_limits(self) -> None:
+        """Have both sides' connections go by the limits."""
+
+    def create_in_place_upgrade(self, config: Config) -> InPlaceUpgrade:
+        """Enter this process among those of its broker."""
+
+
+async def start_up(process: StartingProcess) -> None:
+    """Bring the process up: the platform's side, the object front, maintenance.
+
+    :raises BadConfigError: where an address of the configuration can't be used.
+    :raises OSError: where another address can't be had.
+    """
+    if process.config is not None:
+        await _start_platform_side(process, process.config)
+    if process.objects is not None:
+        await _start_object_front(process.objects, process)
+    if process.maintenance is not None:
+        await process.maintenance.start()
+    process.readiness.listeners_opened()
+
+
+async def _start_platform_side(process: StartingProcess, config: Config) -> None:
+    """Operators first, as they may ask how the start is going; clients last."""
+    process.listeners.client_address = find_client_address(config)
+    if config.operator is not None:
+        await process.open_operator_api(config.operator)
+    _follow_endpoint_list(process, config)
+    if config.inherited_descriptor is not None:
+        await _take_over(process, config)
+    await process.start_accepting()
+
+
+def _follow_endpoint_list(process: StartingProcess, config: Config) -> None:
+    """Have the list pushed by an agent where the settings say so; else the decision module polls for it."""
+    watch = process.watch
+    assert watch is not None, "made with the configuration"
+    is_pushed = not config.settings.polls_endpoint_list
+    if is_pushed:
+        process.readiness.await_endpoint_list(watch)
+    watch.follow(is_pushed)
+
+
+async def _take_over(process: StartingProcess, config: Config) -> None:
+    """Start beside the active process of this broker, and go on in its place once this one could serve.
+
+    The peers' address is open before the active process lets go of it, and what comes meanwhile is kept:
+    guards against messages that are lost between the two.
+    """
+    peers = process.peers
+    assert peers is not None, "made with the configuration"
+    upgrade = process.create_in_place_upgrade(config)
+    process.apply_limits()
+    peers.hold()
+    await process.open_peer_listener()
+    if await upgrade.take_over():
+        process.readiness.skip_endpoint_list()  # the list of the process before is as new as an agent's
+    peers.let_through()
+
+
+async def _start_object_front(objects: ObjectService, process: StartingProcess) -> None:
+    for listen_at, protocol in objects.servers(process.clients):
+        await process.listeners.open(address(listen_at), protocol)
+    objects.start()
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/bench_library.py
@@ -70,7 +70,7 @@
         await daemon.start()
         gc.collect()
         gc.freeze()
-        pipe.send(daemon.port(0))
+        pipe.send(daemon.listeners.port(0))
         await daemon.stopping.wait()
 
     asyncio.run(main())
--- a/harriertide/lab/child.py
+++ b/harriertide/lab/child.py
@@ -55,7 +55,7 @@
     """Serve as the daemon does."""
     made = Faults(faults)
     outside = Outside(disk=partial(Store.open, sync=made.sync))
-    return run({}, file, hooks={"outside": outside, "wall_s": made.wall_s})
+    return run({}, file, maintenance_overrides={"outside": outside, "wall_s": made.wall_s})
 
 
 if __name__ == "__main__":
--- a/harriertide/lab/operator_thread.py
+++ b/harriertide/lab/operator_thread.py
@@ -18,7 +18,7 @@
 class ThreadedDaemon(daemon.Daemon):
     """The daemon, but for where its operators' address is served."""
 
-    async def _serve_operators(self, at: tuple[str, int]) -> None:
+    async def open_operator_api(self, at: tuple[str, int]) -> None:
         clients_loop, operators_loop = asyncio.get_running_loop(), asyncio.new_event_loop()
 
         def changed() -> None:
@@ -28,7 +28,7 @@
         threading.Thread(target=operators_loop.run_forever, daemon=True).start()
         listening = listen(at, self.operator_api.connection)
         future = asyncio.run_coroutine_threadsafe(listening, operators_loop)
-        self._operator_server = await asyncio.wrap_future(future)
+        self.listeners.operator_server = await asyncio.wrap_future(future)
 
 
 def main() -> int:
--- a/harriertide/lifecycle/active_process.py
+++ b/harriertide/lifecycle/active_process.py
@@ -1,4 +1,10 @@
-"""The course of an upgrade in place, on the loop: taking over, being taken over from, taking back."""
+"""Which process of a broker is the active one, on the loop: taking over, releasing, reclaiming.
+
+One process of a broker is active at a time. It renews a short lease by looking at the broker's registry, and
+loses it to a newer process in one of two ways: it *releases* it, with a record of its state, when the newer
+one claims it; or it is *fenced*, when it stood still for so long that the newer one did not wait. If the
+newer process dies, the one before *reclaims* the lease.
+"""
 
 from __future__ import annotations
 
@@ -8,36 +14,42 @@
 
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
-from harriertide.lifecycle.process_registry import (
-    ACTIVE_LEASE_S,
-    CLAIM_ANSWER_TIMEOUT_S,
-    RENEW_INTERVAL_S,
-    ProcessRegistry,
-)
+from harriertide.lifecycle.process_registry import ACTIVE_LEASE_S, ProcessRegistry
 
-POLL_INTERVAL_S = 0.005  # between looks of a process that takes over
-LIVENESS_CHECK_INTERVAL_S = 0.5  # between looks whether other processes of this broker are left
+RENEW_INTERVAL_S = 0.02  # a claim waits for so long at most where nothing holds up the loop
+TAKEOVER_POLL_INTERVAL_S = 0.005  # between looks of a process that takes over: clients wait meanwhile
+CLAIM_ANSWER_TIMEOUT_S = 2.0  # a process that answers later stands still: the next goes on without its state
+LIVENESS_CHECK_INTERVAL_S = 0.5  # between looks whether others live: the limits are shared until none does
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveProcessHooks:
-    """What the process does at each turn. give_up: stop being in charge, and the record of its state."""
+    """What the process does at each turn.
+
+    :param release: stop acting as the active one; returns the record of its state for the epoch given.
+    :param on_fenced: a newer process took over while this one stood still.
+    :param on_reclaimed: the newer process has died; this one is active again.
+    :param on_liveness: whether this is the only process of the broker that lives.
+    """
 
-    give_up: Callable[[int], bytes]
-    fenced: Callable[[], None]  # a newer process took over while this one stood still
-    take_back: Callable[[], None]  # the newer process has died; this one is in charge again
-    alone: Callable[[bool], None]  # whether no other process of this broker lives
+    release: Callable[[int], bytes]
+    on_fenced: Callable[[], None]
+    on_reclaimed: Callable[[], None]
+    on_liveness: Callable[[bool], None]
 
 
 class ActiveProcessLease:
-    """One process among those of its broker: at most one of them is in charge."""
+    """The lease of the active process, as one process of the broker sees it."""
 
     def __init__(self, registry: ProcessRegistry, hooks: ActiveProcessHooks) -> None:
-        self._registry, self._hooks = registry, hooks
+        self._registry = registry
+        self._hooks = hooks
         self._loop = asyncio.get_running_loop()
-        self.is_active = self._ends = False
-        self._looked_at = self._counted_at = 0.0
-        self._claimed = 0  # the epoch that this process gave up to
+        self.is_active = False
+        self._may_reclaim = True
+        self._renewed_at = 0.0
+        self._liveness_checked_at = 0.0
+        self._released_to = 0  # the epoch that claimed the lease from this process
         self._timer: asyncio.TimerHandle | None = None
 
     @property
@@ -45,98 +57,127 @@
         """Of this process."""
         return self._registry.epoch
 
+    # --- taking over ---------------------------------------------------------------------------
+
     async def take_over(self) -> bytes | None:
-        """Be in charge from now on; the record that the process before has left, if there is one."""
+        """Become the active process.
+
+        :returns: the record that the process before has left; None where there is none, or it did not answer.
+        """
         registry = self._registry
         while not registry.try_lock_takeover():
-            await until(self._loop.time() + POLL_INTERVAL_S)
+            await until(self._loop.time() + TAKEOVER_POLL_INTERVAL_S)
         try:
             before = registry.active_epoch()
-            data = await self._ask(before) if registry.is_alive(before) else None
+            data = await self._claim_from(before) if registry.is_alive(before) else None
             registry.become_active()
             if data is None and registry.is_alive(before):
-                log("the process in charge did not answer; its lease is waited for", epoch=before)
+                # Guards against two that act at once: the process before may be standing still, and would go
+                # on without a look for as long as it believes in its lease.
+                log(
+                    "the process in charge did not answer; its lease is waited for",
+                    epoch=before,
+                    lease_s=ACTIVE_LEASE_S,
+                )
                 await until(self._loop.time() + ACTIVE_LEASE_S)
         finally:
             registry.end_takeover()
-        self._charge()
-        self._look_later()
+        self._begin_lease()
+        self._schedule_renewal()
         return data
 
-    async def _ask(self, before: int) -> bytes | None:
-        self._registry.write_claim()
-        by = self._loop.time() + CLAIM_ANSWER_TIMEOUT_S
-        while (data := self._registry.read_handover_record()) is None:
-            if self._loop.time() >= by or not self._registry.is_alive(before):
-                return self._registry.read_handover_record()
-            await until(self._loop.time() + POLL_INTERVAL_S)
+    async def _claim_from(self, before: int) -> bytes | None:
+        """Claim the lease and wait for the record of the process that has it."""
+        registry = self._registry
+        registry.write_claim()
+        deadline = self._loop.time() + CLAIM_ANSWER_TIMEOUT_S
+        while (data := registry.read_handover_record()) is None:
+            if self._loop.time() >= deadline or not registry.is_alive(before):
+                return registry.read_handover_record()  # it may have answered just before it died
+            await until(self._loop.time() + TAKEOVER_POLL_INTERVAL_S)
         return data
 
-    def _charge(self) -> None:
-        self.is_active, self._claimed = True, 0
-        self._looked_at = self._loop.time()
+    def _begin_lease(self) -> None:
+        self.is_active = True
+        self._released_to = 0
+        self._renewed_at = self._loop.time()
+
+    # --- renewing, releasing, reclaiming -------------------------------------------------------
 
-    # --- looks ---------------------------------------------------------------------------------
+    def check_fence(self) -> None:
+        """Look before this process acts, if its lease has run out.
 
-    def check(self) -> None:
-        """Before this process acts: guards against one that stood still while it was taken over from."""
-        if self.is_active and self._loop.time() - self._looked_at > ACTIVE_LEASE_S:
-            self._look()
+        Guards against a process that stood still while a newer one took over: in its first turn of the loop
+        it would otherwise forward requests beside the newer one.
+        """
+        if self.is_active and self._loop.time() - self._renewed_at > ACTIVE_LEASE_S:
+            self._renew()
 
-    def stop(self) -> None:
-        """This process has been told to end: it takes nothing back."""
-        self._ends = True
+    def stop_reclaiming(self) -> None:
+        """Never become active again, as the process was told to end. It still answers a claim."""
+        self._may_reclaim = False
 
     def close(self) -> None:
-        """No more looks."""
+        """Look no more, and leave the registry."""
         if self._timer is not None:
             self._timer.cancel()
         self._registry.close()
 
-    def _look_later(self) -> None:
-        self._timer = self._loop.call_later(RENEW_INTERVAL_S, self._look_again)
+    def _schedule_renewal(self) -> None:
+        self._timer = self._loop.call_later(RENEW_INTERVAL_S, self._on_renewal_timer)
 
-    def _look_again(self) -> None:
+    def _on_renewal_timer(self) -> None:
         try:
-            self._look()
-            now = self._loop.time()
-            if now - self._counted_at > LIVENESS_CHECK_INTERVAL_S:
-                self._counted_at = now
-                self._hooks.alone(not self._registry.has_other_processes())
-        except OSError as fault:  # the folder can't be read: next time maybe
-            log("the upgrade's folder can't be used", reason=str(fault))
-        self._look_later()
-
-    def _look(self) -> None:
-        registry = self._registry
-        self._looked_at = self._loop.time()
-        current = registry.active_epoch()
-        if self.is_active and current != self.epoch:
+            self._renew()
+            self._check_liveness()
+        except OSError as error:  # the folder can't be read now; it may be the next time
+            log("the upgrade's folder can't be used", reason=str(error))
+        self._schedule_renewal()
+
+    def _check_liveness(self) -> None:
+        now = self._loop.time()
+        if now - self._liveness_checked_at > LIVENESS_CHECK_INTERVAL_S:
+            self._liveness_checked_at = now
+            self._hooks.on_liveness(not self._registry.has_other_processes())
+
+    def _renew(self) -> None:
+        """Look who is active, and release, lose or reclaim the lease accordingly."""
+        self._renewed_at = self._loop.time()
+        active_epoch = self._registry.active_epoch()
+        if self.is_active and active_epoch != self.epoch:
             self.is_active = False
-            self._hooks.fenced()
+            self._hooks.on_fenced()
         elif self.is_active:
-            claimed = registry.claimed_epoch()
-            if claimed:
-                self.is_active, self._claimed = False, claimed
-                registry.write_handover_record(claimed, self._hooks.give_up(claimed))
-        elif not self._ends and self._left_alone(current):
-            self._take_back()
-
-    def _left_alone(self, current: int) -> bool:
-        """Whether the process that took over from this one has died, and none claims to be the next."""
-        taker = self._claimed if current == self.epoch else current
-        return not self._registry.is_alive(taker) and not self._registry.claimed_epoch()
-
-    def _take_back(self) -> None:
+            self._release_if_claimed()
+        elif self._may_reclaim and self._is_successor_gone(active_epoch):
+            self._reclaim()
+
+    def _release_if_claimed(self) -> None:
+        claimed_epoch = self._registry.claimed_epoch()
+        if claimed_epoch:
+            self.is_active = False
+            self._released_to = claimed_epoch
+            self._registry.write_handover_record(claimed_epoch, self._hooks.release(claimed_epoch))
+
+    def _is_successor_gone(self, active_epoch: int) -> bool:
+        """Whether the process that took over from this one has died, and none claims to be the next.
+
+        Where `current` still has this process's epoch, the successor is the one that claimed and died before
+        it became active.
+        """
+        successor = self._released_to if active_epoch == self.epoch else active_epoch
+        return not self._registry.is_alive(successor) and not self._registry.claimed_epoch()
+
+    def _reclaim(self) -> None:
         registry = self._registry
         if not registry.try_lock_takeover():
             return
         try:
-            if not self._left_alone(registry.active_epoch()):
+            if not self._is_successor_gone(registry.active_epoch()):
                 return
             registry.become_active()
         finally:
             registry.end_takeover()
         log("the newer process has died; this one is in charge again", epoch=self.epoch)
-        self._charge()
-        self._hooks.take_back()
+        self._begin_lease()
+        self._hooks.on_reclaimed()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 import pytest
 from aiohttp import web
 
-from harriertide.cli import daemon as daemons
+from harriertide.cli import shutdown
 from harriertide.cli.daemon import Daemon
 from harriertide.config import operator_file
 from harriertide.core import events as ev
@@ -116,7 +116,7 @@
             )  # fmt: skip
             daemon = Daemon(replace(config, **stated), None)  # type: ignore[arg-type]
         await daemon.start()
-        house = House(daemon, box, daemon.port(0))
+        house = House(daemon, box, daemon.listeners.port(0))
         try:
             await play(house)
         finally:
@@ -131,8 +131,14 @@
 @pytest.fixture(autouse=True)
 def short(monkeypatch: pytest.MonkeyPatch) -> None:
     """A stop takes no longer than it must."""
-    for name, seconds in {"ACCEPT_S": 0.05, "LONGEST_S": 0.3, "SLACK_S": 0.1, "LAST_S": 0.1}.items():
-        monkeypatch.setattr(daemons, name, seconds)
+    times = {
+        "ACCEPT_GRACE_S": 0.05,
+        "MAX_REQUEST_S": 0.3,
+        "SHUTDOWN_SLACK_S": 0.1,
+        "FINAL_RESPONSES_S": 0.1,
+    }
+    for name, seconds in times.items():
+        monkeypatch.setattr(shutdown, name, seconds)
 
 
 # --- a client that left --------------------------------------------------------------------------
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -173,9 +173,9 @@
 def test_a_new_process_whose_agent_says_nothing_is_ready_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from harriertide.cli import daemon
+    from harriertide.cli import startup
 
-    monkeypatch.setattr(daemon, "LIST_S", 0.2)
+    monkeypatch.setattr(startup, "FIRST_LIST_TIMEOUT_S", 0.2)
     script = """s expect GET /registry/instances?watch=1&after=7
         c send GET /health/ready
         c expect 503
--- a/tests/test_less_room.py
+++ b/tests/test_less_room.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from harriertide.cli import daemon as daemons
+from harriertide.cli import shutdown
 from harriertide.http.limits import Limits
 from tests.test_bodies import all_of, ask
 from tests.test_crossings import House, answer, inside
@@ -62,7 +62,7 @@
 
 
 def test_a_stop_among_a_crowd_serves_what_comes_and_ends_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(daemons, "ACCEPT_S", 0.3)
+    monkeypatch.setattr(shutdown, "ACCEPT_GRACE_S", 0.3)
 
     async def play(house: House) -> None:
         loop = asyncio.get_running_loop()
@@ -78,7 +78,7 @@
         assert (await all_of(under_way)).startswith(b"HTTP/1.1 200 ")
         await stopping
         longest_s = max(kind.deadline_us for kind in house.daemon.core.settings.classes) / 1e6
-        assert loop.time() - begun < longest_s + daemons.SLACK_S + 1.0
+        assert loop.time() - begun < longest_s + shutdown.SHUTDOWN_SLACK_S + 1.0
         for member in members:
             member.close()
 
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -129,7 +129,7 @@
     sizes: list[dict[str, int]] = []
 
     async def crowd(daemon: Daemon) -> None:
-        port = daemon.port(0)
+        port = daemon.listeners.port(0)
         for first in range(0, CONNECTIONS, TOGETHER):
             await asyncio.gather(*(one(port, number) for number in range(first, first + TOGETHER)))
         await until(asyncio.get_running_loop().time() + 1.0)  # some rounds
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -74,7 +74,7 @@
         daemon = self.daemons.pop(place)
         assert daemon.peers is not None and daemon.watch is not None
         daemon.peers.close()
-        for listener in daemon.servers:
+        for listener in daemon.listeners.servers:
             listener.close()
         daemon.clients.close()
         await daemon.watch.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -780,7 +780,7 @@
         daemon = Daemon(config, operator_file.read_operator_file(raw) if both else None)
     world.daemon = daemon
     await daemon.start()
-    ports["front"] = daemon.port(1 if both else 0)
+    ports["front"] = daemon.listeners.port(1 if both else 0)
     if not objects and not script.lstrip().startswith("s "):
         script = "s expect GET /registry/*\ns send 200 Transfer-Encoding=chunked\ns send raw ''\n" + script
     try:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -198,7 +198,7 @@
     monkeypatch.setattr(clients, "RETIRE_S", 0.1)
 
     async def main(house: House) -> None:
-        await play(house, house.daemon.operator_port())
+        await play(house, house.daemon.listeners.operator_port())
 
     inside(main, operator=("127.0.0.1", 0))
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -85,19 +85,19 @@
             lambda: self.said.append("took back"),
             lambda on: None,
         )
-        self.upgrade = ActiveProcessLease(self.registry, hooks)
+        self.lease = ActiveProcessLease(self.registry, hooks)
 
     def give_up(self, claimed: int) -> bytes:
         self.said.append("gave up")
         return b"state for %d" % claimed
 
     def die(self) -> None:
-        self.upgrade.close()
+        self.lease.close()
 
     def stand_still(self) -> None:
         """As under SIGSTOP: it looks at nothing, and lives."""
-        assert self.upgrade._timer is not None
-        self.upgrade._timer.cancel()
+        assert self.lease._timer is not None
+        self.lease._timer.cancel()
 
     async def heard(self, *said: str) -> None:
         async with asyncio.timeout(PATIENCE_S):
@@ -108,10 +108,10 @@
 def test_the_first_process_takes_charge_with_nothing_and_the_next_with_its_record(tmp_path: Path) -> None:
     async def course() -> None:
         old, new, third = Process(tmp_path), Process(tmp_path), Process(tmp_path)
-        assert await old.upgrade.take_over() is None
-        assert await new.upgrade.take_over() == b"state for %d" % new.upgrade.epoch
-        assert old.said == ["gave up"] and new.upgrade.is_active and not old.upgrade.is_active
-        assert await third.upgrade.take_over() == b"state for %d" % third.upgrade.epoch
+        assert await old.lease.take_over() is None
+        assert await new.lease.take_over() == b"state for %d" % new.lease.epoch
+        assert old.said == ["gave up"] and new.lease.is_active and not old.lease.is_active
+        assert await third.lease.take_over() == b"state for %d" % third.lease.epoch
         assert old.said == ["gave up"] and new.said == ["gave up"]
 
     asyncio.run(course())
@@ -120,8 +120,8 @@
 def test_two_that_take_over_at_once_do_so_one_after_the_other(tmp_path: Path) -> None:
     async def course() -> None:
         old, *both = [Process(tmp_path) for _ in range(3)]
-        await old.upgrade.take_over()
-        records = await asyncio.gather(*(each.upgrade.take_over() for each in both))
+        await old.lease.take_over()
+        records = await asyncio.gather(*(each.lease.take_over() for each in both))
         assert None not in records
         assert sorted(len(each.said) for each in both) == [0, 1] and old.said == ["gave up"]
 
@@ -132,9 +132,9 @@
 def test_the_old_process_takes_back_from_one_that_dies(tmp_path: Path, charged: bool) -> None:
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
+        await old.lease.take_over()
         if charged:
-            await new.upgrade.take_over()
+            await new.lease.take_over()
         else:
             new.registry.try_lock_takeover()
             new.registry.write_claim()
@@ -143,7 +143,7 @@
         if not charged:
             new.registry.end_takeover()  # as the system does with a dead process's locks
         await old.heard("gave up", "took back")
-        assert old.upgrade.is_active and old.registry.active_epoch() == old.upgrade.epoch
+        assert old.lease.is_active and old.registry.active_epoch() == old.lease.epoch
 
     asyncio.run(course())
 
@@ -151,9 +151,9 @@
 def test_a_process_that_was_told_to_end_takes_nothing_back(tmp_path: Path) -> None:
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
-        old.upgrade.stop()
-        assert await new.upgrade.take_over() is not None  # it still answers
+        await old.lease.take_over()
+        old.lease.stop_reclaiming()
+        assert await new.lease.take_over() is not None  # it still answers
         new.die()
         await asyncio.sleep(0.1)
         assert old.said == ["gave up"]
@@ -164,13 +164,13 @@
 def test_the_next_process_starts_from_nothing_where_the_old_one_is_gone(tmp_path: Path) -> None:
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
+        await old.lease.take_over()
         old.stand_still()
-        taking = asyncio.create_task(new.upgrade.take_over())
+        taking = asyncio.create_task(new.lease.take_over())
         while old.registry.claimed_epoch() == 0:  # killed in the middle: asked, and not answered yet
             await asyncio.sleep(0)
         old.die()
-        assert await taking is None and new.upgrade.is_active
+        assert await taking is None and new.lease.is_active
 
     asyncio.run(course())
 
@@ -182,13 +182,13 @@
 
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
+        await old.lease.take_over()
         old.stand_still()
         begun = time.monotonic()
-        assert await new.upgrade.take_over() is None
+        assert await new.lease.take_over() is None
         assert time.monotonic() - begun > ACTIVE_LEASE_S  # what the old one may still have done is over
-        old.upgrade.check()
-        assert old.said == ["fenced"] and not old.upgrade.is_active
+        old.lease.check_fence()
+        assert old.said == ["fenced"] and not old.lease.is_active
 
     asyncio.run(course())
 
@@ -479,10 +479,10 @@
         old = await platform.process()
         new = await platform.process()
         assert new.in_place_upgrade is not None and new.peers is not None
-        new.close_door()  # as the system does with a dead process's descriptors
-        new.in_place_upgrade.upgrade.close()
+        new.stop_accepting()  # as the system does with a dead process's descriptors
+        new.in_place_upgrade.close()
         async with asyncio.timeout(PATIENCE_S):
-            while old.lifecycle.is_superseded or len(old.servers) < 1:
+            while old.lifecycle.is_superseded or len(old.listeners.servers) < 1:
                 await asyncio.sleep(0.01)
         assert b"Connection: close" not in await platform.served(*await platform.client())
         assert old.core.settings.plans == from_wire(WIRE).plans
@@ -501,7 +501,7 @@
         old = await platform.process()
         monkeypatch.setattr(handover, "export_state", fail)
         new = await platform.process()
-        assert old.lifecycle.is_superseded and old._door_server is None and new.lifecycle.is_serving
+        assert old.lifecycle.is_superseded and not old.listeners.accepts_clients and new.lifecycle.is_serving
         await platform.served(*await platform.client())
         assert new.core.counts["taken"] == 1
 
@@ -563,7 +563,7 @@
         await platform.process()
         await asyncio.gather(platform.process(), platform.process())
         assert sorted(daemon.lifecycle.is_superseded for daemon in platform.started) == [False, True, True]
-        assert sum(daemon._door_server is not None for daemon in platform.started) == 1
+        assert sum(daemon.listeners.accepts_clients for daemon in platform.started) == 1
         await platform.served(*await platform.client())
 
     on_platform(course, tmp_path, monkeypatch)
