--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -30,9 +30,11 @@
     [
         (["odd"], "odd: no such command"),
         (["box", "--odd"], "harriertide box: can't use --odd"),
+        (["node", "--odd"], "harriertide node: can't use --odd"),
         (["plan"], "harriertide plan: can't use no arguments"),
         (["box", "--listen", "10.0.0.1:1"], "--listen"),
         (["box", "--slots", "0"], "--slots"),
+        (["node", "--slots", "0"], "--slots"),
         (["demo", "--boxes", "none"], "--boxes"),
         (["serve", "--log", "loud"], "--log"),
         (["lab", "odd"], "no such experiment"),
@@ -42,12 +44,14 @@
 def test_what_cannot_be_used_is_one_plain_line_and_2(
     words: list[str], named: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """A user mistypes a command or an option: one line names it, and scripts see exit status 2."""
     assert main(words) == 2
     said = capsys.readouterr()
     assert named in said.err and said.err.count("\n") == 1 and not said.out
 
 
 def test_help_names_every_command(capsys: pytest.CaptureFixture[str]) -> None:
+    """A new user asks for help first."""
     assert main(["--help"]) == 0
     said = capsys.readouterr().out
     assert all(f"  {name} " in said for name in COMMANDS)
@@ -65,6 +69,7 @@
 
 
 def test_the_demo_prints_calls_that_work_and_ends_on_ctrl_c() -> None:
+    """A new user copies each line that the demo prints, then presses Ctrl-C."""
     demo = start("demo", "--port", "0", "--boxes", "2")
     try:
         said, calls = shown(demo)
@@ -105,6 +110,7 @@
 
 
 def test_the_demo_says_in_one_line_that_its_port_is_taken() -> None:
+    """Another program has the port: that is found before anything is started."""
     with socket.socket() as other:
         other.bind(("127.0.0.1", 0))
         other.listen()
@@ -117,11 +123,13 @@
     assert end.stderr.count("\n") == 1 and f"--port: 127.0.0.1:{port}" in end.stderr
 
 
-def test_a_box_turns_away_what_it_has_no_room_for() -> None:
-    box = start("box", "--most-mb", "1")
+@pytest.mark.parametrize("word", ["node", "box"])
+def test_a_node_rejects_what_it_has_no_room_for(word: str) -> None:
+    """A stand-in node is full; and scripts that call it by its old word, box, still work."""
+    node = start(word, "--most-mb", "1")
     try:
-        assert box.stdout is not None
-        at = box.stdout.readline().partition("box on ")[2].strip()
+        assert node.stdout is not None
+        at = node.stdout.readline().partition(f"{word} on ")[2].strip()
 
         def ask(*words: str) -> str:
             wants = ["curl", "-s", "-o", "/dev/null", "-w", "%{http_code} %header{x-rejected}", *words]
@@ -138,12 +146,13 @@
             assert ask("-X", "PUT", "-T", big, f"http://{at}/v/c") == "503 1"
         assert ask("-X", "DELETE", url) == "204" and ask(url) == "404"
     finally:
-        box.send_signal(signal.SIGTERM)
-        box.communicate(timeout=10)
-    assert box.returncode == 0
+        node.send_signal(signal.SIGTERM)
+        node.communicate(timeout=10)
+    assert node.returncode == 0
 
 
 def test_several_brokers_of_the_demo_take_an_order(tmp_path: Path) -> None:
+    """A new user tries rolling maintenance on three brokers, with the lines that the demo prints."""
     demo = start("demo", "--brokers", "3", "--boxes", "2", "--folder", str(tmp_path))
     try:
         _, calls = shown(demo)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -5,12 +5,17 @@
 import json
 import os
 import signal
+import socket
 import subprocess
 import sys
 from pathlib import Path
 
 import pytest
 
+from harriertide.config import client
+from harriertide.config.decision_settings import build_settings
+from harriertide.config.errors import AdminUnavailableError
+from harriertide.config.operator_file import read_state
 from tests.test_net import WIRE
 
 ROOT = Path(__file__).parent.parent
@@ -38,6 +43,10 @@
 
 
 def test_plan_and_apply_against_a_running_daemon(tmp_path: Path) -> None:
+    """An operator plans twice from one state and applies both: the second plan must be refused.
+
+    What it says it would change is not what it would change any more.
+    """
     text = FILE.format(listen=0, admin=0, folder=tmp_path)
     file, plan, other = (str(tmp_path / name) for name in ("o.toml", "plan", "other"))
     Path(file).write_text(text)
@@ -95,6 +104,7 @@
     ],
 )
 def test_a_wrong_key_or_value_is_named(tmp_path: Path, old: str, new: str, named: str) -> None:
+    """An operator mistypes a key or a value: one line names it, by its full path, and nothing is started."""
     text = FILE.format(listen=1, admin=2, folder=tmp_path).replace("shard = 0", 'shard = 0\nstate = "up"')
     file = tmp_path / "o.toml"
     file.write_text(text.replace(old, new, 1))
@@ -109,6 +119,7 @@
     [("", "not JSON"), ("{}", "name"), ('{"name":"n","listen":"127.0.0.1:0","discovery":"x:1"}', "settings")],
 )
 def test_a_configuration_that_cannot_be_used_is_one_plain_line(tmp_path: Path, text: str, named: str) -> None:
+    """The platform's file is empty or lacks a key: one line says so, and no traceback."""
     file = tmp_path / "config.json"
     file.write_text(text)
     done = run(LB_CONFIG=str(file))
@@ -138,7 +149,26 @@
     assert daemon.returncode == 0
 
 
+def test_a_daemon_that_does_not_answer_is_named_with_its_address(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The daemon hangs: plan and apply end after a while, and their line says why."""
+    monkeypatch.setattr(client, "ANSWER_TIMEOUT_S", 0.1)
+    with socket.create_server(("127.0.0.1", 0)) as silent:
+        address = f"127.0.0.1:{silent.getsockname()[1]}"
+        with pytest.raises(AdminUnavailableError, match=f"admin: {address} does not answer: no answer"):
+            client.call_admin("GET", address, "/state")
+
+
+def test_a_grade_that_is_taken_out_keeps_the_number_of_its_plan() -> None:
+    """Requests that are open name plans by number: a number may never mean another grade."""
+    state = read_state({"grades": {"gold": {"reserve": 5, "worth": 2}}})
+    settings = build_settings(state, ["silver", "gold"])
+    assert [plan.reserved_rate for plan in settings.plans] == [0.0, 5.0]
+    assert settings.plans[1].priority_factor == 2.0
+    assert {each.late_priority_weight for each in settings.classes} == {0.3}
+
+
 def test_the_command_line() -> None:
+    """What a command line without a daemon answers."""
     assert run("version").stdout.startswith("harriertide ")
     assert run("odd").returncode == 2
     assert "LB_CONFIG" in run().stderr
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -28,6 +28,9 @@
 
 @pytest.mark.parametrize("cases", COURSES.values(), ids=COURSES.keys())
 def test_a_broker_is_upgraded_under_load(cases: list[str], tmp_path: Path) -> None:
+    """Upgrades that go well, and processes that die, pause or are stopped in the middle of one: no
+    request is lost.
+    """
     asyncio.run(upgrades.play(tmp_path, 7, cases))
     found = judge(tmp_path)
     assert not found.broken, (upgrades.report(found, len(cases)), found.failed)
@@ -35,6 +38,7 @@
 
 
 def test_a_broker_is_drained_under_load_and_comes_back(tmp_path: Path) -> None:
+    """A broker is drained and taken back while clients go on: none of their requests is lost."""
     asyncio.run(drains.play(tmp_path, 7, 1))
     found = judge(tmp_path)
     assert not found.broken, (drains.report(found, 1), found.failed)
@@ -43,22 +47,26 @@
 
 @pytest.mark.parametrize("program", ["harriertide", operator_calls.THREADED])
 def test_operators_are_answered_by_a_broker_that_shares_its_core(program: str, tmp_path: Path) -> None:
+    """Another program takes the core: operators are still answered within a second."""
     measured = asyncio.run(operator_calls.play(tmp_path, 1, calls=5, rate=200, busy=1, program=program))
     assert len(measured.calls) == 5 and measured.late == 0
 
 
 def test_late_and_unanswered_calls_are_counted() -> None:
+    """A call that is late or lost must show in the measurement."""
     measured = operator_calls.Measured([Called(200, "", 0.1), Called(200, "", 1.1), Called(0, "", 0.1)])
     assert measured.late == 2 and measured.milliseconds(0.5) == 100 and measured.milliseconds(1.0) == 1100
 
 
 def test_cases_are_drawn_alike_from_one_seed_and_each_is_played() -> None:
+    """A failing seed has to fail again: it is how a fault is found."""
     names = list(upgrades.CASES)
     assert upgrades.draw(3, 50, names) == upgrades.draw(3, 50, names)
     assert set(upgrades.draw(3, 50, names)) == set(names)
 
 
 def test_a_case_that_is_none_is_named() -> None:
+    """A mistyped case would otherwise measure nothing."""
     with pytest.raises(SettingsError, match="nonsense"):
         upgrades.main(["upgrades", "--cases", "plain,nonsense"][1:])
 
@@ -126,11 +134,15 @@
 
 @pytest.mark.parametrize("name, logs", PLANTED.values(), ids=PLANTED.keys())
 def test_a_judge_finds_a_planted_fault(name: str, logs: dict[str, list[Row]], tmp_path: Path) -> None:
+    """Each fault that the checkers are there for is planted once: a checker that finds nothing proves
+    nothing.
+    """
     found = found_in(tmp_path, **logs)
     assert getattr(found, name) and found.broken
 
 
 def test_judges_find_nothing_in_what_is_right(tmp_path: Path) -> None:
+    """A run without a fault, with everything that looks like one: no checker may complain."""
     found = found_in(
         tmp_path,
         clients=[
@@ -154,10 +166,12 @@
 
 
 def test_what_a_killed_process_had_taken_is_not_lost_by_the_broker(tmp_path: Path) -> None:
+    """A killed process takes its open requests with it: that is the kill, not a fault of the broker."""
     assert not found_in(tmp_path, clients=[ASKED, ENDED], platform=[row(1.19, "killed")]).broken
 
 
 def test_a_client_of_a_killed_process_may_ask_again_while_a_node_is_at_work(tmp_path: Path) -> None:
+    """A client retries after a kill while the node still works on its first attempt: that is no duplicate."""
     found = found_in(
         tmp_path,
         clients=[ASKED, CROSSED, row(1.1, "asked", request="a-repeat"), row(1.2, "told", request="a-repeat")],
@@ -168,6 +182,7 @@
 
 
 def test_a_client_asks_again_under_a_name_of_its_own() -> None:
+    """A retry of a client is another request to the broker."""
     wanted = Wanted(key=1, plan="free", units=1, shard=0, long=False)
     assert wanted.request_id(0) != wanted.request_id(1)
     assert wanted.request_id(1).encode() in wanted.encode(1)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -30,6 +30,7 @@
 
 
 def test_a_process_that_starts_is_not_ready_and_a_drain_told_then_holds_from_its_first_moment() -> None:
+    """Operators drain a process that is still starting: no client may be sent to it for a moment."""
     lifecycle = Lifecycle()
     assert not lifecycle.report_readiness().accepted and not lifecycle.is_healthy
     assert lifecycle.evacuate().accepted
@@ -39,6 +40,7 @@
 
 
 def test_calls_that_come_twice_change_nothing_more() -> None:
+    """A script repeats its call as the answer got lost."""
     lifecycle = Lifecycle(Stage.SERVING)
     for _ in range(2):
         assert lifecycle.evacuate().accepted and lifecycle.is_draining
@@ -47,6 +49,7 @@
 
 
 def test_a_process_that_stops_takes_no_clients_back() -> None:
+    """A rejoin crosses SIGTERM: the process ends, whatever operators ask."""
     lifecycle = Lifecycle(Stage.SERVING)
     lifecycle.evacuate()
     lifecycle.mark_stopping()
@@ -56,6 +59,9 @@
 
 
 def test_a_superseded_process_speaks_for_the_newer_one_and_takes_no_calls() -> None:
+    """Health checks reach the old process during an upgrade: the broker is up, but drains are the newer
+    one's.
+    """
     lifecycle = Lifecycle(Stage.SERVING)
     lifecycle.mark_superseded()
     assert lifecycle.is_healthy and lifecycle.closes_connections
@@ -65,6 +71,7 @@
 
 
 def test_a_process_takes_back_from_a_newer_one_that_died_unless_it_stops() -> None:
+    """The newer process has died: the old one is in charge again, but not when it is ending itself."""
     lifecycle = Lifecycle(Stage.SERVING, is_superseded=True)
     lifecycle.mark_active_again()
     assert not lifecycle.is_superseded
@@ -73,6 +80,38 @@
     assert lifecycle.is_superseded
 
 
+def test_a_stage_moves_by_its_table_alone() -> None:
+    """The end is asked for before all is ready, or readiness comes again: a stage never goes back."""
+    reached = {}
+    for stage in Stage:
+        for event, move in (("ready", Lifecycle.mark_serving), ("stop", Lifecycle.mark_stopping)):
+            lifecycle = Lifecycle(stage)
+            move(lifecycle)
+            reached[stage, event] = lifecycle.stage
+    assert reached == {
+        (Stage.STARTING, "ready"): Stage.SERVING,
+        (Stage.STARTING, "stop"): Stage.STOPPING,
+        (Stage.SERVING, "ready"): Stage.SERVING,
+        (Stage.SERVING, "stop"): Stage.STOPPING,
+        (Stage.STOPPING, "ready"): Stage.STOPPING,
+        (Stage.STOPPING, "stop"): Stage.STOPPING,
+    }
+
+
+@pytest.mark.parametrize(
+    ("lifecycle", "line"),
+    [
+        (Lifecycle(), "starting"),
+        (Lifecycle(Stage.SERVING, is_draining=True), "serving, drained"),
+        (Lifecycle(Stage.STOPPING, is_superseded=True), "stopping, superseded"),
+        (Lifecycle(Stage.SERVING, is_in_maintenance=True), "serving, in maintenance"),
+    ],
+)
+def test_operators_read_the_state_in_the_words_of_their_page(lifecycle: Lifecycle, line: str) -> None:
+    """Scripts match these lines: docs/operators/operations.md lists them."""
+    assert lifecycle.report_readiness().state == line
+
+
 # --- calls on sockets ----------------------------------------------------------------------------
 
 
@@ -118,6 +157,8 @@
 
 @pytest.mark.parametrize("data, status", CALLS.values(), ids=CALLS.keys())
 def test_a_call_is_answered_once_and_closed(data: bytes, status: int) -> None:
+    """Good, wrong and hostile calls: each is answered once, and never leaves its connection open."""
+
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, _):
             got, answer = await call(port, data)
@@ -129,6 +170,8 @@
 
 
 def test_a_call_in_single_bytes_counts_once_it_is_whole_and_half_of_one_never() -> None:
+    """A call trickles in, and another is cut off in the middle: half a call must not end a drain."""
+
     async def main() -> None:
         lifecycle = Lifecycle(Stage.SERVING)
         async with address(lifecycle) as (port, _):
@@ -151,6 +194,8 @@
 
 
 def test_callers_that_say_nothing_never_keep_out_one_that_calls() -> None:
+    """A monitor leaks connections until all are held: a drain must still get through at once."""
+
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, api):
             silent = []
@@ -168,6 +213,7 @@
 
 
 def test_half_a_call_is_ended_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A caller stops in the middle of a call: its connection is answered 408 and closed."""
     monkeypatch.setattr(operator_api, "REQUEST_TIMEOUT_S", 0.05)
 
     async def main() -> None:
@@ -181,6 +227,7 @@
 
 
 def test_descriptors_of_callers_are_kept_from_clients() -> None:
+    """Clients take every descriptor they may: operators' own are reserved beside them."""
     without, with_callers = Limits.share(384, 80), Limits.share(384, 80, OPERATORS)
     taken = without.clients + without.boxes - with_callers.clients - with_callers.boxes
     assert taken >= 0.9 * OPERATORS - 1
@@ -218,6 +265,8 @@
 def test_from_the_call_on_the_health_check_says_no_and_answers_end_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """From the moment of a drain no client is attracted or kept, and a rejoin turns that round."""
+
     async def play(house: House, port: int) -> None:
         kept = house.client()
         kept.sendall(READY)
@@ -238,6 +287,10 @@
 def test_a_drained_broker_serves_what_still_comes_and_no_connection_rests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Clients are slow to hear of a drain: what they still send is served, idle connections are closed
+    in order.
+    """
+
     async def play(house: House, port: int) -> None:
         resting = [await house.resting("/health/ready", "idle") for _ in range(20)]
         busy = house.client()
@@ -260,6 +313,8 @@
 def test_three_hundred_clients_that_never_stop_sending_are_all_sent_away(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Clients that always have a next request would keep their connections for ever: a drain has to end."""
+
     async def play(house: House, port: int) -> None:
         crowd = [await house.resting("/health/ready", "idle") for _ in range(300)]
 
@@ -282,6 +337,8 @@
 
 
 def test_a_client_that_pipelines_is_answered_once_and_sent_away(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client sends three requests at once to a drained broker: it must not be served on for all of them."""
+
     async def play(house: House, port: int) -> None:
         await call(port, EVACUATE)
         client = house.client()
@@ -292,6 +349,8 @@
 
 
 def test_a_rejoin_within_the_drain_keeps_connections_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Operators change their mind within the drain: connections that it has not closed yet are kept."""
+
     async def play(house: House, port: int) -> None:
         client = await house.resting("/health/ready", "idle")
         await call(port, EVACUATE)
@@ -305,6 +364,8 @@
 
 
 def test_a_drain_outlasts_a_reload_and_a_stop_ends_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A bad configuration is reloaded during a drain: the drain stays; SIGTERM is above a rejoin."""
+
     async def play(house: House, port: int) -> None:
         await call(port, EVACUATE)
         house.daemon.reload({})  # LB_CONFIG can't be read: what is in force stays
@@ -335,5 +396,6 @@
 
 
 def test_an_address_that_is_taken_is_named_with_its_key() -> None:
+    """Another program has the operators' address: the start ends with a line that names the key."""
     with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(BadConfigError, match="operator: "):
         inside(lambda house: house.settle(), operator=other.getsockname())
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -36,6 +36,9 @@
 
 
 def test_run_ends_in_one_process_that_starts_no_other(tmp_path: Path) -> None:
+    """The platform supervises the process that it starts: a shell or a child beside it would outlive
+    its signals.
+    """
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert command.startswith("exec ")
     (tmp_path / "sitecustomize.py").write_text(WATCH)
@@ -148,6 +151,9 @@
 def test_signals_beside_each_other_end_in_an_orderly_stop(
     signals: tuple[signal.Signals, ...], tmp_path: Path
 ) -> None:
+    """A second SIGTERM, or a SIGHUP, comes while the process stops or starts: neither may cut the
+    shutdown short.
+    """
     broker = Process(tmp_path, "127.0.0.1:1")
     broker.port()
     assert broker.end(*signals) == 0
@@ -155,6 +161,7 @@
 
 
 def test_sigterm_before_it_serves_ends_it_at_once_without_a_trace(tmp_path: Path) -> None:
+    """The platform changes its mind within the first moment: the process ends, and logs no traceback."""
     broker = Process(tmp_path, "127.0.0.1:1")
     assert broker.end() in (0, -signal.SIGTERM)
     assert "Traceback" not in broker.said
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -38,6 +38,7 @@
 
 
 def test_epochs_rise_and_a_process_lives_for_as_long_as_it_holds_its_lock(tmp_path: Path) -> None:
+    """A process dies without a word: the system ends its lock, and the others see it from that."""
     first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     assert first.epoch < second.epoch and first.has_other_processes() and second.is_alive(first.epoch)
     first.close()
@@ -46,6 +47,7 @@
 
 
 def test_one_process_at_a_time_takes_over(tmp_path: Path) -> None:
+    """Two new processes start at once: the second waits until the first has become active."""
     first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     assert first.try_lock_takeover() and not second.try_lock_takeover()
     first.become_active()
@@ -54,6 +56,7 @@
 
 
 def test_a_claim_counts_for_as_long_as_its_process_lives(tmp_path: Path) -> None:
+    """A process claims the lease and dies: the active one must not hand over to nobody."""
     old, new = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     new.try_lock_takeover()
     new.write_claim()
@@ -63,6 +66,7 @@
 
 
 def test_files_of_processes_that_are_gone_go_with_the_next_take_over(tmp_path: Path) -> None:
+    """Upgrade after upgrade leaves files behind; each takeover removes those of the dead."""
     gone, new = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     gone.close()
     new.try_lock_takeover()
@@ -77,18 +81,18 @@
     """An ActiveProcessLease whose hooks write down what they are told."""
 
     def __init__(self, folder: Path) -> None:
-        self.said: list[str] = []
+        self.events: list[str] = []
         self.registry = ProcessRegistry(folder)
         hooks = ActiveProcessHooks(
-            self.give_up,
-            lambda: self.said.append("fenced"),
-            lambda: self.said.append("took back"),
+            self.release,
+            lambda: self.events.append("fenced"),
+            lambda: self.events.append("reclaimed"),
             lambda on: None,
         )
         self.lease = ActiveProcessLease(self.registry, hooks)
 
-    def give_up(self, claimed: int) -> bytes:
-        self.said.append("gave up")
+    def release(self, claimed: int) -> bytes:
+        self.events.append("released")
         return b"state for %d" % claimed
 
     def die(self) -> None:
@@ -99,37 +103,45 @@
         assert self.lease._timer is not None
         self.lease._timer.cancel()
 
-    async def heard(self, *said: str) -> None:
+    async def wait_until(self, *said: str) -> None:
         async with asyncio.timeout(PATIENCE_S):
-            while self.said != list(said):
+            while self.events != list(said):
                 await asyncio.sleep(0.005)
 
 
 def test_the_first_process_takes_charge_with_nothing_and_the_next_with_its_record(tmp_path: Path) -> None:
+    """The course without a failure, twice in a row: each process passes its state to the next."""
+
     async def course() -> None:
         old, new, third = Process(tmp_path), Process(tmp_path), Process(tmp_path)
         assert await old.lease.take_over() is None
         assert await new.lease.take_over() == b"state for %d" % new.lease.epoch
-        assert old.said == ["gave up"] and new.lease.is_active and not old.lease.is_active
+        assert old.events == ["released"] and new.lease.is_active and not old.lease.is_active
         assert await third.lease.take_over() == b"state for %d" % third.lease.epoch
-        assert old.said == ["gave up"] and new.said == ["gave up"]
+        assert old.events == ["released"] and new.events == ["released"]
 
     asyncio.run(course())
 
 
 def test_two_that_take_over_at_once_do_so_one_after_the_other(tmp_path: Path) -> None:
+    """Two upgrades are started at once: one process ends up active, and no state is lost on the way."""
+
     async def course() -> None:
         old, *both = [Process(tmp_path) for _ in range(3)]
         await old.lease.take_over()
         records = await asyncio.gather(*(each.lease.take_over() for each in both))
         assert None not in records
-        assert sorted(len(each.said) for each in both) == [0, 1] and old.said == ["gave up"]
+        assert sorted(len(each.events) for each in both) == [0, 1] and old.events == ["released"]
 
     asyncio.run(course())
 
 
 @pytest.mark.parametrize("charged", [False, True], ids=["before it is in charge", "right after"])
 def test_the_old_process_takes_back_from_one_that_dies(tmp_path: Path, charged: bool) -> None:
+    """The new process is killed in the middle of its takeover, or right after it: the old one reclaims
+    the lease.
+    """
+
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
         await old.lease.take_over()
@@ -138,17 +150,21 @@
         else:
             new.registry.try_lock_takeover()
             new.registry.write_claim()
-            await old.heard("gave up")
+            await old.wait_until("released")
         new.die()
         if not charged:
             new.registry.end_takeover()  # as the system does with a dead process's locks
-        await old.heard("gave up", "took back")
+        await old.wait_until("released", "reclaimed")
         assert old.lease.is_active and old.registry.active_epoch() == old.lease.epoch
 
     asyncio.run(course())
 
 
 def test_a_process_that_was_told_to_end_takes_nothing_back(tmp_path: Path) -> None:
+    """The old process has had SIGTERM when the new one dies: it still hands over, but never becomes
+    active again.
+    """
+
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
         await old.lease.take_over()
@@ -156,12 +172,16 @@
         assert await new.lease.take_over() is not None  # it still answers
         new.die()
         await asyncio.sleep(0.1)
-        assert old.said == ["gave up"]
+        assert old.events == ["released"]
 
     asyncio.run(course())
 
 
 def test_the_next_process_starts_from_nothing_where_the_old_one_is_gone(tmp_path: Path) -> None:
+    """The active process is killed after the claim and before its answer: the new one does not wait for
+    ever.
+    """
+
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
         await old.lease.take_over()
@@ -178,6 +198,10 @@
 def test_one_that_stood_still_is_fenced_before_it_acts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The active process is stopped (SIGSTOP), and the new one goes on without its answer.
+
+    Once it runs again it must find that out before it forwards anything: two would spend one limit.
+    """
     monkeypatch.setattr(active_process, "CLAIM_ANSWER_TIMEOUT_S", 0.05)
 
     async def course() -> None:
@@ -188,7 +212,7 @@
         assert await new.lease.take_over() is None
         assert time.monotonic() - begun > ACTIVE_LEASE_S  # what the old one may still have done is over
         old.lease.check_fence()
-        assert old.said == ["fenced"] and not old.lease.is_active
+        assert old.events == ["fenced"] and not old.lease.is_active
 
     asyncio.run(course())
 
@@ -199,6 +223,7 @@
 
 
 def test_a_record_comes_back_as_it_went() -> None:
+    """Everything that is exported is there after the import."""
     leases = handover.LeaseState(7, {1: Slot(calls={3: (5, {1, 2})})}, {})
     tallies = {4: Tally([1.0] * 9, 5, {2: (9, [0.5])})}
     decisions = handover.DecisionState(tallies=tallies, usual=[2.0], leases=leases)
@@ -225,11 +250,15 @@
 def test_a_record_of_no_use_is_set_aside(
     spoil: Callable[[bytes], bytes], broker: str, epoch: int, now_s: float, reason: str
 ) -> None:
+    """A record is damaged, of another release, of another broker or process, or left by an upgrade long
+    ago.
+    """
     with pytest.raises(RecordError, match=reason):
         record.decode(spoil(record.encode(EMPTY)), broker, epoch, now_s)
 
 
 def test_a_record_of_another_shape_is_set_aside() -> None:
+    """Another release of the same version number wrote other fields: that is found, not imported by half."""
     import msgspec
     from xxhash import xxh3_64_digest
 
@@ -249,6 +278,7 @@
 
 
 def test_the_newer_list_holds_and_drains_that_either_was_told() -> None:
+    """One process knows a newer endpoint list, the other a drain: neither may be lost in the hand-over."""
     old, new = Directory({}), Directory({})
     old.read(page(9, "a", "b", "c", b="draining"))
     new.read(page(5, "a", "b", "d"), "cached")
@@ -271,6 +301,7 @@
 
 
 def test_what_was_learned_goes_on_and_nothing_is_given_out_twice() -> None:
+    """Capacity, quotas and grants that the old process has learned or given out hold in the new one."""
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
     old, new = BrokerUnderTest((cold,)), BrokerUnderTest((cold,))
     keeper, taker = old.scheduler, new.scheduler
@@ -311,6 +342,7 @@
 
 
 def test_a_superseded_process_gives_out_no_limit_and_nothing_of_cold_nodes() -> None:
+    """Both processes live on for a while: only the active one may spend rate limits and slow-start budget."""
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
     head = BrokerUnderTest((cold, api.NodeEntry("n1", 1)))
     head.do(api.SettingsChanged(handover.superseded(head.settings)))
@@ -396,6 +428,8 @@
 def test_a_kept_connection_of_the_old_process_is_served_and_sent_to_the_new(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Clients keep connections to the old process: each is served once more there, and told to reconnect."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         kept = await platform.client()
@@ -419,6 +453,8 @@
 def test_a_request_half_read_and_one_behind_sigterm_are_served_by_the_old_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A request is half read as the upgrade and then SIGTERM come: it is still served."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         kept, half = await platform.client(), await platform.client()
@@ -442,6 +478,8 @@
 def test_a_long_answer_on_its_way_is_finished_by_the_old_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """An answer of 32 MB is on its way as the upgrade comes: the client gets all of it."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         reader, writer = await platform.client()
@@ -462,6 +500,8 @@
 def test_connections_that_come_while_one_takes_over_wait_and_are_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Clients connect all through a takeover: none is refused and none is closed unserved."""
+
     async def course(platform: Platform) -> None:
         await platform.process()
         starting = asyncio.create_task(platform.process())
@@ -475,6 +515,8 @@
 def test_the_old_process_accepts_and_hears_its_peers_again_where_the_new_one_dies(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The new process crashes once it is active: the old one accepts clients and peers again."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         new = await platform.process()
@@ -494,6 +536,10 @@
 def test_a_state_that_cannot_be_written_down_leaves_one_in_charge(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The export of the state fails on a bug of ours: the new process starts with none, and is the only
+    active one.
+    """
+
     def fail(scheduler: object) -> None:
         raise ValueError("a fault of the broker itself")
 
@@ -511,6 +557,10 @@
 def test_a_record_that_cannot_be_gone_on_from_ends_no_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The import fails on a record that another release wrote: the new process starts with no state,
+    and serves.
+    """
+
     def fail(scheduler: object, state: object) -> None:
         raise KeyError("another release's")
 
@@ -529,6 +579,10 @@
 def test_a_drain_and_what_was_learned_cross_an_upgrade(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Operators drain a broker and then upgrade it: it stays drained, with what it knows of nodes and
+    discovery.
+    """
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         old.lifecycle.evacuate()
@@ -547,6 +601,8 @@
 def test_sigterm_reaches_the_old_process_before_the_new_one_is_ready(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The platform stops the old process too early: the new one serves all the same."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         stopping = asyncio.create_task(old.stop())
@@ -559,6 +615,8 @@
 
 
 def test_two_upgrades_at_once_end_with_one_in_charge(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two new processes are started beside a running one: exactly one of the three accepts at the end."""
+
     async def course(platform: Platform) -> None:
         await platform.process()
         await asyncio.gather(platform.process(), platform.process())
@@ -598,6 +656,11 @@
 def test_connections_accepted_as_a_process_is_superseded_are_not_turned_away(
     turns: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Connections are accepted and not yet heard of as the limit of the process shrinks.
+
+    Their clients have sent requests: rejecting them now would fail requests for the sake of a count.
+    """
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         assert old.in_place_upgrade is not None
@@ -626,6 +689,8 @@
 def test_no_message_of_a_peer_is_lost_where_the_address_changes_hands(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Peers send all through an upgrade: each datagram reaches one of the two processes, and only one."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
@@ -654,6 +719,8 @@
 def test_an_inherited_descriptor_that_is_another_socket_is_named(
     make: Callable[[], tuple[socket.socket, tuple[str, int]]], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The platform passes on the wrong descriptor: the start ends with a line that names the variable."""
+
     async def course(platform: Platform) -> None:
         door, listen = make()
         with door, pytest.raises(BadConfigError, match="LB_INHERITED_FD: descriptor"):
@@ -665,6 +732,8 @@
 def test_an_inherited_descriptor_that_is_not_open_is_named(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The platform passes on a number without a descriptor: the start ends with a line that names it."""
+
     async def course(platform: Platform) -> None:
         with pytest.raises(BadConfigError, match="LB_INHERITED_FD: descriptor 999 is not open"):
             await platform.process(inherited_descriptor=999)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -75,6 +75,9 @@
 
 
 def test_a_request_from_arrival_to_answer() -> None:
+    """The course without a failure: an arrival becomes an attempt, its end is the last that is heard of
+    it.
+    """
     done = {
         "done": {
             "who": WHO,
@@ -103,6 +106,7 @@
 
 
 def test_hash_seeds_change_nothing() -> None:
+    """The simulator compares runs byte for byte: the order of sets and dicts may not show."""
     asks = [{"demand": {**ASK["demand"], "req": f"q{i}", "owner": f"v{i % 5}"}} for i in range(30)]
     batch = [*OPEN, {"batch": {"clockUs": 5_002_000}}, *asks, {"eob": {}}]
     first = run(*batch, hash_seed="1").stdout
@@ -121,6 +125,7 @@
     ],
 )
 def test_a_line_it_cannot_use_ends_it_plainly(line: str, word: str) -> None:
+    """The simulator sends a line that is not JSON or of no known form: the link ends and names the line."""
     end = run(*OPEN, line)
     assert end.returncode == 2
     assert end.stderr.count("\n") == 1 and "line 6" in end.stderr and word in end.stderr
@@ -128,6 +133,7 @@
 
 
 def test_a_missing_field_is_named_and_no_reply_is_begun() -> None:
+    """A field is missing in the middle of a batch: half a reply would be worse than none."""
     bad = {"demand": {k: v for k, v in ASK["demand"].items() if k != "owner"}}
     end = run(*OPEN, {"batch": {"clockUs": 5_002_000}}, ASK, bad)
     assert end.returncode == 2 and "owner" in end.stderr and "line 8" in end.stderr
@@ -135,12 +141,14 @@
 
 
 def test_an_unknown_event_is_named_once_and_disregarded() -> None:
+    """A newer simulator sends a word that this release does not know: it is reported once and passed over."""
     odd = {"novelty": {"who": WHO}}
     end = run(*OPEN, {"batch": {"clockUs": 5_002_000}}, odd, odd, {"eob": {}})
     assert end.returncode == 0 and end.stderr.count("novelty") == 1
 
 
 def test_settings_out_of_range_become_die() -> None:
+    """An instance is given settings out of range: it alone ends, and the reply says why."""
     first = json.loads(json.dumps(OPEN))
     first[1]["begin"]["settings"]["groupSize"] = 0
     end = run(*first)
@@ -148,5 +156,6 @@
 
 
 def test_a_killed_instance_is_forgotten() -> None:
+    """The simulator kills an instance with an event still in the batch: nothing is answered for it."""
     end = run(*OPEN, {"batch": {"clockUs": 5_002_000}}, ASK, {"down": {"who": WHO}}, {"eob": {}})
     assert end.returncode == 0 and end.stdout.endswith('{"next":{}}\n{"next":{}}\n')
