--- a/harriertide/cli/benchlink.py
+++ b/harriertide/cli/benchlink.py
@@ -1,185 +1,33 @@
-"""The simulator's wire: lines of JSON to events, actions to lines of JSON. It decides nothing.
+"""The simulator's link: batches of lines on standard input to schedulers, their actions to standard output.
 
 The simulator runs many brokers in one process of this program and calls each an instance. It sends a batch:
 `batch` with its clock, any lines, `eob`. The reply is the actions of each instance in the batch, then `next`.
-The wire's own words are mapped here and nowhere else.
+Words of single lines are mapped in `simulator_codec`. Nothing here decides anything.
 """
 
 from __future__ import annotations
 
-import base64
-import binascii
 import sys
 import traceback
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, BinaryIO
-
-import orjson
-
+from typing import BinaryIO
+
+from harriertide.cli.simulator_codec import (
+    ENDPOINT_UPDATE_KINDS,
+    EVENT_DECODERS,
+    WireError,
+    decode_node_entry,
+    encode_action,
+    encode_failure,
+    parse_line,
+)
 from harriertide.decide import api
 from harriertide.decide.scheduler import Scheduler
 from harriertide.decide.settings import Fields, from_wire
 
 EXIT_UNUSABLE_INPUT = 2
 
-# What an attempt or a health check ended with, by the wire's code: errno's numbers where there is one.
-_OUTCOME_KINDS: dict[int, api.OutcomeKind] = {
-    0: "ok",
-    5: "error",
-    11: "rejected",
-    104: "reset",
-    110: "timeout",
-    111: "connect_failed",
-    114: "not_sent",
-    125: "cancelled",
-}
-_NODE_STATES = {"live": "live", "quiescing": "draining", "dead": "gone"}
-_ENDPOINT_UPDATE_KINDS = ("delta", "full", "cached", "failed")
-
-
-class WireError(Exception):
-    """A line of the simulator's that cannot be used: the sender is at fault."""
-
-
-# --- lines to events -------------------------------------------------------------------------------------
-
-
-def _decode_node_entry(fields: Fields) -> api.NodeEntry:
-    return api.NodeEntry(
-        node_id=fields["shelf"],
-        shard=fields["pod"],
-        state=_NODE_STATES[fields["state"]],  # type: ignore[arg-type]
-        zone=fields["zone"],
-        started_us=fields.get("lastStartUs") or 0,
-    )
-
-
-def _decode_arrival(fields: Fields) -> api.Arrival:
-    return api.Arrival(
-        request_id=fields["req"],
-        request_class=fields["band"],
-        plan=fields["policyNo"],
-        volume=fields["owner"],
-        shard=int(fields["slotNo"]),
-        deadline_at_us=fields["validUntilUs"],
-        units=fields["costUnits"],
-        key=fields.get("item") or "",
-        sharing_broker_count=int(fields["writers"]),
-        is_retry=bool(fields.get("resent")),
-    )
-
-
-def _decode_response_started(fields: Fields) -> api.ResponseStarted:
-    return api.ResponseStarted(request_id=fields["req"], attempt=fields["sendNo"])
-
-
-def _decode_attempt_finished(fields: Fields) -> api.AttemptFinished:
-    return api.AttemptFinished(
-        request_id=fields["req"],
-        attempt=fields["sendNo"],
-        node_id=fields["shelf"],
-        kind=_OUTCOME_KINDS[fields["code"]],
-        latency_us=fields.get("delaySeenUs") or 0,
-        is_final=bool(fields.get("complete")),
-    )
-
-
-def _decode_client_disconnected(fields: Fields) -> api.ClientDisconnected:
-    return api.ClientDisconnected(request_id=fields["req"])
-
-
-def _decode_probe_finished(fields: Fields) -> api.ProbeFinished:
-    return api.ProbeFinished(node_id=fields["shelf"], kind=_OUTCOME_KINDS[fields["code"]])
-
-
-def _decode_timer_fired(fields: Fields) -> api.TimerFired:
-    return api.TimerFired(token=fields["ctx"])
-
-
-def _decode_peer_message(fields: Fields) -> api.PeerMessageReceived:
-    """A message of another broker; one that was garbled on its way counts as empty, as on a real network."""
-    try:
-        body = base64.b64decode(fields["body"], validate=True)
-    except (binascii.Error, ValueError):
-        body = b""
-    return api.PeerMessageReceived(sender_index=fields["neighbour"], body=body)
-
-
-_EVENT_DECODERS: dict[str, Callable[[Fields], api.Event]] = {
-    "demand": _decode_arrival,
-    "established": _decode_response_started,
-    "done": _decode_attempt_finished,
-    "aborted": _decode_client_disconnected,
-    "sampled": _decode_probe_finished,
-    "wake": _decode_timer_fired,
-    "noteFrom": _decode_peer_message,
-}
-
-
-# --- actions to lines ------------------------------------------------------------------------------------
-
-
-def _encode_start_attempt(action: api.StartAttempt) -> Fields:
-    return {"req": action.request_id, "stopAtUs": action.stop_at_us, "shelf": action.node_id}
-
-
-def _encode_cancel_attempt(action: api.CancelAttempt) -> Fields:
-    return {"req": action.request_id, "sendNo": action.attempt}
-
-
-def _encode_reject(action: api.Reject) -> Fields:
-    return {"req": action.request_id, "notBeforeForUs": action.retry_after_us}
-
-
-def _encode_fail(action: api.Fail) -> Fields:
-    return {"req": action.request_id}
-
-
-def _encode_set_timer(action: api.SetTimer) -> Fields:
-    return {"sleepForUs": action.after_us, "ctx": action.token}
-
-
-def _encode_watch_endpoints(action: api.WatchEndpoints) -> Fields:
-    return {"enable": True}
-
-
-def _encode_peer_message(action: api.SendPeerMessage) -> Fields:
-    return {"whom": action.recipient_index, "body": base64.b64encode(action.body).decode()}
-
-
-def _encode_start_probe(action: api.StartProbe) -> Fields:
-    return {"shelf": action.node_id}
-
-
-def _encode_log_line(action: api.LogLine) -> Fields:
-    return {"message": action.text}
-
-
-_ACTION_ENCODERS: dict[type, tuple[str, Callable[[Any], Fields]]] = {  # the line's word, and its fields
-    api.StartAttempt: ("try", _encode_start_attempt),
-    api.CancelAttempt: ("undoSend", _encode_cancel_attempt),
-    api.Reject: ("decline", _encode_reject),
-    api.Fail: ("lose", _encode_fail),
-    api.SetTimer: ("wakeMe", _encode_set_timer),
-    api.WatchEndpoints: ("tail", _encode_watch_endpoints),
-    api.SendPeerMessage: ("announce", _encode_peer_message),
-    api.StartProbe: ("askLoad", _encode_start_probe),
-    api.LogLine: ("journalLine", _encode_log_line),
-}
-
-
-def _encode_action(instance: str, action: api.Action) -> bytes:
-    word, encode = _ACTION_ENCODERS[type(action)]
-    return orjson.dumps({word: {"who": instance, **encode(action)}})
-
-
-def _encode_failure(instance: str, reason: str) -> bytes:
-    return orjson.dumps({"die": {"who": instance, "message": reason}})
-
-
-# --- the link --------------------------------------------------------------------------------------------
-
 
 @dataclass(slots=True)
 class Batch:
@@ -230,7 +78,7 @@
                 raise WireError(f"line {number}: {error}") from None
 
     def _on_line(self, line: bytes) -> None:
-        word, fields = _parse_line(line)
+        word, fields = parse_line(line)
         try:
             self._on_word(word, fields)
         except KeyError as gap:
@@ -245,7 +93,7 @@
         batch = self._batch
         if batch is None:
             raise WireError(f"{word} outside a batch")
-        decode = _EVENT_DECODERS.get(word)
+        decode = EVENT_DECODERS.get(word)
         if decode is not None:
             batch.add(fields["who"], decode(fields))
             return
@@ -258,7 +106,7 @@
 
     def _on_manifest(self, batch: Batch, fields: Fields) -> None:
         """An endpoint list, which views of any instance refer to by its page."""
-        self._manifests[fields["page"]] = tuple(_decode_node_entry(entry) for entry in fields["records"])
+        self._manifests[fields["page"]] = tuple(decode_node_entry(entry) for entry in fields["records"])
 
     def _on_begin(self, batch: Batch, fields: Fields) -> None:
         """Start an instance, anew if there is one of that name."""
@@ -280,7 +128,7 @@
     def _on_view(self, batch: Batch, fields: Fields) -> None:
         """An instance's endpoint list is one of the manifests, or could not be had."""
         kind = fields["mode"]
-        if kind not in _ENDPOINT_UPDATE_KINDS:
+        if kind not in ENDPOINT_UPDATE_KINDS:
             raise KeyError(kind)
         entries = () if kind == "failed" else self._manifests[fields["page"]]
         batch.add(fields["who"], api.EndpointUpdate(kind=kind, entries=entries))
@@ -298,38 +146,24 @@
     def _decide(self, now_us: int, instance: str, events: list[api.Event]) -> list[bytes]:
         """One instance's part of the reply.
 
-        A fault of the decision module itself is reported as the instance's end, behind the actions before it:
-        the simulator then counts it against this program and goes on with the other instances.
+        A fault of the decision module itself is reported as the instance's end, behind its actions before it,
+        with a traceback on standard error: the other instances go on.
         """
         if instance in self._start_failures:
-            return [_encode_failure(instance, self._start_failures[instance])]
+            return [encode_failure(instance, self._start_failures[instance])]
         scheduler = self._schedulers.get(instance)
         if scheduler is None:
             return []
         lines: list[bytes] = []
         try:
             for action in scheduler.decide(now_us, events):
-                lines.append(_encode_action(instance, action))
+                lines.append(encode_action(instance, action))
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            lines.append(_encode_failure(instance, f"{type(error).__name__}: {error}"))
+            lines.append(encode_failure(instance, f"{type(error).__name__}: {error}"))
         return lines
 
 
-def _parse_line(line: bytes) -> tuple[str, Fields]:
-    """The line's word and its fields."""
-    try:
-        value = orjson.loads(line)
-    except orjson.JSONDecodeError as error:
-        raise WireError(f"not JSON: {error}") from None
-    if not isinstance(value, dict) or len(value) != 1:
-        raise WireError("not an object with one key")
-    word, fields = next(iter(value.items()))
-    if not isinstance(fields, dict):
-        raise WireError(f"{word}: its value is not an object")
-    return word, fields
-
-
 def main() -> int:
     """Run the link on standard input and output.
 
--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -11,11 +11,10 @@
 import signal
 import sqlite3
 import sys
-import time
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from harriertide.cli.initial_settings import InitialSettings, find_initial_settings
 from harriertide.cli.listeners import Address, Listeners
 from harriertide.cli.reload import reload
 from harriertide.cli.shutdown import shut_down
@@ -33,7 +32,7 @@
 from harriertide.http.nodes import NodeClient
 from harriertide.http.relay import BodyBudget
 from harriertide.lifecycle.machine import Lifecycle
-from harriertide.platform.configuration import BadConfigError, Config, read_config
+from harriertide.platform.configuration import Config, read_config
 from harriertide.platform.connection import PlatformServer
 from harriertide.platform.discovery import Directory, Watch
 from harriertide.platform.front import Front
@@ -50,40 +49,6 @@
 
 EXIT_UNUSABLE = 2  # the configuration or the operator's file can't be used
 
-# Without a platform: no names to translate, and connections to nodes on loopback.
-_LOCAL_NAMES = Names({}, {}, {}, connect_us=250_000, idle_us=15_000_000)
-_EMPTY_ENDPOINT_LIST: dict[str, Any] = {"seq": 0, "whole": True, "hosts": []}
-
-
-@dataclass(frozen=True, slots=True)
-class InitialSettings:
-    """What the core and the fronts start with, whoever states it.
-
-    :param seed: of the core's random numbers.
-    :param endpoint_list: the list to start with, in discovery's form.
-    """
-
-    settings: api.Settings
-    names: Names
-    seed: int
-    endpoint_list: dict[str, Any]
-
-
-def find_initial_settings(config: Config | None, operator_file: OperatorFile | None) -> InitialSettings:
-    """The platform's configuration counts where there is one, else the operator's file.
-
-    :raises BadConfigError: where there is neither.
-    """
-    if config is not None:
-        return InitialSettings(config.settings, config.names, config.seed, config.known)
-    if operator_file is None:
-        raise BadConfigError("nothing to serve")
-    from harriertide.config.decision_settings import build_settings
-
-    state = operator_file.state
-    settings = build_settings(state, list(state["grades"]))
-    return InitialSettings(settings, _LOCAL_NAMES, time.time_ns(), _EMPTY_ENDPOINT_LIST)
-
 
 class Daemon:
     """One process in service: the platform's front, the object front, or both on one core.
