--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/parity.py
@@ -139,7 +139,7 @@
     clock, turn = daemons[0].runtime.clock, count()
 
     async def submit(arrival: api.Arrival) -> None:
-        port = daemons[next(turn) % brokers].port(0)
+        port = daemons[next(turn) % brokers].listeners.port(0)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         method, body = ("PUT", b"x" * 16) if arrival.request_class else ("GET", b"")
         extent = f"volume={arrival.volume},units={arrival.units:g},shard={arrival.shard}"
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -94,7 +94,7 @@
                 self.tasks.append(asyncio.ensure_future(self._ask(self.made, place, units, len(hosts))))
 
     async def _ask(self, number: int, place: int, units: int, hosts: int) -> None:
-        port = self.daemons[place].port(0)
+        port = self.daemons[place].listeners.port(0)
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(
