--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -131,8 +131,8 @@
             log("the record of the process before is set aside", reason=str(error))
             return False
         except Exception:
-            # Guards against a start that ends on what another release has left: any fault in the record means
-            # a start with no state, and the platform would otherwise restart this process for ever.
+            # Guards against a start that ends on what another release has left: whatever is wrong with the
+            # record, the process serves without it.
             log("the record of the process before could not be used", trace=traceback.format_exc())
             return False
         return True
--- a/harriertide/cli/node.py
+++ b/harriertide/cli/node.py
@@ -27,7 +27,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 
-MAX_FIELD_BYTES = 16_384  # of a header, the object front's own bound
+MAX_FIELD_BYTES = 16_384  # of a header: as long as the fronts accept a request line
 MIN_OPTION_VALUES = {"--slots": 1, "--queue": 0, "--took-ms": 0, "--most-mb": 1}
 
 
--- a/harriertide/config/client.py
+++ b/harriertide/config/client.py
@@ -11,7 +11,7 @@
 
 from harriertide.config.errors import AdminUnavailableError
 
-ANSWER_TIMEOUT_S = 10.0  # over the longest call, an order that a majority has to agree on
+ANSWER_TIMEOUT_S = 10.0  # above the 5 s that the daemon gives a majority to agree on an order
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/config/decision_settings.py
+++ b/harriertide/config/decision_settings.py
@@ -12,12 +12,11 @@
 CLASS_PRIORITY_WEIGHT = 3.0  # alike for all: an operator ranks grades, not kinds of requests
 # A request that missed its latency objective is still wanted, but never at the cost of one that can make it.
 LATE_PRIORITY_WEIGHT = CLASS_PRIORITY_WEIGHT / 10
-# The same figures as the platform's: what is within a grade's reserve counts for more than what is beyond it.
+# What is within a grade's reserve counts for more than what is beyond it.
 WITHIN_QUOTA_WEIGHT = 0.35
 BEYOND_QUOTA_WEIGHT = 0.08
-# Objects are mostly small: the mean request is guessed at a quarter of the largest until it has been seen.
-MEAN_REQUEST_RATIO = 1 / 4
-TICK_US = 2_000
+MEAN_REQUEST_RATIO = 1 / 4  # of the largest request: an assumption, as the operator states no mean
+TICK_US = 2_000  # the decision module looks at what waits so often
 
 
 def build_settings(state: State, grades: Sequence[str]) -> api.Settings:
--- a/harriertide/config/maintenance_section.py
+++ b/harriertide/config/maintenance_section.py
@@ -19,7 +19,7 @@
 )
 
 MAX_BROKER_COUNT = 200
-VOTER_COUNTS = (1, 3, 5, 7)  # odd, so that one more voter always bears one more loss
+VOTER_COUNTS = (1, 3, 5, 7)  # odd: an even count bears no more losses than one voter fewer
 # Over so many brokers the reports of the farthest pass through three others, and a lease has to outlast that.
 MAX_DIRECT_BROKER_COUNT = 25
 MIN_RELAYED_LEASE_MS = 2_000
--- a/harriertide/lifecycle/operator_api.py
+++ b/harriertide/lifecycle/operator_api.py
@@ -23,10 +23,10 @@
 
 # Of the descriptors reserved for operators the listener has one, and a caller that is being closed another.
 MAX_CONNECTION_COUNT = OPERATORS - 2
-REQUEST_TIMEOUT_S = 5.0  # for a whole call to come: an operator's script on a busy machine, not a person
+REQUEST_TIMEOUT_S = 5.0  # for a whole call to come; till then it holds one of the few connections
 CLOSE_TIMEOUT_S = 0.3  # for the caller to read its answer and to end its side, before it is cut off
 MAX_HEAD_BYTES = 8 * 1024  # no call needs a fraction of it
-MAX_BODY_BYTES = 64 * 1024  # bodies are read and disregarded: some clients send one with every POST
+MAX_BODY_BYTES = 64 * 1024  # no call needs a body: one that comes is read and disregarded
 _REASON_PHRASES = {
     HTTPStatus.OK: "OK",
     HTTPStatus.BAD_REQUEST: "Bad Request",
