--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,6 +9,9 @@
 
 import pytest
 
+from harriertide.cli.simulator_codec import EVENT_DECODERS, encode_action
+from harriertide.decide import api
+
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
     "index": 0,
@@ -159,3 +162,52 @@
     """The simulator kills an instance with an event still in the batch: nothing is answered for it."""
     end = run(*OPEN, {"batch": {"clockUs": 5_002_000}}, ASK, {"down": {"who": WHO}}, {"eob": {}})
     assert end.returncode == 0 and end.stdout.endswith('{"next":{}}\n{"next":{}}\n')
+
+
+ACTIONS: list[tuple[api.Action, str]] = [
+    (api.StartAttempt("q", "a:1", 9), '{"try":{"who":"head/0","req":"q","stopAtUs":9,"shelf":"a:1"}}'),
+    (api.CancelAttempt("q", 1), '{"undoSend":{"who":"head/0","req":"q","sendNo":1}}'),
+    (api.Reject("q", 7), '{"decline":{"who":"head/0","req":"q","notBeforeForUs":7}}'),
+    (api.Fail("q"), '{"lose":{"who":"head/0","req":"q"}}'),
+    (api.SetTimer(5, 2), '{"wakeMe":{"who":"head/0","sleepForUs":5,"ctx":2}}'),
+    (api.WatchEndpoints(), '{"tail":{"who":"head/0","enable":true}}'),
+    (api.SendPeerMessage(1, b"\x00\xff"), '{"announce":{"who":"head/0","whom":1,"body":"AP8="}}'),
+    (api.StartProbe("a:1"), '{"askLoad":{"who":"head/0","shelf":"a:1"}}'),
+    (api.LogLine("text"), '{"journalLine":{"who":"head/0","message":"text"}}'),
+]
+
+
+@pytest.mark.parametrize(("action", "line"), ACTIONS, ids=[type(action).__name__ for action, _ in ACTIONS])
+def test_an_action_is_the_same_line_as_in_the_release_before(action: api.Action, line: str) -> None:
+    """A field of the interface is renamed: the simulator must not see it, nor the instance end on it."""
+    assert encode_action(WHO, action) == line.encode()
+
+
+EVENTS: dict[str, tuple[dict[str, Any], api.Event]] = {
+    "demand": (
+        ASK["demand"],
+        api.Arrival("q", 0, 0, "v", 0, 7_000_000, units=2, key="i", sharing_broker_count=1, is_retry=False),
+    ),
+    "established": ({"req": "q", "sendNo": 1}, api.ResponseStarted("q", 1)),
+    "done": (
+        {"req": "q", "sendNo": 1, "shelf": "a:1", "code": 111, "delaySeenUs": 4, "complete": True},
+        api.AttemptFinished("q", 1, "a:1", "connect_failed", 4, True),
+    ),
+    "aborted": ({"req": "q"}, api.ClientDisconnected("q")),
+    "sampled": ({"shelf": "a:1", "code": 110}, api.ProbeFinished("a:1", "timeout")),
+    "wake": ({"ctx": 3}, api.TimerFired(3)),
+    "noteFrom": ({"neighbour": 2, "body": "AP8="}, api.PeerMessageReceived(2, b"\x00\xff")),
+}
+
+
+@pytest.mark.parametrize("word", EVENTS)
+def test_an_event_means_what_it_did_in_the_release_before(word: str) -> None:
+    """As for actions: the wire's names are mapped in one place, and a rename must not reach it."""
+    fields, event = EVENTS[word]
+    assert set(EVENTS) == set(EVENT_DECODERS)
+    assert EVENT_DECODERS[word](fields) == event
+
+
+def test_a_message_that_was_garbled_on_its_way_counts_as_empty() -> None:
+    """The simulator's network damages messages, as a real one does: that is no fault of the line."""
+    assert EVENT_DECODERS["noteFrom"]({"neighbour": 2, "body": "%%"}) == api.PeerMessageReceived(2, b"")
