--- a/harriertide/decide/api.py
+++ b/harriertide/decide/api.py
@@ -1,7 +1,8 @@
 """The interface of the decision module: settings, events and actions.
 
-Times are whole microseconds of one clock that only advances. Volumes, keys, nodes and requests
-are opaque strings. Nothing here decides anything.
+Times are whole microseconds of one clock that only advances; a field `..._at_us` is a point of time, `..._us`
+a span. Units are what requests cost, as the deployment counts them. Volumes, keys, nodes and requests are
+opaque strings, shards, brokers, classes and plans are numbers from 0. Nothing here decides anything.
 """
 
 from __future__ import annotations
@@ -10,113 +11,200 @@
 from math import isfinite
 from typing import Literal, TypeAlias
 
+Idempotency: TypeAlias = Literal["idempotent", "keyed", "non_idempotent"]
+DeduplicationScope: TypeAlias = Literal["all", "zone", "shard"]
 
-def _need(ok: bool, field: str, rule: str) -> None:
-    if not ok:
+
+def _require(holds: bool, field: str, rule: str) -> None:
+    if not holds:
         raise ValueError(f"{field}: {rule}")
 
 
-def _at_least(owner: object, floor: float, *fields: str) -> None:
+def _require_at_least(owner: object, least: float, *fields: str) -> None:
     for field in fields:
         value = getattr(owner, field)
-        number = isinstance(value, (int, float)) and not isinstance(value, bool)
-        _need(number and isfinite(value) and value >= floor, field, f"must be a number of at least {floor}")
+        is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
+        holds = is_number and isfinite(value) and value >= least
+        _require(holds, field, f"must be a number of at least {least}")
+
+
+# --- settings ------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: how soon it is wanted, what it is worth, whether it may run again."""
-
-    aim_us: int
+    """A class of requests: how soon an answer is wanted, how important it is, whether it may run again.
+
+    :ivar latency_objective_us: an answer after that is late
+    :ivar deadline_us: a client waits no longer than that
+    :ivar priority_weight: importance of an answer in time, against other classes
+    :ivar late_priority_weight: importance of a late answer, as a part of that
+    :ivar idempotency: may run again at any time; may run again where nodes recognize its key; may not
+    :ivar deduplication_scope: the nodes that recognize the key of a request that one of them has had: all,
+        those of its zone, or those of its shard
+    :ivar deduplication_window_us: how long they do, from when the first attempt was sent
+    :ivar in_order: requests of one key run one after the other
+
+    :raises ValueError: a figure is out of its range; the message names the field
+    """
+
+    latency_objective_us: int
     deadline_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    group: Literal["all", "zone", "cell"] = "all"
-    window_us: int = 0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Idempotency = "idempotent"
+    deduplication_scope: DeduplicationScope = "all"
+    deduplication_window_us: int = 0
     in_order: bool = False
 
     def __post_init__(self) -> None:
-        _at_least(self, 1, "aim_us", "deadline_us")
-        _at_least(self, 0, "worth", "late_worth", "window_us")
-        _need(self.effect in ("safe", "keyed", "unsafe"), "effect", "must be safe, keyed or unsafe")
-        _need(self.group in ("all", "zone", "cell"), "group", "must be all, zone or cell")
+        _require_at_least(self, 1, "latency_objective_us", "deadline_us")
+        _require_at_least(self, 0, "priority_weight", "late_priority_weight", "deduplication_window_us")
+        _require(
+            self.idempotency in ("idempotent", "keyed", "non_idempotent"),
+            "idempotency",
+            "must be idempotent, keyed or non_idempotent",
+        )
+        _require(
+            self.deduplication_scope in ("all", "zone", "shard"),
+            "deduplication_scope",
+            "must be all, zone or shard",
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan: figures of each of its volumes, over all heads and nodes, in units a second."""
+    """A service plan: figures of each of its volumes, over all brokers and nodes together.
+
+    :ivar reserved_rate: units a second that are served before all else
+    :ivar weight: the volume's part of what is left, against other volumes
+    :ivar priority_factor: importance of its requests, against other plans
+    :ivar rate_limit: units a second at most; 0: no limit
+    :ivar burst_limit_units: units at once at most, where there is a limit
+
+    :raises ValueError: a figure is out of its range; the message names the field
+    """
 
-    reserve: float = 0.0
+    reserved_rate: float = 0.0
     weight: float = 1.0
-    price: float = 1.0
-    limit: float = 0.0
-    limit_burst: float = 0.0
+    priority_factor: float = 1.0
+    rate_limit: float = 0.0
+    burst_limit_units: float = 0.0
 
     def __post_init__(self) -> None:
-        _at_least(self, 0, "reserve", "weight", "price", "limit", "limit_burst")
+        _require_at_least(
+            self, 0, "reserved_rate", "weight", "priority_factor", "rate_limit", "burst_limit_units"
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a head is told at its start."""
-
-    head: int
-    heads: int
+    """The settings of one broker.
+
+    :ivar broker_index: its number among the broker_count brokers of the fleet
+    :ivar classes: the request classes, by number
+    :ivar plans: the service plans, by number
+    :ivar shard_count: shards are numbered below it
+    :ivar mean_request_units: what a request costs in the mean
+    :ivar max_request_units: what a request costs at most
+    :ivar within_quota_weight: priority of requests within their volume's quota, against reserved ones
+    :ivar beyond_quota_weight: the same of requests beyond it
+    :ivar slow_start_units: what a node that has just started bears in one collapse window
+    :ivar slow_start_initial_ratio: its capacity at the start, as a part of that of a warm node
+    :ivar slow_start_us: how long it takes to warm up
+    :ivar collapse_window_us, collapse_load_ratio: a warming node collapses when it is sent, in this window,
+        so many times what it can do
+    :ivar polls_endpoint_list: the list is asked for; else it is pushed
+    :ivar poll_interval_us: a broker that has not asked for so long counts as told; four times as long after a
+        failed call
+    :ivar peer_messages_allowed: brokers may tell each other something
+    :ivar retry_after_allowed: a rejected client may be told when to come back
+    :ivar max_retry_after_us: the longest time that it is told
+    :ivar cancel_allowed: an attempt may be cancelled
+    :ivar max_attempts: of one request
+    :ivar probes_allowed: nodes may be probed beside requests
+    :ivar tick_us: between two calls of the decision module, at least
+    :ivar key_quiet_us: after an attempt of an ordered request that may still run, before the next of its key
+    :ivar retry_budget_floor, retry_budget_ratio, retry_budget_window_us: retries in a window are at most the
+        floor plus that part of its requests; a floor of None: no limit
+
+    :raises ValueError: a figure is out of its range; the message names the field
+    """
+
+    broker_index: int
+    broker_count: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    shards: int
-    mean_units: float = 1.0
-    most_units: float = 1.0
-    share_worth: float = 1.0
-    spare_worth: float = 0.0
-    cold_units: float = 0.0
-    cold_from: float = 1.0
-    cold_us: int = 0
-    fall_us: int = 0
-    fall_multiple: float = 1.0  # a cold node falls over when sent so many times what it can do for fall_us
-    ask_for_list: bool = False
-    ask_within_us: int = 10_000_000  # unasked so long, a head counts as told; after a failure four times
-    may_tell: bool = False
-    may_say_when: bool = False
-    may_cancel: bool = False
+    shard_count: int
+    mean_request_units: float = 1.0
+    max_request_units: float = 1.0
+    within_quota_weight: float = 1.0
+    beyond_quota_weight: float = 0.0
+    slow_start_units: float = 0.0
+    slow_start_initial_ratio: float = 1.0
+    slow_start_us: int = 0
+    collapse_window_us: int = 0
+    collapse_load_ratio: float = 1.0
+    polls_endpoint_list: bool = False
+    poll_interval_us: int = 10_000_000
+    peer_messages_allowed: bool = False
+    retry_after_allowed: bool = False
+    cancel_allowed: bool = False
     max_retry_after_us: int = 0
     max_attempts: int = 1
-    may_probe: bool = False
+    probes_allowed: bool = False
     tick_us: int = 1_000
-    key_rest_us: int = 0
-    extra_floor: float | None = None
-    extra_share: float = 0.0
-    extra_span_us: int = 0
+    key_quiet_us: int = 0
+    retry_budget_floor: float | None = None
+    retry_budget_ratio: float = 0.0
+    retry_budget_window_us: int = 0
 
     def __post_init__(self) -> None:
-        _at_least(self, 1, "heads", "shards", "max_attempts", "tick_us")
-        _at_least(self, 0, "head", "cold_units", "cold_us", "fall_us", "max_retry_after_us", "ask_within_us")
-        _at_least(self, 1, "fall_multiple")
-        _at_least(self, 0, "share_worth", "spare_worth", "cold_from", "key_rest_us", "extra_share")
-        _at_least(self, 0, "mean_units", "most_units", "extra_span_us")
-        _need(self.head < self.heads, "head", "must be below heads")
-        _need(len(self.classes) > 0, "classes", "must name at least one class")
-        _need(len(self.plans) > 0, "plans", "must name at least one plan")
-        _need(self.mean_units > 0, "mean_units", "must be above 0")
-        _need(0 < self.cold_from <= 1, "cold_from", "must be above 0 and at most 1")
-        if self.extra_floor is not None:
-            _at_least(self, 0, "extra_floor")
+        _require_at_least(
+            self, 1, "broker_count", "shard_count", "max_attempts", "tick_us", "collapse_load_ratio"
+        )
+        _require_at_least(self, 0, "broker_index", "max_retry_after_us", "poll_interval_us", "key_quiet_us")
+        _require_at_least(self, 0, "within_quota_weight", "beyond_quota_weight")
+        _require_at_least(self, 0, "slow_start_units", "slow_start_initial_ratio", "slow_start_us")
+        _require_at_least(self, 0, "collapse_window_us", "retry_budget_ratio", "retry_budget_window_us")
+        _require_at_least(self, 0, "mean_request_units", "max_request_units")
+        _require(self.broker_index < self.broker_count, "broker_index", "must be below broker_count")
+        _require(len(self.classes) > 0, "classes", "must name at least one class")
+        _require(len(self.plans) > 0, "plans", "must name at least one plan")
+        _require(self.mean_request_units > 0, "mean_request_units", "must be above 0")
+        _require(
+            0 < self.slow_start_initial_ratio <= 1,
+            "slow_start_initial_ratio",
+            "must be above 0 and at most 1",
+        )
+        if self.retry_budget_floor is not None:
+            _require_at_least(self, 0, "retry_budget_floor")
 
     def same_brokers(self, other: Settings) -> bool:
-        """Whether those settings are of the same brokers, with the same part of a cold node for each."""
-        names = ("head", "heads", "may_tell", "cold_units", "most_units")
+        """Whether those settings are of the same brokers, with the same part of a warming node for each."""
+        names = (
+            "broker_index",
+            "broker_count",
+            "peer_messages_allowed",
+            "slow_start_units",
+            "max_request_units",
+        )
         return all(getattr(self, name) == getattr(other, name) for name in names)
 
 
-# --- events ---------------------------------------------------------------------------------
+# --- events --------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """One node of the list. started_us 0: long ago."""
+    """One node of the endpoint list.
+
+    :ivar shard: the shard that it serves
+    :ivar state: gets requests; gets no new ones; has left
+    :ivar started_us: when it has started; 0: long ago
+    """
 
-    node: str
+    node_id: str
     shard: int
     state: Literal["live", "draining", "gone"] = "live"
     zone: int = 0
@@ -124,167 +212,206 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeList:
-    """News of the node list: changes, the whole list, the list last held, or a failed call."""
+class EndpointUpdate:
+    """News of the endpoint list.
+
+    :ivar kind: changes; the complete list; the complete list as it was kept from before; a call that failed
+    """
 
-    kind: Literal["changes", "whole", "held", "failed"]
-    nodes: tuple[NodeEntry, ...] = ()
+    kind: Literal["delta", "full", "cached", "failed"]
+    entries: tuple[NodeEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that this head has taken; shard -1 is a new object."""
-
-    request: str
+    """A request that this broker has taken.
+
+    :ivar request_class, plan: their numbers in the settings
+    :ivar volume: whose quota and limit it counts in
+    :ivar shard: that it has to go to; -1: a new object, any node may take it
+    :ivar deadline_at_us: its client waits until then
+    :ivar units: what it costs
+    :ivar key: of its object; requests of ordered classes run in turn by it
+    :ivar sharing_broker_count: the brokers through which the volume's requests come
+    :ivar is_retry: its client has asked for the same before
+    """
+
+    request_id: str
     request_class: int
     plan: int
     volume: str
     shard: int
-    give_up_us: int
+    deadline_at_us: int
     units: float = 1.0
     key: str = ""
-    hosts: int = 1
-    repeated: bool = False
+    sharing_broker_count: int = 1
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerBegan:
-    """The answer of a streamed request has begun; it now belongs to the client."""
+class ResponseStarted:
+    """The response of a streamed request goes to its client: no other attempt may follow."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
+# ok: served. error: the node has failed. rejected: the node takes no more just now. timeout, connect_failed,
+# reset: the connection's end. cancelled: by this broker. not_sent: nothing was sent, or the node says that
+# the request is over or not its own; another attempt there would not help.
 OutcomeKind: TypeAlias = Literal[
-    "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"
+    "ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent"
 ]
-# Kinds that show no sign of life of the node, and those that prove that the attempt never ran.
-NO_LIFE: frozenset[OutcomeKind] = frozenset({"timeout", "connect_failed", "reset"})
-NEVER_RAN: frozenset[OutcomeKind] = frozenset({"full", "connect_failed", "moot"})
+# The node has shown no sign of life.
+UNRESPONSIVE_OUTCOMES: frozenset[OutcomeKind] = frozenset({"timeout", "connect_failed", "reset"})
+# Proof that the attempt had no effect.
+NOT_EXECUTED_OUTCOMES: frozenset[OutcomeKind] = frozenset({"rejected", "connect_failed", "not_sent"})
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """How an attempt ended. over: the request has its final answer."""
+class AttemptFinished:
+    """How an attempt ended.
+
+    :ivar latency_us: from when it was sent
+    :ivar is_final: its request has its final answer
+    """
 
-    request: str
+    request_id: str
     attempt: int
-    node: str
+    node_id: str
     kind: OutcomeKind
-    took_us: int = 0
-    over: bool = False
+    latency_us: int = 0
+    is_final: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeFinished:
     """How a probe of a node ended; ok: it lives."""
 
-    node: str
+    node_id: str
     kind: OutcomeKind
 
 
 @dataclass(frozen=True, slots=True)
-class Departed:
-    """The client has gone; nothing more is owed."""
+class ClientDisconnected:
+    """The client of a request has gone; no answer is owed any more."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Woke:
-    """A timer set with Wake has run out."""
+class TimerFired:
+    """A timer set with SetTimer has run out."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerNote:
-    """Bytes from another head."""
+class PeerMessageReceived:
+    """A datagram from another broker."""
 
-    head: int
+    sender_index: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Resettled:
-    """New settings for a head that runs: figures of plans and classes, shards, limits."""
+class SettingsChanged:
+    """New settings for a running broker: figures of plans and classes, shards, limits."""
 
     settings: Settings
 
 
 Event: TypeAlias = (
-    NodeList | Arrival | AnswerBegan | Outcome | Probed | Departed | Woke | PeerNote | Resettled
+    Arrival
+    | AttemptFinished
+    | EndpointUpdate
+    | PeerMessageReceived
+    | ResponseStarted
+    | ProbeFinished
+    | ClientDisconnected
+    | SettingsChanged
+    | TimerFired
 )
 
 
-# --- actions --------------------------------------------------------------------------------
+# --- actions -------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """Start an attempt; it ends at stop_at_us at the latest."""
+class StartAttempt:
+    """Send a request to a node; the attempt ends at stop_at_us at the latest."""
 
-    request: str
-    node: str
+    request_id: str
+    node_id: str
     stop_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    """Stop waiting for an attempt; its outcome follows, cancelled or what was on its way."""
+class CancelAttempt:
+    """Wait for an attempt no longer. Its outcome follows: cancelled, or what was on its way."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    """Final answer: not done, trying again is harmless. retry_after_us 0: no advice."""
+class Reject:
+    """Final answer: trying again is harmless. retry_after_us 0: the client is not told when."""
 
-    request: str
+    request_id: str
     retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer without a promise."""
+    """Final answer without a promise: the request may have run."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Ask for a Woke event after this time."""
+class SetTimer:
+    """Ask for a TimerFired event after a while."""
 
     after_us: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
-    """Ask for the changes of the node list from here on."""
+class WatchEndpoints:
+    """Ask for the endpoint list, and for its changes from there on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Send bytes to another head."""
+class SendPeerMessage:
+    """Send a datagram to another broker; it may be lost."""
 
-    head: int
+    recipient_index: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    """Ask a node, beside all requests, whether it lives; one Probed follows."""
+class StartProbe:
+    """Ask a node, beside all requests, whether it lives; one ProbeFinished follows."""
 
-    node: str
+    node_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
-    """One line for on-call staff."""
+class LogLine:
+    """A line for the engineer on call: a decision and its reason."""
 
     text: str
 
 
-Action: TypeAlias = Send | Cancel | Refuse | Fail | Wake | Subscribe | Tell | Probe | Log
+Action: TypeAlias = (
+    StartAttempt
+    | CancelAttempt
+    | Reject
+    | Fail
+    | SetTimer
+    | WatchEndpoints
+    | SendPeerMessage
+    | StartProbe
+    | LogLine
+)
--- /dev/null
+++ b/harriertide/decide/scheduler.py
@@ -0,0 +1,363 @@
+"""What happens on each event, in order: the scheduler composes the mechanisms of this package.
+
+Its interface, types, events and actions, is `harriertide.decide.api`. Each mechanism answers one question and
+owns the state that it needs for it:
+
+- `demand`: what is offered, what is bid, who sums it up; `capacity`: what can a shard do, is it overloaded
+- `admission`: is a request admitted, at which priority; `rate_limits`: what does its plan's limit allow, with
+  `leases`, `quota_grants` and `quota_credit`
+- `dispatch`: when does an admitted request leave; `placement`: to which node; `key_queues`: which of one key
+- `health`: which nodes are ejected; `slow_start`: what may a warming node get
+- `retry`: may it be attempted again; `responses`: what is the final answer
+- `endpoints`, `endpoint_polling`: which nodes are there, and when is that asked
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from harriertide.decide import api
+from harriertide.decide.admission import classify_priority, is_thinned_out
+from harriertide.decide.capacity import CapacityEstimator
+from harriertide.decide.context import (
+    DecisionContext,
+    KeyTimer,
+    LeaseTimer,
+    PollTimer,
+    RequestTimer,
+    ShardTimer,
+    Timer,
+)
+from harriertide.decide.demand import Demand
+from harriertide.decide.derived import derive
+from harriertide.decide.dispatch import Dispatcher
+from harriertide.decide.endpoint_polling import EndpointPolling
+from harriertide.decide.endpoints import Endpoints
+from harriertide.decide.health import HealthChecks
+from harriertide.decide.key_queues import KeyQueues
+from harriertide.decide.latency import UsualLatency
+from harriertide.decide.peer_exchange import PeerExchange
+from harriertide.decide.placement import Placement, Placements
+from harriertide.decide.rate_limits import RateLimits
+from harriertide.decide.responses import Responses
+from harriertide.decide.retry import RetryBudget, may_attempt
+from harriertide.decide.slow_start import SlowStart
+from harriertide.decide.state import NodeState, RequestState, ShardState
+from harriertide.decide.warming import assume_all_granted
+
+# An attempt that ended so may still run at its node: the next of its key waits.
+_MAY_STILL_RUN: frozenset[api.OutcomeKind] = frozenset({"timeout", "reset", "cancelled"})
+
+
+class Scheduler:
+    """The decisions of one broker: pure, fed with events, answering with actions.
+
+    The mechanisms are public for reading, by tests and by the hand-over to a newer process; only this class
+    and they themselves change them.
+    """
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        self.context = DecisionContext(settings, derive(settings), Random(seed))
+        self.endpoints = Endpoints(self.context)
+        self.endpoint_polling = EndpointPolling(self.context)
+        self.exchange = PeerExchange(self.context)
+        self.slow_start = SlowStart(self.context, self.endpoints, self.exchange)
+        self.capacity = CapacityEstimator(self.context)
+        self.demand = Demand(self.context, self.endpoints, self.exchange, self.capacity)
+        self.rate_limits = RateLimits(self.context, self.exchange)
+        self.latency = UsualLatency()
+        self.health = HealthChecks(self.context, self.endpoints, self.latency)
+        self.placement = Placement(self.context, self.endpoints, self.health)
+        self.placements = Placements()
+        self.key_queues = KeyQueues(self.context)
+        self.responses = Responses(self.context, self.demand, self.key_queues)
+        self.retry_budget = RetryBudget(self.context)
+        self.dispatcher = Dispatcher(
+            self.context,
+            self.placement,
+            self.latency,
+            self.health,
+            self.slow_start,
+            self.rate_limits,
+            self.retry_budget,
+            self.key_queues,
+            self.responses,
+        )
+        self._timer_set_for_us = 0
+        self._apply_settings(settings)
+
+    # --- the interface -------------------------------------------------------------------------------
+
+    def decide(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
+        """Take what has happened by now.
+
+        :param now_us: microseconds of a clock that only advances
+        :returns: what to do, in order
+        """
+        context = self.context
+        context.now_us = max(now_us, context.now_us)
+        context.actions = []
+        if not context.has_started:
+            self._start()
+        for event in events:
+            self._on_event(event)
+        if self.demand.is_interval_over():
+            self.demand.close_interval()
+            self._forget()
+        self._run_timers()
+        while context.ready_shards:
+            self.dispatcher.dispatch(context.ready_shards.pop(next(iter(context.ready_shards))))
+        self.exchange.flush()
+        self._set_timer()
+        return context.actions
+
+    def learned_capacity_by_node(self) -> dict[str, float]:
+        """What the live nodes of overloaded shards can do, in units a second, as far as it was learned."""
+        return {
+            node.id: shard.capacity / len(shard.nodes)
+            for shard in self.endpoints.shards.values()
+            if shard.is_limited
+            for node in shard.nodes.values()
+            if node.is_live
+        }
+
+    # --- start and settings --------------------------------------------------------------------------
+
+    def _start(self) -> None:
+        """The first call: time is known from here on."""
+        self.context.started_at_us = self.context.now_us
+        self._apply_settings(self.context.settings)
+        self.demand.start()
+        self.endpoint_polling.start()
+
+    def _apply_settings(self, settings: api.Settings) -> None:
+        """Take new figures; classes and plans keep their places, new ones come after them."""
+        context = self.context
+        if not settings.same_brokers(context.settings):
+            self._forget_other_brokers()
+        context.settings = settings
+        context.derived = derive(settings)
+        self.rate_limits.apply_settings()
+        self.latency.extend_to(len(settings.classes))
+        self.endpoint_polling.reset_backoff()
+
+    def _forget_other_brokers(self) -> None:
+        """The brokers may be others, with other coordinators: all of each node counts as granted."""
+        self.rate_limits.reset()
+        self.demand.reset_aggregates()
+        for node in self.endpoints.nodes.values():
+            assume_all_granted(self.context, node)
+            node.slow_start_credit.void()
+
+    # --- events --------------------------------------------------------------------------------------
+
+    def _on_event(self, event: api.Event) -> None:
+        match event:
+            case api.Arrival():
+                self._on_arrival(event)
+            case api.AttemptFinished():
+                self._on_attempt_finished(event)
+            case api.EndpointUpdate():
+                self._on_endpoint_update(event)
+            case api.PeerMessageReceived():
+                self.exchange.receive(event)
+            case api.ResponseStarted():
+                self._on_response_started(event)
+            case api.ProbeFinished():
+                self.health.on_probe_finished(event)
+            case api.ClientDisconnected():
+                self._on_client_disconnected(event)
+            case api.SettingsChanged():
+                self._apply_settings(event.settings)
+            case api.TimerFired():
+                pass  # what is due is looked at in each call
+
+    def _on_arrival(self, arrival: api.Arrival) -> None:
+        """Take a request: classify it, count it as offered, admit it or answer at once."""
+        context = self.context
+        request = self._new_request(arrival)
+        self.responses.add(request)
+        self.retry_budget.record_request()
+        last_moment_us = arrival.deadline_at_us - context.settings.tick_us
+        context.timers.schedule(last_moment_us, RequestTimer(request))
+        self.key_queues.join(request)
+        shard = self._shard_for(arrival)
+        if shard is None or last_moment_us <= context.now_us:
+            self.responses.give_up(request)
+            return
+        request.shard = shard
+        self.demand.mark_active(shard)
+        classify_priority(context, request, shard)
+        shard.offered_units[request.priority_band] += arrival.units
+        if not self._is_admitted(request, shard):
+            self.responses.give_up(request)
+        elif request.is_its_turn():
+            self.dispatcher.enqueue(request)
+
+    def _new_request(self, arrival: api.Arrival) -> RequestState:
+        context = self.context
+        request_class = context.settings.classes[arrival.request_class]
+        objective_us = request_class.latency_objective_us
+        last_moment_us = arrival.deadline_at_us - context.settings.tick_us
+        return RequestState(
+            id=arrival.request_id,
+            request_class=request_class,
+            arrival=arrival,
+            volume=self.rate_limits.use_volume(arrival),
+            arrived_at_us=context.now_us,
+            objective_at_us=min(context.now_us + objective_us, last_moment_us),
+            weighted_units=arrival.units * context.derived.shortest_objective_us / objective_us,
+        )
+
+    def _shard_for(self, arrival: api.Arrival) -> ShardState | None:
+        """The shard that a request names, or one for its new object; None: there is none."""
+        if arrival.shard < 0:
+            return self.placement.place_new_object(arrival.units)
+        return self.endpoints.shards.get(arrival.shard)
+
+    def _is_admitted(self, request: RequestState, shard: ShardState) -> bool:
+        """Whether a node may take it, the shard has capacity for its priority, and its limit lets it soon."""
+        # each node is asked, as that is when ejected ones are probed
+        accepting = [self.health.accepts_requests(node) for node in shard.nodes.values()]
+        is_thinned = is_thinned_out(self.context, request, shard)
+        if not any(accepting) or is_thinned:
+            return False
+        wait_us = self.rate_limits.wait_us(request)
+        return not self.rate_limits.is_wait_too_long(request, wait_us)
+
+    def _on_response_started(self, event: api.ResponseStarted) -> None:
+        request = self.responses.requests.get(event.request_id)
+        if request is not None:
+            request.response_started = True
+
+    def _on_client_disconnected(self, event: api.ClientDisconnected) -> None:
+        request = self.responses.requests.get(event.request_id)
+        if request is not None:
+            self.responses.close(request)
+
+    def _on_endpoint_update(self, update: api.EndpointUpdate) -> None:
+        """Follow the endpoint list; ask again, with backoff, after a failed call."""
+        if update.kind == "failed":
+            self.endpoint_polling.on_failure()
+        else:
+            self.endpoint_polling.reset_backoff()
+            self.endpoints.apply(update)
+
+    # --- outcomes ------------------------------------------------------------------------------------
+
+    def _on_attempt_finished(self, outcome: api.AttemptFinished) -> None:
+        """Book how an attempt ended, and how long; attempt again where that is allowed and can be in time."""
+        request = self.responses.requests.get(outcome.request_id)
+        if request is None or outcome.attempt not in request.open_attempts:
+            return
+        attempt = request.open_attempts.pop(outcome.attempt)
+        node, shard = attempt.node, request.shard
+        assert shard is not None
+        self._release_attempt(request, node)
+        if outcome.kind not in api.NOT_EXECUTED_OUTCOMES:
+            request.note_execution(node, attempt.sent_at_us)
+        if outcome.kind in _MAY_STILL_RUN:
+            self.key_queues.keep_quiet(request)
+        self.health.on_outcome(node, outcome.kind)
+        self.demand.mark_active(shard)
+        self.context.mark_ready(shard)
+        self.capacity.record_outcome(request, shard, outcome.kind)
+        if outcome.kind == "ok":
+            self.health.cancel_hung_attempts(node, attempt.sent_at_us)
+            self._record_answer(request, shard, node, outcome.latency_us)
+        if outcome.is_final or request.is_answered:
+            self.responses.close(request)
+        else:
+            self._attempt_again(request, shard, outcome.kind)
+
+    @staticmethod
+    def _release_attempt(request: RequestState, node: NodeState) -> None:
+        node.open_attempt_count -= 1
+        node.open_units -= request.arrival.units
+        node.overtaking_answers.pop(request, None)
+
+    def _record_answer(
+        self, request: RequestState, shard: ShardState, node: NodeState, latency_us: int
+    ) -> None:
+        """A node has served a request."""
+        arrival = request.arrival
+        shard.served_units += arrival.units
+        if arrival.shard < 0 and request.executed_on is node:  # the first that may have taken the object
+            self.placements.put(arrival.key, node.shard, self.context.now_us)
+        self.slow_start.record_answer(node, arrival.units, latency_us)
+        self.latency.record(node, arrival.request_class, latency_us)
+
+    def _attempt_again(self, request: RequestState, shard: ShardState, kind: api.OutcomeKind) -> None:
+        """Queue a request whose attempt has failed for another one, or give it up."""
+        redirected: api.Arrival | None = None
+        if kind == "not_sent":
+            # its node does not hold the shard: it goes to the shard that took its object, if that is known
+            redirected = self.placements.redirected(request.arrival)
+            if redirected is None:
+                self.responses.give_up(request)
+                return
+        can_be_in_time = self.context.now_us < request.objective_at_us
+        is_allowed = may_attempt(request, self.context.settings)
+        if not is_allowed or not shard.nodes or not can_be_in_time:
+            self.responses.give_up(request)
+            return
+        if redirected is not None:
+            request.arrival = redirected
+            request.shard = self.endpoints.shards[redirected.shard]
+        elif request.arrival.shard < 0 and request.request_class.idempotency == "idempotent":
+            # a new object may go elsewhere
+            request.shard = self.placement.place_new_object(request.arrival.units) or shard
+        self.dispatcher.enqueue(request)
+
+    # --- time ----------------------------------------------------------------------------------------
+
+    def _forget(self) -> None:
+        """Forget what cannot matter any more."""
+        self.placements.forget(self.context.now_us - self.context.derived.idle_retention_us)
+        self.rate_limits.forget_idle()
+        self.endpoints.forget_removed()
+
+    def _run_timers(self) -> None:
+        """Do what was put off until now."""
+        while (timer := self.context.timers.pop_due(self.context.now_us)) is not None:
+            self._on_timer(timer)
+
+    def _on_timer(self, timer: Timer) -> None:
+        match timer:
+            case RequestTimer(request):
+                self._on_request_timer(request)
+            case ShardTimer(shard):
+                self.context.mark_ready(shard)
+            case PollTimer():
+                self.endpoint_polling.poll()
+            case LeaseTimer():
+                self.rate_limits.on_lease_timer(timer)
+            case KeyTimer(key):
+                self.key_queues.on_quiet_over(key)
+
+    def _on_request_timer(self, request: RequestState) -> None:
+        """A request's last moment is answered at once; one that may leave now is queued."""
+        last_moment_us = request.arrival.deadline_at_us - self.context.settings.tick_us
+        if self.context.now_us >= last_moment_us and not request.open_attempts:
+            self.responses.give_up(request)
+        elif self._may_be_queued(request):
+            self.dispatcher.enqueue(request)
+
+    @staticmethod
+    def _may_be_queued(request: RequestState) -> bool:
+        """Whether a request waits for nothing but its turn, which has come."""
+        if request.is_answered or request.open_attempts or request.is_queued:
+            return False
+        return request.is_its_turn()
+
+    def _set_timer(self) -> None:
+        """Have one timer for the next thing to look at."""
+        context = self.context
+        next_us = context.timers.next_at_us()
+        wanted_us = (
+            self.demand.interval_ends_us if next_us is None else min(self.demand.interval_ends_us, next_us)
+        )
+        wanted_us = max(context.now_us + 1, wanted_us)
+        if not context.now_us < self._timer_set_for_us <= wanted_us:
+            self._timer_set_for_us = wanted_us
+            context.emit(api.SetTimer(wanted_us - context.now_us, wanted_us))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,9 +14,10 @@
 from harriertide.cli import replacement
 from harriertide.cli.daemon import Daemon
 from harriertide.decide import api, handover
-from harriertide.decide.leases import Slot
+from harriertide.decide.demand_aggregate import DemandAggregate
 from harriertide.decide.settings import from_wire, names_from_wire
-from harriertide.decide.state import Store, Tally, Volume
+from harriertide.decide.state import VolumeState
+from harriertide.decide.token_bucket import TokenBucket
 from harriertide.http.limits import Limits
 from harriertide.http.listening import IN_FLIGHT
 from harriertide.lifecycle import record, upgrade
@@ -25,7 +26,7 @@
 from harriertide.lifecycle.upgrade import Hooks, Upgrade
 from harriertide.platform.configuration import BadConfigError, Config
 from harriertide.platform.discovery import Directory, DirectoryState
-from tests.helpers import START_US, Head, sends
+from tests.helpers import START_US, BrokerUnderTest, sends
 from tests.scenario import Stand, World
 from tests.test_crossings import answer
 from tests.test_crossings import short as short  # a fixture: stops are short
@@ -195,18 +196,22 @@
 
 # --- the record ----------------------------------------------------------------------------------
 
-EMPTY = Handover("n", 2, 100.0, 1, True, 0, 0, DirectoryState(3, [], {}, []), handover.DecisionState())
+EMPTY = Handover("n", 2, 100.0, 1, True, 0, 0, DirectoryState(3, [], {}, []), handover.DecisionRecord())
 
 
 def test_a_record_comes_back_as_it_went() -> None:
-    leases = handover.LeaseState(7, {1: Slot(calls={3: (5, {1, 2})})}, {})
-    tallies = {4: Tally([1.0] * 9, 5, {2: (9, [0.5])})}
-    decisions = handover.DecisionState(tallies=tallies, usual=[2.0], leases=leases)
+    ballots = {3: (5, {1, 2})}
+    slot = handover.LeaseSlotRecord(-1, 0, 0, 0, ballots, 0, 0)
+    leases = handover.LeasesRecord(7, {1: slot}, {})
+    aggregate = handover.AggregateRecord(
+        [1.0] * 9, 5, {2: (9, [0.5])}, 0.0, False, False, 0, False, 0, 0.0, {}
+    )
+    decisions = handover.DecisionRecord(aggregates={4: aggregate}, usual_latency_us=[2.0], leases=leases)
     directory = DirectoryState(9, [api.NodeEntry("b", 1)], {"b": "x:1"}, ["a"])
     data = record.encode(replace(EMPTY, decisions=decisions, directory=directory))
     back = record.decode(data, "n", 2, 100.5)
     assert back.directory == directory and back.decisions.leases == leases
-    assert back.decisions.tallies[4].rows == {2: (9, [0.5])} and record.encode(back) == data
+    assert back.decisions.aggregates[4].bids == {2: (9, [0.5])} and record.encode(back) == data
 
 
 SPOILT = {
@@ -251,50 +256,61 @@
 def test_the_newer_list_holds_and_drains_that_either_was_told() -> None:
     old, new = Directory({}), Directory({})
     old.read(page(9, "a", "b", "c", b="draining"))
-    new.read(page(5, "a", "b", "d"), "held")
+    new.read(page(5, "a", "b", "d"), "cached")
     told = new.import_state(old.export_state())
-    assert {entry.node: entry.state for entry in told.nodes} == {"a": "live", "b": "draining", "c": "live"}
+    assert {entry.node_id: entry.state for entry in told.entries} == {
+        "a": "live",
+        "b": "draining",
+        "c": "live",
+    }
     assert new.seq == 9 and new.find("c") == "c:1" and new.find("d") is None
     newer = Directory({})
     newer.read(page(12, "a", "b", "d"))
     told = newer.import_state(old.export_state())
-    assert {entry.node: entry.state for entry in told.nodes} == {"a": "live", "b": "draining", "d": "live"}
+    assert {entry.node_id: entry.state for entry in told.entries} == {
+        "a": "live",
+        "b": "draining",
+        "d": "live",
+    }
     assert newer.seq == 12
 
 
 def test_what_was_learned_goes_on_and_nothing_is_given_out_twice() -> None:
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
-    old, new = Head((cold,)), Head((cold,))
+    old, new = BrokerUnderTest((cold,)), BrokerUnderTest((cold,))
     keeper, taker = old.scheduler, new.scheduler
-    node = keeper._nodes["n0"]
-    node.given.append((START_US, 3.0))
-    node.silent, node.proof = True, 4.0
-    cell = keeper._cells[node.shard]
-    cell.capacity, cell.learned, cell.pressed = 42.0, True, True
+    node = keeper.endpoints.nodes["n0"]
+    node.granted.append((START_US, 3.0))
+    node.is_ejected, node.proven_units = True, 4.0
+    cell = keeper.endpoints.shards[node.shard]
+    cell.capacity, cell.is_capacity_known, cell.is_overloaded = 42.0, True, True
     cell.demand[0] = 5.0
-    keeper._volumes[9] = Volume(9, 1.0, Store(1.0, 5), Store(0.25, 6))
-    keeper._tallies[node.shard] = Tally([2.0] * 9)
-    keeper._placed.put("aa", 3, START_US)
+    keeper.rate_limits.volumes[9] = VolumeState(9, 1.0, TokenBucket(1.0, 5), TokenBucket(0.25, 6))
+    keeper.demand.aggregates[node.shard] = DemandAggregate([2.0] * 9)
+    keeper.placements.put("aa", 3, START_US)
     state = record.decode(
         record.encode(replace(EMPTY, decisions=handover.export_state(keeper))), "n", 2, 100.0
     ).decisions
     handover.import_state(taker, state, new.now)
-    there, shard = taker._nodes["n0"], taker._cells[node.shard]
-    assert there.given == node.given and there.silent and there.proof == 4.0
-    assert (shard.capacity, shard.learned, shard.pressed) == (42.0, True, True)
-    assert shard.shard in taker._active and taker._volumes[9].limit.units == 0.25
-    assert taker._tallies[node.shard].sums == [2.0] * 9
-    assert taker._placed.rows == {"aa": (3, START_US)}
+    there, shard = taker.endpoints.nodes["n0"], taker.endpoints.shards[node.shard]
+    assert there.granted == node.granted and there.is_ejected and there.proven_units == 4.0
+    assert (shard.capacity, shard.is_capacity_known, shard.is_overloaded) == (42.0, True, True)
+    assert (
+        shard.shard in taker.demand.active_shards
+        and taker.rate_limits.volumes[9].rate_limit_bucket.units == 0.25
+    )
+    assert taker.demand.aggregates[node.shard].sums == [2.0] * 9
+    assert taker.placements.by_key == {"aa": (3, START_US)}
     assert new.ask(shard=node.shard) is not None  # and it goes on deciding
 
 
 @pytest.mark.parametrize("ahead_us", [-800_000, 0, 800_000])
 def test_a_limit_does_not_fill_by_the_difference_of_two_clocks(ahead_us: int) -> None:
     """One broker, limit 10 units a second. Its store is spent as the newer process goes on with it."""
-    old, new = Head(heads=1), Head(heads=1)
+    old, new = BrokerUnderTest(broker_count=1), BrokerUnderTest(broker_count=1)
     while sends(old.ask(plan=1, shard=0)):
         old.end(f"r{old.made}", after_us=0)
-    new.do(api.Woke(0), after_us=old.now + ahead_us - new.now if old.now + ahead_us > new.now else 0)
+    new.do(api.TimerFired(0), after_us=old.now + ahead_us - new.now if old.now + ahead_us > new.now else 0)
     handover.import_state(new.scheduler, handover.export_state(old.scheduler), old.now)
     new.now = old.now + 10_000
     assert not sends(new.ask(plan=1, shard=0))
@@ -304,8 +320,8 @@
 
 def test_a_superseded_process_gives_out_no_limit_and_nothing_of_cold_nodes() -> None:
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
-    head = Head((cold, api.NodeEntry("n1", 1)))
-    head.do(api.Resettled(handover.superseded(head.settings)))
+    head = BrokerUnderTest((cold, api.NodeEntry("n1", 1)))
+    head.do(api.SettingsChanged(handover.superseded(head.settings)))
     for _ in range(20):
         assert not sends(head.ask(plan=1, shard=1))  # of a plan with a limit
         assert not sends(head.ask(plan=0, shard=0))  # at the cold node
@@ -524,13 +540,13 @@
     async def course(platform: Platform) -> None:
         old = await platform.process()
         old.life.evacuate()
-        old.core.scheduler._cells[0].capacity = 42.0  # type: ignore[attr-defined]
+        old.core.scheduler.endpoints.shards[0].capacity = 42.0  # type: ignore[attr-defined]
         old.directory.read(
             {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
         )
         new = await platform.process()
         assert new.life.drained and not new.life.healthy and new.life.can_serve
-        assert new.core.scheduler._cells[0].capacity == 42.0  # type: ignore[attr-defined]
+        assert new.core.scheduler.endpoints.shards[0].capacity == 42.0  # type: ignore[attr-defined]
         assert new.directory.seq == 8 and new.core.nodes()["b1"].state == "draining"
 
     on_platform(course, tmp_path, monkeypatch)
