--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -91,11 +91,11 @@
         self.peers: Peers | None = None
         self.objects: ObjectService | None = None
         self.probes = Probes(self.client, self.runtime.post)
-        self.runtime.probe = self.probes.start
+        self.runtime.start_probe = self.probes.start
         if config is not None:
             self.watch = Watch(config.discovery, self.directory, self.runtime.post)
             self.peers = Peers(config.peers, config.settings.broker_index, self.runtime.post)
-            self.runtime.watch, self.runtime.tell = self.watch.open, self.peers.tell
+            self.runtime.watch_endpoints, self.runtime.send_peer_message = self.watch.open, self.peers.tell
             self.runtime.post(ev.EndpointsUpdated(self.directory.read(known, "cached")))
         if operator is not None:
             from harriertide.objects.service import ObjectService
@@ -366,7 +366,7 @@
         await self.client.close()
 
     def _busy(self) -> bool:
-        return self.core.owed() > 0 or len(self.clients) > 0
+        return self.core.open_request_count() > 0 or len(self.clients) > 0
 
     async def serve(self, environment: Mapping[str, str]) -> None:
         """Serve until told to stop, then finish what is taken."""
@@ -381,7 +381,7 @@
         gc.enable()
         await self.stopping.wait()
         await self.stop()
-        log.last("counters", **self.counters())
+        log.log_final("counters", **self.counters())
 
 
 def run(
@@ -402,7 +402,9 @@
 
         with open(record, "wb") as file:
             clock = daemon.runtime.clock
-            daemon.runtime.record = Recorder(file, daemon.core.settings, daemon.seed, clock.now_us()).take
+            daemon.runtime.record_event = Recorder(
+                file, daemon.core.settings, daemon.seed, clock.now_us()
+            ).take
             await daemon.serve(environment)
 
     try:
--- a/harriertide/cli/replacement.py
+++ b/harriertide/cli/replacement.py
@@ -46,7 +46,7 @@
         self.alone = not succession.others()
         self._part: Limits | None = None  # None: nothing is known of the other process
         self.upgrade = Upgrade(succession, hooks)
-        daemon.runtime.fence = self.upgrade.check
+        daemon.runtime.check_fence = self.upgrade.check
 
     def share(self, limits: Limits) -> Limits:
         """What this process may have of the broker's limits."""
@@ -155,8 +155,12 @@
         self.alone = False
         self._part = self._limits().part(self._clients_kept(), self._nodes_kept())
         daemon.apply_limits()
-        daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
-        log("superseded by a newer process", open=daemon.core.owed(), connections=len(daemon.clients))
+        daemon.runtime.handle_now(ev.SettingsChanged(daemon.settings_in_force()))
+        log(
+            "superseded by a newer process",
+            open=daemon.core.open_request_count(),
+            connections=len(daemon.clients),
+        )
 
     def _take_back(self) -> None:
         daemon = self._daemon
@@ -164,7 +168,7 @@
         daemon.life.take_back()
         daemon.apply_life()
         daemon.apply_limits()
-        daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
+        daemon.runtime.handle_now(ev.SettingsChanged(daemon.settings_in_force()))
         self._opening = asyncio.get_running_loop().create_task(daemon.open_door())
 
     def _share(self, alone: bool) -> None:
--- a/harriertide/cli/serve.py
+++ b/harriertide/cli/serve.py
@@ -23,5 +23,5 @@
     from harriertide.cli.daemon import run
     from harriertide.engine.log import log
 
-    log.shape(given["--log"])
+    log.set_format(given["--log"])
     return run(os.environ, given["--objects"], given["--record"])
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -64,16 +64,16 @@
 
     settings: api.Settings
     offered_units: float
-    lifeless: Counter[str]
-    barred: Callable[[str], bool] | None
+    consecutive_unresponsive: Counter[str]
+    is_barred: Callable[[str], bool] | None
 
-    def out_at(self, node: str) -> int:
+    def open_attempt_count_at(self, node: str) -> int:
         """Attempts that are out there."""
 
-    def learned(self) -> dict[str, float]:
+    def learned_capacity_by_node(self) -> dict[str, float]:
         """What nodes under pressure do by now."""
 
-    def owed(self) -> int:
+    def open_request_count(self) -> int:
         """Requests without a final answer."""
 
 
@@ -122,7 +122,7 @@
         self._seen: dict[tuple[str, str], tuple[tuple[str, int], int]] = {}
         self.counts: Counter[str] = Counter()
         self._timer: asyncio.Task[None] | None = None
-        core.barred = self.barred
+        core.is_barred = self.barred
         self._look_at(self.broker.now_us())  # nothing is sent before the first lease
 
     # --- life -----------------------------------------------------------------------------------------
@@ -244,19 +244,23 @@
             known[step.fence] = mine
             done = shut is None or step.machine in shut
             if step.machine == broker.name:
-                done = done and self.core.owed() == 0
-            if step.phase in ("draining", "out") and done and self.core.out_at(step.machine) == 0:
+                done = done and self.core.open_request_count() == 0
+            if (
+                step.phase in ("draining", "out")
+                and done
+                and self.core.open_attempt_count_at(step.machine) == 0
+            ):
                 clear[step.fence] = mine
         load, lives = self._load(now), {}
         if now - self._began_us < YOUNG_US or self.upkeep.step_of(broker.name) is not None:
             lives = {broker.name: broker.life}
         failed = {}
-        for name, number in self.core.lifeless.items():
+        for name, number in self.core.consecutive_unresponsive.items():
             if self._away.get(name, (0, 0))[0] != number:
                 self._away[name] = number, now
             if number >= LIFELESS and now - self._away[name][1] < STALE_US:
                 failed[name] = 1
-        units = {name: round(rate, 2) for name, rate in self.core.learned().items() if rate}
+        units = {name: round(rate, 2) for name, rate in self.core.learned_capacity_by_node().items() if rate}
         applied = broker.course.applied
         return Report(broker.name, 0, applied, mine, lives, known, clear, load, units, failed)
 
--- a/harriertide/core/events.py
+++ b/harriertide/core/events.py
@@ -24,7 +24,7 @@
     attempt: int
     kind: api.OutcomeKind
     reply: object = None
-    written_us: int = 0  # when its last byte was written, where that was long after its first
+    body_written_us: int = 0  # when its last byte was written, where that was long after its first
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/core/reducer.py
+++ b/harriertide/core/reducer.py
@@ -17,25 +17,27 @@
 
 # Guards against a cold node's budget being booked in one window and spent in the next: an attempt that
 # could not be written this soon after it was decided (a slow connection) goes back as never sent.
-COLD_WRITE_US = 40_000
+SLOW_START_WRITE_DELAY_MAX_US = 40_000
 # Guards against units of a limit that were given for now and arrive later, when their store has filled in
 # their place: a broker stood still, or a box could not be reached at first. The rule allows so much.
-LIMIT_WRITE_US = 150_000
+RATE_LIMIT_WRITE_DELAY_MAX_US = 150_000
 # Guards against a second copy at the boxes. An attempt that ended without a whole answer was closed by this
 # broker before the next is written, but its box learns of that when it reads that connection, and it reads
 # its connections in any order, late when it is short of processor. docs/measurements/second-copy.md has how
 # often both lie there together, by this gap.
-SETTLE_US = 12_000
+CUT_OFF_GAP_US = 12_000
 _UNSETTLED = frozenset({"timeout", "reset", "cancelled", "error"})
 
 
 def _for_module(settings: api.Settings) -> api.Settings:
-    """The module books a cold node's budget when it decides; the bytes leave up to COLD_WRITE_US later.
+    """The module books a cold node's budget when it decides.
+
+    Its bytes leave up to SLOW_START_WRITE_DELAY_MAX_US later.
 
     A window longer by that keeps two windows' budgets from meeting in one window of real sends.
     """
     return (
-        replace(settings, collapse_window_us=settings.collapse_window_us + COLD_WRITE_US)
+        replace(settings, collapse_window_us=settings.collapse_window_us + SLOW_START_WRITE_DELAY_MAX_US)
         if settings.collapse_window_us
         else settings
     )
@@ -84,9 +86,11 @@
         self._effects: list[ev.Effect] = []
         # Asked right before a write, beside the list: guards against a broker that was stopped or cut off and
         # goes by what it knew before.
-        self.barred: Callable[[str], bool] | None = None
+        self.is_barred: Callable[[str], bool] | None = None
         self.offered_units = 0.0
-        self.lifeless: Counter[str] = Counter()  # by node: attempts in a row that brought no sign of life
+        self.consecutive_unresponsive: Counter[str] = (
+            Counter()
+        )  # by node: attempts in a row that brought no sign of life
         # Ids that are free again, and from when on: guards against one that is used once more right behind an
         # attempt that was cut off. Soonest first.
         self._settling: dict[str, int] = {}
@@ -98,15 +102,15 @@
 
     # --- questions, which change nothing -------------------------------------------------------
 
-    def holds(self, request: str) -> bool:
+    def has_request(self, request: str) -> bool:
         """Whether this id is in use."""
         return request in self._taken
 
-    def owed(self) -> int:
+    def open_request_count(self) -> int:
         """Requests without a final answer."""
         return sum(not taken.answered for taken in self._taken.values())
 
-    def learned(self) -> dict[str, float]:
+    def learned_capacity_by_node(self) -> dict[str, float]:
         """What nodes under pressure do by now, units a second, as the decision module has learned it."""
         cells: dict[int, Cell] = getattr(self._scheduler, "_cells", {})
         return {
@@ -117,7 +121,7 @@
             if node.live
         }
 
-    def out_at(self, node: str) -> int:
+    def open_attempt_count_at(self, node: str) -> int:
         """Attempts that are out at a node, those that were not written yet included."""
         return sum(taken.out >= 0 and taken.node == node for taken in self._taken.values())
 
@@ -137,7 +141,7 @@
         node = self._nodes.get(taken.node)
         if node is None or node.state != "live":
             return "rejected"
-        if self.barred is not None and self.barred(taken.node):
+        if self.is_barred is not None and self.is_barred(taken.node):
             self.counts["barred"] += 1
             return "rejected"
         kind = self.settings.classes[taken.arrival.request_class]
@@ -154,12 +158,12 @@
         if now_us >= taken.stop_us:
             return "rejected"  # it would be closed at once: nothing ran, and nothing is wrong with the box
         limited = self.settings.plans[taken.arrival.plan].rate_limit > 0 and not taken.reached
-        if limited and now_us - taken.first_us > LIMIT_WRITE_US:
+        if limited and now_us - taken.first_us > RATE_LIMIT_WRITE_DELAY_MAX_US:
             return "not_sent"
         cold = node.started_us > 0 and now_us < node.started_us + self.settings.slow_start_us
         if taken.streams and (cold or limited):
             return "rejected"  # its last byte comes any time later: what it may take of a budget is of now
-        if cold and now_us - taken.sent_us > COLD_WRITE_US:
+        if cold and now_us - taken.sent_us > SLOW_START_WRITE_DELAY_MAX_US:
             return "connect_failed"
         return None
 
@@ -208,7 +212,7 @@
     def _arrive(self, arrival: api.Arrival, streams: bool) -> list[api.Event]:
         self.counts["taken"] += 1
         if arrival.request_id in self._taken:
-            # a front checks holds() first; the first holder of the id keeps its one answer
+            # a front checks has_request() first; the first holder of the id keeps its one answer
             self.counts["same_id"] += 1
             return []
         self.offered_units += arrival.units
@@ -228,22 +232,22 @@
         taken.reached = taken.reached or event.kind not in api.NOT_EXECUTED_OUTCOMES
         if taken.reached and not taken.maybe_us:
             taken.maybe_us = taken.sent_us
-        if self.barred is None or node not in self._nodes:
+        if self.is_barred is None or node not in self._nodes:
             pass  # nobody asks
         elif event.kind in api.UNRESPONSIVE_OUTCOMES:
             # one that can't be reached is tried seldom from then on: that alone says as much as two others
-            self.lifeless[node] += 2 if event.kind == "connect_failed" else 1
+            self.consecutive_unresponsive[node] += 2 if event.kind == "connect_failed" else 1
         elif event.kind not in api.NOT_EXECUTED_OUTCOMES:
-            self.lifeless.pop(node, None)
+            self.consecutive_unresponsive.pop(node, None)
         if event.kind in _UNSETTLED:
-            taken.settled_us = now_us + SETTLE_US
+            taken.settled_us = now_us + CUT_OFF_GAP_US
         if event.kind == "ok" and not taken.answered:
             self._answer(taken, ev.Respond(event.request_id, "served", event.reply))
         elif event.reply is not None:
             self._effects.append(ev.DiscardReply(event.reply))
         if taken.answered:
             self._let_go(taken)
-        took_us = now_us - max(taken.sent_us, event.written_us)
+        took_us = now_us - max(taken.sent_us, event.body_written_us)
         return [
             api.AttemptFinished(event.request_id, event.attempt, node, event.kind, took_us, taken.answered)
         ]
@@ -269,11 +273,11 @@
         self.counts[f"list_{news.kind}"] += 1
         if news.kind in ("full", "cached"):
             self._nodes = {}
-            self.lifeless.clear()
+            self.consecutive_unresponsive.clear()
         for entry in news.entries:
             if entry.state == "gone":
                 self._nodes.pop(entry.node_id, None)
-                self.lifeless.pop(entry.node_id, None)
+                self.consecutive_unresponsive.pop(entry.node_id, None)
             else:
                 self._nodes[entry.node_id] = entry
         return [news]
--- a/harriertide/engine/counts.py
+++ b/harriertide/engine/counters.py
@@ -6,6 +6,6 @@
 from collections.abc import Mapping
 
 
-def fields(parts: Mapping[str, Counter[str]]) -> dict[str, int]:
+def counter_fields(parts: Mapping[str, Counter[str]]) -> dict[str, int]:
     """All counts as the fields of one event, by part and name."""
     return {f"{part}.{name}": value for part, held in parts.items() for name, value in sorted(held.items())}
--- a/harriertide/engine/log.py
+++ b/harriertide/engine/log.py
@@ -23,9 +23,9 @@
 
     def __init__(self) -> None:
         self._room, self._at, self._left_out = BURST, time.monotonic(), 0
-        self.shape("text")
+        self.set_format("text")
 
-    def shape(self, form: Form) -> None:
+    def set_format(self, form: Form) -> None:
         """Write events in this form from now on."""
         render: structlog.typing.Processor = structlog.processors.LogfmtRenderer(key_order=["at", "event"])
         if form == "json":
@@ -48,7 +48,7 @@
         """Say what has happened. fields: strings and numbers."""
         self._log.msg(event, **fields)
 
-    def last(self, event: str, **fields: Any) -> None:
+    def log_final(self, event: str, **fields: Any) -> None:
         """Say it whatever was said before: once, at the end of the process."""
         self._room = max(self._room, 1.0)
         self(event, **fields)
--- a/harriertide/engine/runtime.py
+++ b/harriertide/engine/runtime.py
@@ -24,22 +24,22 @@
     """One attempt as its performer sees it: where to, until when, and the last look before writing."""
 
     runtime: Runtime
-    request: str
+    request_id: str
     number: int
-    node: str
+    node_id: str
     stop_at_us: int
-    from_us: int = 0  # not to be written before
-    written_us: int = 0  # when its last byte was, where it was sent on as it came
+    not_before_us: int = 0  # not to be written before
+    body_written_us: int = 0  # when its last byte was, where it was sent on as it came
 
     def may_write(self) -> api.OutcomeKind | None:
         """None: write now. Else the attempt ends so, with nothing written."""
         runtime = self.runtime
-        if runtime.gone(self.request):
+        if runtime.has_client_disconnected(self.request_id):
             return "not_sent"
-        return runtime.core.may_write(self.request, self.number, runtime.clock.now_us())
+        return runtime.core.may_write(self.request_id, self.number, runtime.clock.now_us())
 
 
-Ending = tuple[api.OutcomeKind, object]
+AttemptResult = tuple[api.OutcomeKind, object]
 
 
 class Job(Protocol):
@@ -49,13 +49,13 @@
     def context(self) -> Context | None:
         """Of who asked: its attempts run in a copy. None: in the runtime's own."""
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         """Perform one attempt; how it ended, and what to pass on."""
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Whether who asked has left, as the system knows it now: the loop may not have heard of it yet."""
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """The final answer."""
 
 
@@ -72,47 +72,47 @@
 
     def __init__(self, core: Reducer, clock: Clock) -> None:
         self.core, self.clock = core, clock
-        self.tell: Callable[[int, bytes], None] = lambda head, body: None
-        self.watch: Callable[[], None] = lambda: None
-        self.probe: Callable[[str], None] = lambda node: None
-        self.record: Callable[[int, ev.Event], None] | None = None  # of what the core is told
+        self.send_peer_message: Callable[[int, bytes], None] = lambda head, body: None
+        self.watch_endpoints: Callable[[], None] = lambda: None
+        self.start_probe: Callable[[str], None] = lambda node: None
+        self.record_event: Callable[[int, ev.Event], None] | None = None  # of what the core is told
         self._loop = asyncio.get_running_loop()
         self._jobs: dict[str, Job] = {}
         self._events: list[ev.Event] = []
         self._timers: set[asyncio.TimerHandle] = set()
-        self.fence: Callable[[], None] = lambda: None  # called before what has happened is acted on
+        self.check_fence: Callable[[], None] = lambda: None  # called before what has happened is acted on
         self._closed = False
         self._tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
 
-    def submit(self, arrival: api.Arrival, job: Job, streams: bool = False) -> bool:
+    def submit(self, arrival: api.Arrival, job: Job, streams_body: bool = False) -> bool:
         """Take a request into the core; False if its id is in use. streams: see Arrived."""
-        if arrival.request_id in self._jobs or self.core.holds(arrival.request_id):
+        if arrival.request_id in self._jobs or self.core.has_request(arrival.request_id):
             return False
         self._jobs[arrival.request_id] = job
-        self.post(ev.RequestArrived(arrival, streams))
+        self.post(ev.RequestArrived(arrival, streams_body))
         return True
 
-    def left(self, request: str) -> None:
+    def client_disconnected(self, request: str) -> None:
         """The client of a request is gone."""
         self.post(ev.ClientDisconnected(request))
 
-    def gone(self, request: str) -> bool:
+    def has_client_disconnected(self, request: str) -> bool:
         """Whether who asked has left, looked up now.
 
         Guards against an attempt that begins behind its client's close: that lies behind bytes that were not
         read, or comes in a turn of the loop in which there is much else to do.
         """
         job = self._jobs.get(request)
-        if job is None or not job.gone():
+        if job is None or not job.has_client_disconnected():
             return False
-        self.left(request)
+        self.client_disconnected(request)
         return True
 
-    def began(self, attempt: Attempt) -> None:
+    def response_started(self, attempt: Attempt) -> None:
         """The answer of an attempt is on its way to the client."""
-        self.post(ev.ResponseStarted(attempt.request, attempt.number))
+        self.post(ev.ResponseStarted(attempt.request_id, attempt.number))
 
-    def stop(self, request: str) -> None:
+    def cancel_attempts(self, request: str) -> None:
         """Stop what runs for a request whose client is gone; it ends as cancelled."""
         for number in range(self.core.settings.max_attempts):
             task = self._tasks.get((request, number))
@@ -141,26 +141,26 @@
 
     def flush(self) -> None:
         """Tell the core what was posted, and do what it says."""
-        self.fence()
+        self.check_fence()
         events, self._events = self._events, []
         self._step(events)
 
-    def at_once(self, event: ev.Event) -> None:
+    def handle_now(self, event: ev.Event) -> None:
         """Tell the core before all that was posted and not yet told."""
         self._step([event])
 
     def _step(self, events: list[ev.Event]) -> None:
         now_us = self.clock.now_us()
-        if self.record is not None:
+        if self.record_event is not None:
             for event in events:
-                self.record(now_us, event)
+                self.record_event(now_us, event)
         for effect in self.core.step(now_us, events):
             try:
                 self._perform(effect)
             except Exception:  # guards against one broken effect taking the answers of others with it
                 log("an effect failed in the broker itself", trace=traceback.format_exc())
         for event in events:
-            if isinstance(event, (ev.AttemptFinished, ev.ClientDisconnected)) and not self.core.holds(
+            if isinstance(event, (ev.AttemptFinished, ev.ClientDisconnected)) and not self.core.has_request(
                 event.request_id
             ):
                 self._jobs.pop(event.request_id, None)
@@ -186,17 +186,17 @@
                 running.cancel()
         elif isinstance(effect, ev.Respond):
             job = self._jobs[effect.request_id]
-            if not self.core.holds(effect.request_id):
+            if not self.core.has_request(effect.request_id):
                 del self._jobs[effect.request_id]
-            job.answer(effect)
+            job.respond(effect)
         elif isinstance(effect, ev.SetTimer):
             self._set(self.clock.loop_time(effect.at_us), ev.TimerFired(effect.token))
         elif isinstance(effect, ev.SendPeerMessage):
-            self.tell(effect.recipient_index, effect.body)
+            self.send_peer_message(effect.recipient_index, effect.body)
         elif isinstance(effect, ev.WatchEndpoints):
-            self.watch()
+            self.watch_endpoints()
         elif isinstance(effect, ev.StartProbe):
-            self.probe(effect.node_id)
+            self.start_probe(effect.node_id)
         elif isinstance(effect, ev.DiscardReply):
             if isinstance(effect.reply, Disposable):
                 effect.reply.dispose()
@@ -213,7 +213,7 @@
 
     async def _run(self, job: Job, attempt: Attempt) -> None:
         try:
-            kind, reply = await job.attempt(attempt)
+            kind, reply = await job.perform(attempt)
         except Exception:  # guards against a fault in a performer leaving its request without an answer
             log("an attempt failed in the broker itself", trace=traceback.format_exc())
             kind, reply = "reset", None
@@ -221,8 +221,10 @@
 
     def _end(self, attempt: Attempt, kind: api.OutcomeKind, reply: object) -> None:
         """Exactly one Ended for each attempt, whatever the performer does."""
-        if self._tasks.pop((attempt.request, attempt.number), None) is not None:
-            self.post(ev.AttemptFinished(attempt.request, attempt.number, kind, reply, attempt.written_us))
+        if self._tasks.pop((attempt.request_id, attempt.number), None) is not None:
+            self.post(
+                ev.AttemptFinished(attempt.request_id, attempt.number, kind, reply, attempt.body_written_us)
+            )
 
     def _stopped(self, attempt: Attempt, task: asyncio.Task[None]) -> None:
         """Its task is over; where the core has stopped it, maybe before it began, it says so here."""
--- a/harriertide/http/nodes.py
+++ b/harriertide/http/nodes.py
@@ -155,7 +155,7 @@
 
         Raises AttemptFailedError as PROTOCOL's table has it.
         """
-        address = self._find(attempt.node)
+        address = self._find(attempt.node_id)
         if address is None:
             raise AttemptFailedError("rejected")
         connection: NodeConnection | None = None
@@ -175,7 +175,7 @@
                     connection = None
                     raise AttemptFailedError(kind)
                 connection.ask(_head(method, target, _rows(headers)) + first, most, relayed)
-                self.pool.begin(connection, attempt.request)
+                self.pool.begin(connection, attempt.request_id)
                 asked = True
                 if not isinstance(body, bytes):
                     stream = asyncio.get_running_loop().create_task(self._stream(connection, body, attempt))
@@ -237,9 +237,9 @@
         The reducer starts no attempt before the last one has ended, and its descriptor is closed then. Held
         to here for certain, as a second copy may run twice what may run once.
         """
-        if attempt.from_us > attempt.runtime.clock.now_us():
-            await until(attempt.runtime.clock.loop_time(attempt.from_us))
-        while (other := self.pool.at_work(attempt.request)) is not None:
+        if attempt.not_before_us > attempt.runtime.clock.now_us():
+            await until(attempt.runtime.clock.loop_time(attempt.not_before_us))
+        while (other := self.pool.at_work(attempt.request_id)) is not None:
             self.counts["second_copy_held_back"] += 1
             if (closed := other.closed) is None:
                 return
@@ -251,7 +251,7 @@
             async for chunk in body:
                 await connection.more(chunk)
             await connection.drained()
-            attempt.written_us = attempt.runtime.clock.now_us()
+            attempt.body_written_us = attempt.runtime.clock.now_us()
         except BaseException:
             connection.abort()  # with its last byte missing the node does not start it
             raise
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/bench_library.py
@@ -92,10 +92,10 @@
     """An attempt that no core knows of, for the client of boxes alone."""
 
     runtime: Any
-    request: str
+    request_id: str
     stop_at_us: int
-    node: str = "box-0"
-    from_us: int = 0
+    node_id: str = "box-0"
+    not_before_us: int = 0
 
     def may_write(self) -> None:
         """There is nobody to ask."""
@@ -111,7 +111,7 @@
     async def send(number: int) -> bool:
         attempt: Any = _Plain(runtime, f"{number:016x}", clock.now_us() + 2_000_000)
         headers = {
-            "X-Call-Id": attempt.request, "X-Call-Class": "c0", "X-Storage-Class": "p0",
+            "X-Call-Id": attempt.request_id, "X-Call-Class": "c0", "X-Storage-Class": "p0",
             "X-Budget-Ms": "1500", "X-Extent": "volume=00000000000000aa,units=2,shard=0,hosts=1",
         }  # fmt: skip
         kind, _ = await client.exchange(attempt, "GET", "/api?key=00000000000000ab", headers, b"")
--- a/harriertide/lab/fleet.py
+++ b/harriertide/lab/fleet.py
@@ -103,8 +103,8 @@
             plans=(api.Plan(),),
         )
         self.offered_units = 0.0
-        self.barred: Callable[[str], bool] | None = None
-        self.lifeless: Counter[str] = Counter()
+        self.is_barred: Callable[[str], bool] | None = None
+        self.consecutive_unresponsive: Counter[str] = Counter()
         self.open: Counter[str] = Counter()
         self.ready = True
 
@@ -112,15 +112,15 @@
         """Whether clients are served."""
         self.ready = on
 
-    def out_at(self, node: str) -> int:
+    def open_attempt_count_at(self, node: str) -> int:
         """Attempts that are out there."""
         return self.open[node]
 
-    def learned(self) -> dict[str, float]:
+    def learned_capacity_by_node(self) -> dict[str, float]:
         """Nothing is under pressure here."""
         return {}
 
-    def owed(self) -> int:
+    def open_request_count(self) -> int:
         """All of them."""
         return sum(self.open.values())
 
@@ -310,8 +310,8 @@
             if self.paused.get(name, 0.0) > loop.time():
                 await until(self.paused[name])  # and the first thing that it does then is a write
             box = self.random.choice(self.boxes)
-            assert core.barred is not None
-            if core.ready and not core.barred(box):
+            assert core.is_barred is not None
+            if core.ready and not core.is_barred(box):
                 for_s = self.random.uniform(0.002, LONGEST_S)
                 self.tries.append((loop.time(), loop.time() + for_s, box, f"{name}.{self.lives[name]}"))
                 core.open[box] += 1
--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/second_copy.py
@@ -43,7 +43,7 @@
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
-from harriertide.engine.runtime import Attempt, Ending, Runtime
+from harriertide.engine.runtime import Attempt, AttemptResult, Runtime
 from harriertide.http.limits import Limits
 from harriertide.http.nodes import AttemptFailedError, NodeClient, outcome
 
@@ -230,7 +230,7 @@
     def __init__(self, client: NodeClient, request: str, done: asyncio.Semaphore) -> None:
         self._client, self._request, self._done = client, request, done
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         """As the platform's front; a quarter with bodies that pass through, as the object front has."""
         headers = {"X-Call-Id": self._request}
         if int(self._request, 16) % 4:
@@ -243,10 +243,10 @@
         except AttemptFailedError as end:
             return end.kind, None
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         return False
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """Room for the next one."""
         self._done.release()
 
@@ -300,7 +300,7 @@
     """Print what was found; 1 where the broker itself made a second copy."""
     given = docopt(__doc__ or "", arguments)
     if given["--settle-ms"] is not None:
-        reducer.SETTLE_US = int(1000 * float(given["--settle-ms"]))
+        reducer.CUT_OFF_GAP_US = int(1000 * float(given["--settle-ms"]))
     figures = look(
         int(given["--attempts"]), int(given["--width"]), float(given["--late-ms"]), int(given["--seed"])
     )
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -18,10 +18,10 @@
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
-from harriertide.engine import counts
 from harriertide.engine import runtime as engine
 from harriertide.engine.clock import Clock, until
-from harriertide.engine.runtime import Ending, Runtime
+from harriertide.engine.counters import counter_fields
+from harriertide.engine.runtime import AttemptResult, Runtime
 from harriertide.http.limits import Limits
 from harriertide.http.nodes import NodeClient, Reply
 from harriertide.library.exchange import Exchange
@@ -59,12 +59,12 @@
         self._perform, self._find = perform, find
         self.final: asyncio.Future[ev.Respond] = asyncio.get_running_loop().create_future()
 
-    async def attempt(self, attempt: engine.Attempt) -> Ending:
+    async def perform(self, attempt: engine.Attempt) -> AttemptResult:
         """The application's work, once; what it raises of a box's is an outcome, all else its answer."""
-        mine = Attempt(attempt, self._find(attempt.node))
-        if attempt.from_us:
-            await until(attempt.runtime.clock.loop_time(attempt.from_us))
-        if attempt.runtime.gone(attempt.request):
+        mine = Attempt(attempt, self._find(attempt.node_id))
+        if attempt.not_before_us:
+            await until(attempt.runtime.clock.loop_time(attempt.not_before_us))
+        if attempt.runtime.has_client_disconnected(attempt.request_id):
             return "not_sent", None
         try:
             async with asyncio.timeout_at(mine.stop_at) as limit:
@@ -76,14 +76,14 @@
         except Exception as fault:  # the application's own affair: it is the answer, the box is not to blame
             return "ok", (None, fault)
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Whether who asked has left; then nobody waits for an answer of the core."""
         if self._gone():
-            self.answer(_LEFT)
+            self.respond(_LEFT)
             return True
         return False
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """The final answer, to who waits for it."""
         if not self.final.done():
             self.final.set_result(answer)
@@ -218,15 +218,15 @@
         if self._runtime is not None:
             raise RuntimeError("the broker has been started before")
         self._runtime = Runtime(self.core, Clock(asyncio.get_running_loop()))
-        self._runtime.watch = self.source.subscribe
+        self._runtime.watch_endpoints = self.source.subscribe
         self._client = NodeClient(self.source.find, CONNECT_US, IDLE_US, self._limits)
         self._probes = Probes(self._client, self._runtime.post)
-        self._runtime.probe = self._probes.start
+        self._runtime.start_probe = self._probes.start
         if self._record is not None:
             self._write_down(self._record)
         self.source.start(self._runtime.post)
         if self.exchange is not None:
-            self._runtime.tell = self.exchange.tell
+            self._runtime.send_peer_message = self.exchange.tell
             await self.exchange.join(self._runtime.post, self._take_view)
 
     def _take_view(self, view: View) -> None:
@@ -251,7 +251,7 @@
         runtime = self._runtime
         assert runtime is not None
         file = self._file.enter_context(Path(path).open("wb"))  # noqa: SIM115 - closed by stop
-        runtime.record = Recorder(file, self.core.settings, self._seed, runtime.clock.now_us()).take
+        runtime.record_event = Recorder(file, self.core.settings, self._seed, runtime.clock.now_us()).take
 
     def refuse(self) -> None:
         """Refuse new calls from now on; stop() is to follow."""
@@ -322,19 +322,19 @@
         self._open.add(call.final)
         # work that swallows its cancellation must not keep its caller from an answer
         last = clock.loop_time(asked.deadline_at_us) + LAST_S
-        timer = asyncio.get_running_loop().call_at(last, call.answer, _OVERDUE)
+        timer = asyncio.get_running_loop().call_at(last, call.respond, _OVERDUE)
         try:
             answer = await call.final
         except asyncio.CancelledError:
-            runtime.left(asked.request_id)
-            runtime.stop(asked.request_id)
+            runtime.client_disconnected(asked.request_id)
+            runtime.cancel_attempts(asked.request_id)
             raise
         finally:
             timer.cancel()
             self._open.discard(call.final)
         if answer is _OVERDUE:
             self.counts["overdue"] += 1
-            runtime.left(asked.request_id)
+            runtime.client_disconnected(asked.request_id)
             raise FailedError("its work did not end within its time")
         if answer.kind == "served":
             assert isinstance(answer.reply, tuple)
@@ -353,7 +353,7 @@
             parts["exchange"] = self.exchange.counts
         if self._client is not None:
             parts["boxes"] = self._client.counts
-        return counts.fields(parts)
+        return counter_fields(parts)
 
 
 def _names(state: model.State, grades: list[str]) -> Names:
--- a/harriertide/library/types.py
+++ b/harriertide/library/types.py
@@ -101,7 +101,7 @@
 
     def __init__(self, attempt: engine.Attempt, address: str | None) -> None:
         self.engine = attempt
-        self.box, self.number, self.address = attempt.node, attempt.number, address
+        self.box, self.number, self.address = attempt.node_id, attempt.number, address
         self.stop_at = attempt.runtime.clock.loop_time(attempt.stop_at_us)
         self.begun = False
 
@@ -115,7 +115,7 @@
         """The answer is on its way to the client from now on: no further attempt will follow."""
         if not self.begun:
             self.begun = True
-            self.engine.runtime.began(self.engine)
+            self.engine.runtime.response_started(self.engine)
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/objects/jobs.py
+++ b/harriertide/objects/jobs.py
@@ -12,7 +12,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.log import log
-from harriertide.engine.runtime import Attempt, Ending
+from harriertide.engine.runtime import Attempt, AttemptResult
 from harriertide.http.clients import ASKER
 from harriertide.http.nodes import BODY_BYTES, AttemptFailedError, Body, Incoming, NodeClient, outcome
 from harriertide.http.quiet import ended
@@ -123,16 +123,16 @@
         self.final: asyncio.Future[ev.Respond] = asyncio.get_running_loop().create_future()
         self._asker = ASKER.get()
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Whether the client that this is asked for has closed its connection, or its side of it."""
         return self._asker is not None and ended(self._asker)
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """Hand the final answer to who waits for it."""
         if not self.final.done():
             self.final.set_result(answer)
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         """Perform one attempt; how it ended."""
         raise NotImplementedError
 
@@ -142,7 +142,7 @@
         if 400 <= response.status < 500 and response.status not in LATER:
             self.denied = True
             answer = said[:SAID_BYTES].decode("utf-8", "replace")
-            log("a box refused for good", box=attempt.node, status=response.status, answer=answer)
+            log("a box refused for good", box=attempt.node_id, status=response.status, answer=answer)
             return "not_sent"
         return outcome(response)
 
@@ -168,17 +168,17 @@
         self._source, self._begun = source, begun
         self.box, self.tag = "", ""
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         source = self._source
         if not source.ready():
             return "not_sent", None  # refused: only the client still has the body
-        self._begun(attempt.node)
+        self._begun(attempt.node_id)
         headers = {**self.headers(attempt), "Content-Length": str(source.size)}
         try:
             async with self._client.open(attempt, "PUT", self._target, headers, source.body()) as response:
                 kind = await self.ended(attempt, response)
                 if kind == "ok":
-                    self.box, self.tag = attempt.node, response.headers.get("ETag", "")
+                    self.box, self.tag = attempt.node_id, response.headers.get("ETag", "")
                 return kind, None
         except AttemptFailedError as end:
             # a client that brings no body says nothing of the box's health
@@ -203,7 +203,7 @@
         self._tag, self._next, self._last, self._sink = tag, first, last, sink
         self.missing = False
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         headers = {**self.headers(attempt), "Range": f"bytes={self._next}-{self._last}"}
         if self._tag:
             headers["If-Match"] = self._tag
@@ -244,7 +244,7 @@
 class DeleteBlob(ObjectJob):
     """Deletes a blob; one that is not there is deleted."""
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         try:
             async with self._client.open(attempt, "DELETE", self._target, self.headers(attempt)) as response:
                 if response.status == 404:
--- a/harriertide/objects/store.py
+++ b/harriertide/objects/store.py
@@ -117,7 +117,7 @@
         try:
             return await job.final
         except asyncio.CancelledError:
-            self._runtime.left(arrival.request_id)  # the client is gone
+            self._runtime.client_disconnected(arrival.request_id)  # the client is gone
             raise
 
     async def take(self, content: aiohttp.StreamReader, size: int, deadline_at_us: int) -> Source:
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -20,7 +20,7 @@
 from aiohttp.streams import StreamReader
 
 from harriertide.core import events as ev
-from harriertide.engine.runtime import Attempt, Ending
+from harriertide.engine.runtime import Attempt, AttemptResult
 from harriertide.http.clients import ClientConnection, ConnectionTable, FrontServer
 from harriertide.http.node_connection import RELAY_READ, read_in_chunks
 from harriertide.http.nodes import NodeClient, Reply
@@ -59,7 +59,7 @@
         self._method, self._target = message.method, message.path
         self._rows = passed_on(message.raw_headers)
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         """Pass the request on as it came, with the time that this broker will wait."""
         wait_ms = max(1, (attempt.stop_at_us - attempt.runtime.clock.now_us()) // 1000)
         rows = [*self._rows, (b"X-Budget-Ms", b"%d" % wait_ms)]
@@ -72,11 +72,11 @@
             rows.append((b"Content-Length", b"%d" % len(self._body)))
         return await self._client.relay(attempt, self._method, self._target, rows, self._body)
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Whether the client has closed its connection, or its side of it."""
         return ended(self._line.transport)
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """Write the final answer to the connection that waits for it."""
         if answer.kind == "served" and isinstance(answer.reply, Reply):
             reply = answer.reply
@@ -353,7 +353,7 @@
     async def chunks(self, attempt: Attempt) -> AsyncIterator[bytes]:
         """All of it, in its framing. From its second part on no other attempt can be made."""
         yield self._framed(self._begun)
-        attempt.runtime.began(attempt)
+        attempt.runtime.response_started(attempt)
         come, self._begun = len(self._begun), b""
         while not self._reader.at_eof():
             async with asyncio.timeout(IDLE_S):
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -64,9 +64,9 @@
             return
         line.request = arrival.request_id
         job = PlatformJob(self._client, line, message, body)
-        if not runtime.submit(arrival, job, streams=isinstance(body, ComingBody)):
+        if not runtime.submit(arrival, job, streams_body=isinstance(body, ComingBody)):
             line.refuse(400, "X-Call-Id is in use")
 
     def left(self, line: PlatformConnection) -> None:
         """The client closed its connection while its request was open."""
-        self._runtime.left(line.request)
+        self._runtime.client_disconnected(line.request)
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from harriertide.core import events as ev
-from harriertide.core.reducer import SETTLE_US, Reducer
+from harriertide.core.reducer import CUT_OFF_GAP_US, Reducer
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
-from harriertide.engine.runtime import Attempt, Ending, Runtime
+from harriertide.engine.runtime import Attempt, AttemptResult, Runtime
 from harriertide.http.limits import read_limits
 from harriertide.http.node_connection import NodeConnection
 from harriertide.http.nodes import NodeClient
@@ -55,15 +55,15 @@
     def __init__(self) -> None:
         self.begun = 0
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         self.begun += 1
         await asyncio.Event().wait()
         raise AssertionError
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         return False
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         pass
 
 
@@ -113,7 +113,7 @@
 def test_no_byte_of_an_attempt_leaves_before_its_time() -> None:
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(arrival(runtime))])
-        from_us = runtime.clock.now_us() + 5 * SETTLE_US
+        from_us = runtime.clock.now_us() + 5 * CUT_OFF_GAP_US
         ends = asyncio.create_task(client.exchange(attempt(runtime, 0, from_us), "GET", "/api", {}, b""))
         asked = await box.asked.get()
         assert runtime.clock.now_us() >= from_us
@@ -131,7 +131,7 @@
         runtime.submit(arrival(runtime), job)
         while not runtime.core.counts["outcome_cancelled"]:
             await asyncio.sleep(0)
-        assert job.begun == 0 and not runtime.core.holds("r")
+        assert job.begun == 0 and not runtime.core.has_request("r")
 
     beside_a_box(play, [api.StartAttempt("r", "n0", 0), api.CancelAttempt("r", 0)], [api.Reject("r")])
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -98,7 +98,7 @@
         async with asyncio.timeout(2):
             while not house.daemon.core.counts["served"]:
                 await asyncio.sleep(0.005)
-        assert house.daemon.core.owed() == 0 and len(house.daemon.clients.lines("busy")) == 1
+        assert house.daemon.core.open_request_count() == 0 and len(house.daemon.clients.lines("busy")) == 1
         await asyncio.sleep(0.15)  # more than an answer may stop short that is held
         line.writer.write(LONG[1000:])
         assert body_of(await all_of(client, LONG[-2000:])) == LONG
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -75,7 +75,7 @@
     async def settle(self) -> None:
         """Until all that can follow has: attempts leave a gap behind each other, and may connect first."""
         await asyncio.sleep(0.15)
-        assert self.daemon.core.owed() == 0
+        assert self.daemon.core.open_request_count() == 0
 
     async def read(self, client: socket.socket) -> bytes:
         """All that a client gets until the end of its connection; ConnectionResetError where it was reset."""
@@ -231,7 +231,7 @@
         client.close()
         gone.append(True)
         await asyncio.sleep(0.15)
-        assert ran == 1 and broker.core.counts["left"] == 1 and broker.core.owed() == 0
+        assert ran == 1 and broker.core.counts["left"] == 1 and broker.core.open_request_count() == 0
         await runner.cleanup()
 
     asyncio.run(main())
@@ -250,7 +250,7 @@
                 with pytest.raises(FailedError):
                     await broker.call(Ask("v", shard=0), perform, lambda: bool(gone))
             await asyncio.sleep(0)
-            assert len(gone) == 1 and broker.core.owed() == 0
+            assert len(gone) == 1 and broker.core.open_request_count() == 0
 
     asyncio.run(main())
 
@@ -441,7 +441,7 @@
         line.writer.write(b"HTTP/1.1 500 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         if part < 1:
             answer(await house.asked())
-        while house.daemon.core.owed():
+        while house.daemon.core.open_request_count():
             await asyncio.sleep(0.01)
         assert house.box.asked.empty()
         assert house.daemon.core.counts["served"] == (part < 1)
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -90,14 +90,18 @@
 def test_requests_volumes_and_nodes_leave_nothing_behind() -> None:
     core = Reducer(SETTINGS, 1)
     assert churn(core, REQUESTS, NODES) >= NODES
-    assert core.counts["taken"] == REQUESTS and core.counts["served"] > REQUESTS / 30 and core.owed() == 0
+    assert (
+        core.counts["taken"] == REQUESTS
+        and core.counts["served"] > REQUESTS / 30
+        and core.open_request_count() == 0
+    )
     assert census(core, MOST) == {}
 
 
 def test_hours_of_changing_volumes_nodes_and_peers_leave_no_more_than_the_heads_there_are() -> None:
     core = Reducer(replace(SETTINGS, broker_count=200), 1)
     assert churn(core, REQUESTS, NODES, step_us=100_000) >= NODES  # nearly three hours
-    assert core.counts["served"] > 1_000 and core.owed() == 0
+    assert core.counts["served"] > 1_000 and core.open_request_count() == 0
     assert census(core, 201) == {}
 
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -50,7 +50,7 @@
 
     asyncio.run(main())
     counts = broker.core.counts
-    assert broker.core.owed() == 0
+    assert broker.core.open_request_count() == 0
     assert counts["taken"] == sum(counts[kind] for kind in ("served", "rejected", "failed", "left"))
     return broker
 
@@ -337,6 +337,6 @@
         assert sorted(ends) == ["t0", "t1", "t2", "t3"]
         with pytest.raises(RefusedError):
             broker.call(Ask("v", shard=0), lambda work: (_ for _ in ()).throw(BoxFullError()))
-    assert broker.inner.core.owed() == 0 and threading.active_count() == before
+    assert broker.inner.core.open_request_count() == 0 and threading.active_count() == before
     with pytest.raises(FailedError):
         broker.call(Ask("v"), perform)
--- a/tests/test_middlewares.py
+++ b/tests/test_middlewares.py
@@ -124,7 +124,7 @@
                 ClientSession(f"http://127.0.0.1:{port}") as session,
             ):
                 await client(session, "")
-        assert not broker.running and broker.core.owed() == 0
+        assert not broker.running and broker.core.open_request_count() == 0
         left = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
         assert not left, left
 
@@ -237,7 +237,7 @@
 
     broker.call = slower  # type: ignore[method-assign]
     asyncio.run(main())
-    assert ends == ["ended"] and broker.core.owed() == 0 and broker.core.counts["left"] == 1
+    assert ends == ["ended"] and broker.core.open_request_count() == 0 and broker.core.counts["left"] == 1
 
 
 def test_an_application_that_stops_answers_what_is_open_and_refuses_what_comes() -> None:
@@ -266,7 +266,7 @@
             assert response.status == 200 and await response.text() == "done"
             response.close()
             await ending
-        assert not broker.running and broker.core.owed() == 0
+        assert not broker.running and broker.core.open_request_count() == 0
 
     asyncio.run(asyncio.wait_for(main(), 10))
 
@@ -305,4 +305,4 @@
     with TestClient(app) as client:
         assert client.get("/box/0").text == "done"
         assert isinstance(broker.source, Fixed)
-    assert seen.ran == ["b1", "b1"] and not broker.running and broker.core.owed() == 0
+    assert seen.ran == ["b1", "b1"] and not broker.running and broker.core.open_request_count() == 0
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -790,7 +790,7 @@
         for client in list(world.clients):
             await world._leave(client, [])
         await asyncio.sleep(0.05)
-        assert daemon.core.owed() == 0
+        assert daemon.core.open_request_count() == 0
         counts = daemon.core.counts
         assert counts["taken"] == sum(counts[kind] for kind in ("served", "rejected", "failed", "left"))
     finally:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from harriertide.core import events as ev
-from harriertide.core.reducer import COLD_WRITE_US, Reducer
+from harriertide.core.reducer import SLOW_START_WRITE_DELAY_MAX_US, Reducer
 from harriertide.decide.settings import Part, from_wire, names_from_wire
-from harriertide.engine import counts, log
+from harriertide.engine import counters, log
 from harriertide.engine.clock import Clock
 from harriertide.http.limits import OWN, OWN_MB, Limits, read_limits
 from harriertide.http.nodes import KEEP_PART, NodeClient
@@ -184,7 +184,7 @@
         seen.append(given_settings.collapse_window_us)
 
     Reducer(SETTINGS, 1, make)
-    assert seen == [SETTINGS.collapse_window_us + COLD_WRITE_US]
+    assert seen == [SETTINGS.collapse_window_us + SLOW_START_WRITE_DELAY_MAX_US]
 
 
 def test_a_start_in_unix_milliseconds_becomes_the_clocks_microseconds() -> None:
@@ -207,14 +207,14 @@
     bounded("later", what='a "b"')
     said = capsys.readouterr().err
     assert "event=later" in said and "left_out=9" in said and r'what="a \"b\""' in said
-    bounded.shape("json")
+    bounded.set_format("json")
     bounded("later", count=1)
     shown = json.loads(capsys.readouterr().err)
     assert shown["event"] == "later" and shown["count"] == 1 and shown["at"]
 
 
 def test_counters_are_the_fields_of_one_event() -> None:
-    assert counts.fields({"a": Counter(x=1, b=2)}) == {"a.b": 2, "a.x": 1}
+    assert counters.counter_fields({"a": Counter(x=1, b=2)}) == {"a.b": 2, "a.x": 1}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -12,7 +12,12 @@
 from hypothesis import strategies as st
 
 from harriertide.core import events as ev
-from harriertide.core.reducer import COLD_WRITE_US, LIMIT_WRITE_US, SETTLE_US, Reducer
+from harriertide.core.reducer import (
+    CUT_OFF_GAP_US,
+    RATE_LIMIT_WRITE_DELAY_MAX_US,
+    SLOW_START_WRITE_DELAY_MAX_US,
+    Reducer,
+)
 from harriertide.decide import api
 from tests.helpers import SETTINGS, START_US
 
@@ -54,7 +59,7 @@
     module = Scripted([send(), send("n1")])
     core = Reducer(LONE, 1, module)
     done = core.step(START_US, [HELD, arrival()])
-    assert [(e.attempt, e.node) for e in kinds(done, ev.StartAttempt)] == [(0, "n0")]
+    assert [(e.attempt, e.node_id) for e in kinds(done, ev.StartAttempt)] == [(0, "n0")]
     assert [e.kind for e in module.heard if isinstance(e, api.AttemptFinished)] == ["not_sent"]
 
 
@@ -86,8 +91,8 @@
     young = replace(NODES[0], started_us=START_US - 1_000_000)
     core = Reducer(LONE, 1, Scripted([send()]))
     core.step(START_US, [ev.EndpointsUpdated(api.EndpointUpdate("cached", (young,))), arrival()])
-    assert core.may_write("r", 0, START_US + COLD_WRITE_US) is None
-    assert core.may_write("r", 0, START_US + COLD_WRITE_US + 1) == "connect_failed"
+    assert core.may_write("r", 0, START_US + SLOW_START_WRITE_DELAY_MAX_US) is None
+    assert core.may_write("r", 0, START_US + SLOW_START_WRITE_DELAY_MAX_US + 1) == "connect_failed"
 
 
 @pytest.mark.parametrize("kind", ["timeout", "reset", "cancelled", "error"])
@@ -98,7 +103,7 @@
     assert first == [ev.StartAttempt("r", 0, "n0", START_US + 500_000, 0)]
     now = START_US + 30_000
     again = kinds(core.step(now, [ev.AttemptFinished("r", 0, kind)]), ev.StartAttempt)
-    assert [start.from_us for start in again] == [now + SETTLE_US]
+    assert [start.not_before_us for start in again] == [now + CUT_OFF_GAP_US]
     # the final answer waits for nothing
     assert [e.kind for e in kinds(core.step(now, [ev.AttemptFinished("r", 1, kind)]), ev.Respond)] == [
         "failed"
@@ -111,10 +116,10 @@
     core.step(START_US, [ev.ClientDisconnected("r")])
     core.step(START_US + 1, [ev.AttemptFinished("r", 0, "cancelled")])
     again = kinds(core.step(START_US + 2, [arrival()]), ev.StartAttempt)
-    assert [start.from_us for start in again] == [START_US + 1 + SETTLE_US]
+    assert [start.not_before_us for start in again] == [START_US + 1 + CUT_OFF_GAP_US]
     core.step(START_US + 3, [ev.AttemptFinished("r", 0, "ok", b"")])
-    later = kinds(core.step(START_US + 2 * SETTLE_US, [arrival()]), ev.StartAttempt)
-    assert [start.from_us for start in later] == [0]
+    later = kinds(core.step(START_US + 2 * CUT_OFF_GAP_US, [arrival()]), ev.StartAttempt)
+    assert [start.not_before_us for start in later] == [0]
 
 
 @pytest.mark.parametrize("kind", ["rejected", "connect_failed"])
@@ -122,7 +127,7 @@
     core = Reducer(LONE, 1, Scripted([send()], [send()]))
     core.step(START_US, [HELD, arrival()])
     again = kinds(core.step(START_US + 1, [ev.AttemptFinished("r", 0, kind)]), ev.StartAttempt)
-    assert [start.from_us for start in again] == [0]
+    assert [start.not_before_us for start in again] == [0]
 
 
 def test_an_attempt_whose_time_is_up_is_not_written() -> None:
@@ -141,7 +146,7 @@
     assert core.may_write("r", 0, START_US) == "not_sent"
     assert not kinds(core.step(START_US, [ev.AttemptFinished("r", 0, "ok", b"")]), ev.Respond)
     assert [type(e) for e in module.heard[2:]] == [api.ClientDisconnected, api.AttemptFinished]
-    assert not core.holds("r")
+    assert not core.has_request("r")
 
 
 def test_only_the_attempt_that_is_out_is_stopped() -> None:
@@ -156,7 +161,10 @@
     core = Reducer(LONE, 1, Scripted([send()]))
     core.step(START_US, [HELD, arrival(), arrival("s", 1)])
     done = kinds(core.step(START_US, [ev.ShutdownStarted()]), ev.Respond)
-    assert {(e.request, e.kind) for e in done} == {("r", "rejected"), ("s", "rejected")} and core.owed() == 0
+    assert {(e.request_id, e.kind) for e in done} == {
+        ("r", "rejected"),
+        ("s", "rejected"),
+    } and core.open_request_count() == 0
     assert not kinds(
         core.step(START_US, [ev.AttemptFinished("r", 0, "ok", b"late"), ev.ShutdownStarted()]), ev.Respond
     )
@@ -176,9 +184,9 @@
     core = Reducer(LONE, 1, module)
     core.step(START_US, [HELD, arrival()])
     done = core.step(START_US, [arrival("s", 1)])
-    assert {(e.request, e.kind) for e in kinds(done, ev.Respond)} == {("r", "rejected"), ("s", "rejected")}
+    assert {(e.request_id, e.kind) for e in kinds(done, ev.Respond)} == {("r", "rejected"), ("s", "rejected")}
     assert [e.text[:5] for e in kinds(done, ev.LogLine)] == ["the d", "fresh"]
-    assert core.owed() == 0 and core.counts["module_faults"] == 1
+    assert core.open_request_count() == 0 and core.counts["module_faults"] == 1
 
 
 @settings(max_examples=40, derandomize=True, deadline=None)
@@ -231,10 +239,10 @@
             step(ev.AttemptFinished(request, out.pop(request), "timeout"))
         if timers:
             step(ev.TimerFired(timers.pop(0)[1]))
-        if not core.owed():
+        if not core.open_request_count():
             break
     assert len(answered) == len(set(answered))
-    assert core.owed() == 0
+    assert core.open_request_count() == 0
     assert set(answered) | left >= {f"r{n + 1}" for n in range(made)}
 
 
@@ -245,41 +253,41 @@
     module = Scripted([send()], [send()], [send()])
     core = Reducer(LONE, 1, module)
     core.step(START_US, [HELD, ev.RequestArrived(limited)])
-    assert core.may_write("r", 0, START_US + LIMIT_WRITE_US) is None
-    assert core.may_write("r", 0, START_US + LIMIT_WRITE_US + 1) == "not_sent"
-    core.step(START_US + LIMIT_WRITE_US, [ev.AttemptFinished("r", 0, ended)])
-    late = core.may_write("r", 1, START_US + LIMIT_WRITE_US + 20_000)
+    assert core.may_write("r", 0, START_US + RATE_LIMIT_WRITE_DELAY_MAX_US) is None
+    assert core.may_write("r", 0, START_US + RATE_LIMIT_WRITE_DELAY_MAX_US + 1) == "not_sent"
+    core.step(START_US + RATE_LIMIT_WRITE_DELAY_MAX_US, [ev.AttemptFinished("r", 0, ended)])
+    late = core.may_write("r", 1, START_US + RATE_LIMIT_WRITE_DELAY_MAX_US + 20_000)
     assert late == (None if ended == "reset" else "not_sent")  # one that may have come has taken its units
 
 
 def test_plans_without_a_limit_are_written_whenever_their_time_lasts() -> None:
     core = Reducer(LONE, 1, Scripted([send()]))
     core.step(START_US, [HELD, arrival()])
-    assert core.may_write("r", 0, START_US + 2 * LIMIT_WRITE_US) is None
+    assert core.may_write("r", 0, START_US + 2 * RATE_LIMIT_WRITE_DELAY_MAX_US) is None
 
 
 def test_what_boxes_do_is_known_of_those_under_pressure_alone() -> None:
     """For maintenance: rates of calm boxes say how much came."""
     core = Reducer(LONE, 1)
     core.step(START_US, [HELD])
-    assert core.learned() == {}
+    assert core.learned_capacity_by_node() == {}
     cell = core._scheduler._cells[0]  # type: ignore[attr-defined]
     cell.learned, cell.capacity = True, 30.0
-    assert core.learned() == {}
+    assert core.learned_capacity_by_node() == {}
     cell.pressed = True
-    assert core.learned() == {"n0": 30.0}
+    assert core.learned_capacity_by_node() == {"n0": 30.0}
 
 
 def test_signs_of_life_are_counted_for_nodes_on_the_list_where_somebody_asks() -> None:
     for barred in (None, lambda node: False):
         core = Reducer(LONE, 1, Scripted((), [send()]))
-        core.barred = barred
+        core.is_barred = barred
         core.step(START_US, [HELD])
         core.step(START_US, [arrival()])
         core.step(START_US + 1_000, [ev.AttemptFinished("r", 0, "connect_failed", None)])
-        assert core.lifeless == ({} if barred is None else {"n0": 2})
+        assert core.consecutive_unresponsive == ({} if barred is None else {"n0": 2})
         core.step(
             START_US + 2_000,
             [ev.EndpointsUpdated(api.EndpointUpdate("delta", (api.NodeEntry("n0", 0, "gone"),)))],
         )
-        assert not core.lifeless
+        assert not core.consecutive_unresponsive
