--- a/harriertide/core/events.py
+++ b/harriertide/core/events.py
@@ -1,4 +1,4 @@
-"""What the core hears (events) and what it asks for (effects). Times are microseconds of one clock."""
+"""What the core is told (events) and what it asks for (effects). All times are microseconds of one clock."""
 
 from __future__ import annotations
 
@@ -7,10 +7,15 @@
 
 from harriertide.decide import api
 
+# --- events ---------------------------------------------------------------------------------
+
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A front has taken a request. streams: its body is sent on as it comes, and its last byte may be far."""
+    """A front has taken a request.
+
+    streams_body: its body is forwarded as it comes, and its last byte may be far.
+    """
 
     arrival: api.Arrival
     streams_body: bool = False
@@ -18,18 +23,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt is over; reply is what the front may pass on, unread by the core."""
+    """An attempt has ended.
+
+    reply: what the front may give to the client; the core does not read it. body_written_us: when the last
+    byte of the request's body was written, where that may be long after the first; else 0.
+    """
 
     request_id: str
     attempt: int
     kind: api.OutcomeKind
     reply: object = None
-    body_written_us: int = 0  # when its last byte was written, where that was long after its first
+    body_written_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer of an attempt has begun to go to the client: it is the client's, and no attempt follows."""
+    """The response of an attempt has begun to go to the client: it is final, and no other attempt follows."""
 
     request_id: str
     attempt: int
@@ -37,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client is gone; no answer is owed any more."""
+    """The client is gone; nobody waits for an answer any more."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """News of the list of nodes."""
+    """The endpoint list has changed, or a poll of it has failed."""
 
     update: api.EndpointUpdate
 
@@ -58,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Bytes from another broker, by its number."""
+    """Bytes from another broker."""
 
     sender_index: int
     body: bytes
@@ -66,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeFinished:
-    """A probe of a node has ended."""
+    """A health check of a node has ended."""
 
     node_id: str
     kind: api.OutcomeKind
@@ -81,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process ends: whatever is open is answered now."""
+    """The process ends: all open requests are answered now."""
 
 
 Event: TypeAlias = (
@@ -98,11 +107,14 @@
 )
 
 
+# --- effects --------------------------------------------------------------------------------
+
+
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the request to the node; ask may_write at the moment of writing; end by stop_at_us.
+    """Send the request to the node, once `Reducer.may_write` agrees right before the first byte leaves.
 
-    not_before_us: no byte leaves before; 0: at once.
+    stop_at_us: when the attempt ends at the latest. not_before_us: no byte leaves before; 0: at once.
     """
 
     request_id: str
@@ -114,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop an attempt that is out; it ends as cancelled, unless it has ended already."""
+    """Stop an open attempt; it ends as cancelled, unless it has ended meanwhile."""
 
     request_id: str
     attempt: int
@@ -122,7 +134,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Respond:
-    """The one final answer. reply: of the attempt that served it."""
+    """The one final answer of a request.
+
+    reply: that of the attempt that served it. retry_after_us: when the client may come again; 0: no advice.
+    """
 
     request_id: str
     kind: Literal["served", "rejected", "failed"]
@@ -132,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Say Fired at this time."""
+    """Report TimerFired with this token at this time."""
 
     at_us: int
     token: int
@@ -140,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Bytes for another broker, by its number."""
+    """Send bytes to another broker; they may be lost."""
 
     recipient_index: int
     body: bytes
@@ -148,26 +163,26 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Watch the list of nodes from what is known on."""
+    """Watch the endpoint list for changes, from what is known on."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartProbe:
-    """Probe a node; say ProbeFinished when that has ended."""
+    """Check the health of a node beside all requests, and report ProbeFinished."""
 
     node_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class DiscardReply:
-    """A reply of an attempt that came too late to be the final answer."""
+    """Drop a reply that came too late to be the final answer, and free what it holds."""
 
     reply: object
 
--- /dev/null
+++ b/harriertide/core/request_lifecycle.py
@@ -0,0 +1,204 @@
+"""What becomes of a request: its attempts start and end, and it gets its one final answer.
+
+These rules hold even where the decision module or a front is wrong:
+
+- a request has at most one open attempt, and no attempt starts after its final answer;
+- a request has one final answer, unless its client is gone;
+- no attempt starts at a node that is not listed as live, nor beyond the number of attempts that is allowed.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+
+from harriertide.core import events as ev
+from harriertide.core.endpoints import EndpointTable
+from harriertide.core.requests import ActiveRequest, RequestTable
+from harriertide.core.write_guard import PendingWrite, find_broken_rule
+from harriertide.decide import api
+
+
+class RequestLifecycle:
+    """The active requests of a broker.
+
+    :param endpoints: the endpoint list, which the owner keeps up to date
+    :param counts: the core's counters
+    :param emit: takes the effects, in order
+    """
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        endpoints: EndpointTable,
+        counts: Counter[str],
+        emit: Callable[[ev.Effect], None],
+    ) -> None:
+        self.settings = settings
+        self.requests = RequestTable()
+        self._endpoints = endpoints
+        self._counts = counts
+        self._emit = emit
+
+    def take_request(self, arrival: api.Arrival, streams_body: bool) -> bool:
+        """Take a request that has arrived.
+
+        :returns: False if its id is in use; the request that has the id keeps its one final answer
+        """
+        self._counts["taken"] += 1
+        if arrival.request_id in self.requests:
+            self._counts["same_id"] += 1  # a fault of the front, which checks Reducer.has_request first
+            return False
+        self.requests.add(arrival, streams_body)
+        return True
+
+    def disconnect_client(self, request_id: str) -> bool:
+        """Give no final answer to a request whose client is gone; its open attempt ends in its own time.
+
+        :returns: whether it waited for a final answer
+        """
+        request = self.requests.get(request_id)
+        if request is None or request.is_answered:
+            return False
+        self._counts["left"] += 1
+        request.is_answered = True
+        self.requests.remove_if_finished(request)
+        return True
+
+    # --- attempts -------------------------------------------------------------------------------
+
+    def start_attempt(self, now_us: int, action: api.StartAttempt) -> api.AttemptFinished | None:
+        """Start an attempt, unless that would break a rule.
+
+        :returns: the outcome of an attempt that was turned back, as the decision module is to be told
+        """
+        request = self.requests.get(action.request_id)
+        if request is None:
+            return None
+        number = request.next_attempt_number()
+        if not self._may_start_attempt(request, number, action.node_id):
+            self._counts["turned_back"] += 1
+            return api.AttemptFinished(
+                action.request_id,
+                number,
+                action.node_id,
+                "not_sent",
+                latency_us=0,
+                is_final=request.is_answered,
+            )
+        attempt = request.start_attempt(number, action.node_id, now_us, action.stop_at_us)
+        self._counts["attempts"] += 1
+        gap_end_us = request.next_attempt_not_before_us
+        self._emit(
+            ev.StartAttempt(
+                action.request_id,
+                number,
+                action.node_id,
+                attempt.stop_at_us,
+                not_before_us=gap_end_us if gap_end_us > now_us else 0,
+            )
+        )
+        return None
+
+    def _may_start_attempt(self, request: ActiveRequest, number: int, node_id: str) -> bool:
+        if request.is_answered or request.has_open_attempt:
+            return False
+        return self._endpoints.is_live(node_id) and number < self.settings.max_attempts
+
+    def may_write(
+        self,
+        request_id: str,
+        attempt_number: int,
+        now_us: int,
+        is_barred: Callable[[str], bool] | None,
+    ) -> api.OutcomeKind | None:
+        """Check an attempt right before its first byte leaves; see `harriertide.core.write_guard`.
+
+        :param is_barred: whether maintenance bars a node; None: there is no maintenance
+        :returns: None to write it now, else how the attempt ends with nothing written
+        """
+        request = self.requests.get(request_id)
+        if request is None or request.is_answered:
+            return "not_sent"  # its client left, or its final answer was given
+        attempt = request.open_attempt_numbered(attempt_number)
+        if attempt is None:
+            return "not_sent"
+        node = self._endpoints.get(attempt.node_id)
+        broken = find_broken_rule(PendingWrite(now_us, request, attempt, node, self.settings, is_barred))
+        if broken is None:
+            return None
+        if broken.counter:
+            self._counts[broken.counter] += 1
+        return broken.outcome
+
+    def is_attempt_open(self, request_id: str, attempt_number: int) -> bool:
+        """Whether this attempt was started and has not ended."""
+        request = self.requests.get(request_id)
+        return request is not None and request.open_attempt_numbered(attempt_number) is not None
+
+    def cancel_attempt(self, action: api.CancelAttempt) -> None:
+        """Cancel an open attempt, unless it carries a body that comes only once."""
+        request = self.requests.get(action.request_id)
+        if request is None or request.streams_body:
+            return
+        if request.open_attempt_numbered(action.attempt) is not None:
+            self._counts["cancels"] += 1
+            self._emit(ev.CancelAttempt(action.request_id, action.attempt))
+
+    def finish_attempt(self, now_us: int, event: ev.AttemptFinished) -> api.AttemptFinished | None:
+        """End an attempt, and answer its request where it was served.
+
+        :returns: the outcome as the decision module is to be told; None if no such attempt was open
+        """
+        request = self.requests.get(event.request_id)
+        attempt = request.open_attempt_numbered(event.attempt) if request is not None else None
+        if request is None or attempt is None:
+            self._counts["stray_outcome"] += 1
+            self._discard(event.reply)
+            return None
+        self._counts[f"outcome_{event.kind}"] += 1
+        request.finish_attempt(attempt, event.kind, now_us)
+        if event.kind == "ok" and not request.is_answered:
+            self._answer(request, ev.Respond(event.request_id, "served", event.reply))
+        else:
+            self._discard(event.reply)
+        self.requests.remove_if_finished(request)
+        # The time in which the body still came from the client says nothing about the node.
+        latency_us = now_us - max(attempt.decided_at_us, event.body_written_us)
+        return api.AttemptFinished(
+            event.request_id,
+            event.attempt,
+            attempt.node_id,
+            event.kind,
+            latency_us,
+            is_final=request.is_answered,
+        )
+
+    # --- final answers --------------------------------------------------------------------------
+
+    def give_final_answer(self, answer: ev.Respond) -> None:
+        """Answer a request, unless it was answered before or its client is gone."""
+        request = self.requests.get(answer.request_id)
+        if request is not None and not request.is_answered:
+            self._answer(request, answer)
+            self.requests.remove_if_finished(request)
+
+    def answer_open_requests(self) -> None:
+        """Give a final answer to each open request: "rejected" where a retry by the client is harmless."""
+        for request in self.requests:
+            request_class = self.settings.classes[request.arrival.request_class]
+            if request_class.idempotency == "idempotent" or not request.attempt_count:
+                wait_us = self.settings.max_retry_after_us
+                self.give_final_answer(ev.Respond(request.request_id, "rejected", None, wait_us))
+            else:
+                self.give_final_answer(ev.Respond(request.request_id, "failed"))
+
+    def _answer(self, request: ActiveRequest, answer: ev.Respond) -> None:
+        request.is_answered = True
+        self._counts[answer.kind] += 1
+        self._emit(answer)
+
+    def _discard(self, reply: object) -> None:
+        """Drop a reply that is not the final answer."""
+        if reply is not None:
+            self._emit(ev.DiscardReply(reply))
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -170,6 +170,16 @@
         self._arm()
         return self._actions
 
+    def learned_capacity_by_node(self) -> dict[str, float]:
+        """The learned capacity of the live nodes of overloaded shards, in units a second, by node id."""
+        return {
+            node.id: cell.capacity / len(cell.nodes)
+            for cell in self._cells.values()
+            if cell.tight
+            for node in cell.nodes.values()
+            if node.live
+        }
+
     # --- 1. Rounds and bids ------------------------------------------------------------------
 
     def _close_round(self) -> None:
--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/second_copy.py
@@ -39,7 +39,7 @@
 from docopt import docopt
 
 from harriertide.core import events as ev
-from harriertide.core import reducer
+from harriertide.core import requests
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
@@ -234,14 +234,14 @@
         """As the platform's front; a quarter with bodies that pass through, as the object front has."""
         headers = {"X-Call-Id": self._request}
         if int(self._request, 16) % 4:
-            return await self._client.exchange(attempt, "GET", "/api", headers, b"")
+            return AttemptResult(*await self._client.exchange(attempt, "GET", "/api", headers, b""))
         headers["Content-Length"] = str(2 * len(PIECE))
         try:
             async with self._client.open(attempt, "PUT", "/api", headers, _pieces()) as answer:
                 await answer.read()
-                return outcome(answer), None
+                return AttemptResult(outcome(answer))
         except AttemptFailedError as end:
-            return end.kind, None
+            return AttemptResult(end.kind)
 
     def has_client_disconnected(self) -> bool:
         return False
@@ -300,7 +300,7 @@
     """Print what was found; 1 where the broker itself made a second copy."""
     given = docopt(__doc__ or "", arguments)
     if given["--settle-ms"] is not None:
-        reducer.CUT_OFF_GAP_US = int(1000 * float(given["--settle-ms"]))
+        requests.CUT_OFF_GAP_US = int(1000 * float(given["--settle-ms"]))
     figures = look(
         int(given["--attempts"]), int(given["--width"]), float(given["--late-ms"]), int(given["--seed"])
     )
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from harriertide.core import events as ev
-from harriertide.core.reducer import CUT_OFF_GAP_US, Reducer
+from harriertide.core.reducer import Reducer
+from harriertide.core.requests import CUT_OFF_GAP_US
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
 from harriertide.engine.runtime import Attempt, AttemptResult, Runtime
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from harriertide.decide import api
 from harriertide.http import clients, nodes, relay
 from harriertide.http.node_connection import RELAY_HELD
 from harriertide.http.nodes import FIRST_BYTES
@@ -424,9 +425,8 @@
 
 def test_nothing_passes_to_a_cold_node(little: None) -> None:
     async def play(house: House) -> None:
-        house.daemon.core._nodes["b1"] = house.daemon.core._nodes["b1"].__class__(
-            "b1", 0, started_us=house.daemon.runtime.clock.now_us()
-        )
+        warming = api.NodeEntry("b1", 0, started_us=house.daemon.runtime.clock.now_us())
+        house.daemon.core._endpoints.update(api.EndpointUpdate("delta", (warming,)))
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
         client.sendall(LONG)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 
 from harriertide.core import events as ev
-from harriertide.core.reducer import SLOW_START_WRITE_DELAY_MAX_US, Reducer
+from harriertide.core.reducer import Reducer
+from harriertide.core.write_guard import SLOW_START_WRITE_DELAY_MAX_US
 from harriertide.decide.settings import Part, from_wire, names_from_wire
 from harriertide.engine import counters, log
 from harriertide.engine.clock import Clock
@@ -203,7 +204,7 @@
     for number in range(1_000):
         bounded(f"line {number}")
     assert len(capsys.readouterr().err.splitlines()) < 100
-    bounded._room = 5.0
+    bounded._available_events = 5.0
     bounded("later", what='a "b"')
     said = capsys.readouterr().err
     assert "event=later" in said and "left_out=9" in said and r'what="a \"b\""' in said
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -12,12 +12,9 @@
 from hypothesis import strategies as st
 
 from harriertide.core import events as ev
-from harriertide.core.reducer import (
-    CUT_OFF_GAP_US,
-    RATE_LIMIT_WRITE_DELAY_MAX_US,
-    SLOW_START_WRITE_DELAY_MAX_US,
-    Reducer,
-)
+from harriertide.core.reducer import Reducer
+from harriertide.core.requests import CUT_OFF_GAP_US
+from harriertide.core.write_guard import RATE_LIMIT_WRITE_DELAY_MAX_US, SLOW_START_WRITE_DELAY_MAX_US
 from harriertide.decide import api
 from tests.helpers import SETTINGS, START_US
 
@@ -161,10 +158,8 @@
     core = Reducer(LONE, 1, Scripted([send()]))
     core.step(START_US, [HELD, arrival(), arrival("s", 1)])
     done = kinds(core.step(START_US, [ev.ShutdownStarted()]), ev.Respond)
-    assert {(e.request_id, e.kind) for e in done} == {
-        ("r", "rejected"),
-        ("s", "rejected"),
-    } and core.open_request_count() == 0
+    assert {(e.request_id, e.kind) for e in done} == {("r", "rejected"), ("s", "rejected")}
+    assert core.open_request_count() == 0
     assert not kinds(
         core.step(START_US, [ev.AttemptFinished("r", 0, "ok", b"late"), ev.ShutdownStarted()]), ev.Respond
     )
@@ -271,7 +266,7 @@
     core = Reducer(LONE, 1)
     core.step(START_US, [HELD])
     assert core.learned_capacity_by_node() == {}
-    cell = core._scheduler._cells[0]  # type: ignore[attr-defined]
+    cell = core.scheduler._cells[0]  # type: ignore[attr-defined]
     cell.learned, cell.capacity = True, 30.0
     assert core.learned_capacity_by_node() == {}
     cell.pressed = True
