--- a/harriertide/engine/counters.py
+++ b/harriertide/engine/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what is taken in, sent and answered."""
+"""Counters, as the log and the operators' pages show them."""
 
 from __future__ import annotations
 
@@ -7,5 +7,13 @@
 
 
 def counter_fields(parts: Mapping[str, Counter[str]]) -> dict[str, int]:
-    """All counts as the fields of one event, by part and name."""
-    return {f"{part}.{name}": value for part, held in parts.items() for name, value in sorted(held.items())}
+    """All counters as the fields of one log event.
+
+    :param parts: the counters of each part of the process, by its name
+    :returns: counts by "part.counter"
+    """
+    return {
+        f"{part}.{counter}": count
+        for part, counters in parts.items()
+        for counter, count in sorted(counters.items())
+    }
--- a/harriertide/engine/log.py
+++ b/harriertide/engine/log.py
@@ -1,4 +1,4 @@
-"""The log: structured events to standard error, as key=value or JSON, at a bounded rate."""
+"""The log: structured events on standard error, as key=value or JSON, at a bounded rate."""
 
 from __future__ import annotations
 
@@ -8,73 +8,91 @@
 from typing import Any, Literal
 
 import structlog
-from structlog.typing import EventDict, WrappedLogger
+from structlog.typing import EventDict, Processor, WrappedLogger
 
-BURST, PER_S = 40.0, 10.0
+# A failure that shows in each request must not fill the disk or slow the broker down: beyond a burst, events
+# are left out and counted.
+BURST_EVENT_COUNT = 40.0
+EVENTS_PER_S = 10.0
 
-Form = Literal["text", "json"]
+LogFormat = Literal["text", "json"]
 
 
 class Log:
-    """At most BURST events at once and PER_S a second; what is left out is counted and said.
+    """Writes events, at most BURST_EVENT_COUNT at once and EVENTS_PER_S in the long run.
 
-    An event is named by a constant phrase; what varies goes into fields.
+    An event is named by a constant phrase, which can be searched for; what varies goes into fields. The first
+    event after others were left out has their number in its field left_out.
     """
 
     def __init__(self) -> None:
-        self._room, self._at, self._left_out = BURST, time.monotonic(), 0
+        self._available_events = BURST_EVENT_COUNT
+        self._refilled_at_s = time.monotonic()
+        self._left_out_count = 0
         self.set_format("text")
 
-    def set_format(self, form: Form) -> None:
-        """Write events in this form from now on."""
-        render: structlog.typing.Processor = structlog.processors.LogfmtRenderer(key_order=["at", "event"])
-        if form == "json":
+    def set_format(self, log_format: LogFormat) -> None:
+        """Write events in this format from now on."""
+        render: Processor
+        if log_format == "json":
             render = structlog.processors.JSONRenderer()
-        stamp = structlog.processors.TimeStamper(fmt="iso", key="at")
-        self._log = structlog.wrap_logger(None, [self._bound, stamp, render], wrapper_class=_Straight)
-
-    def _bound(self, logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
-        now = time.monotonic()
-        self._room, self._at = min(BURST, self._room + PER_S * (now - self._at)), now
-        if self._room < 1:
-            self._left_out += 1
+        else:
+            render = structlog.processors.LogfmtRenderer(key_order=["at", "event"])
+        add_time = structlog.processors.TimeStamper(fmt="iso", key="at")
+        processors: list[Processor] = [self._limit_rate, add_time, render]
+        self._logger = structlog.wrap_logger(None, processors, wrapper_class=_StandardErrorLogger)
+
+    def _limit_rate(self, logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
+        """A token bucket of events."""
+        now_s = time.monotonic()
+        refill = EVENTS_PER_S * (now_s - self._refilled_at_s)
+        self._available_events = min(BURST_EVENT_COUNT, self._available_events + refill)
+        self._refilled_at_s = now_s
+        if self._available_events < 1:
+            self._left_out_count += 1
             raise structlog.DropEvent
-        self._room -= 1
-        if self._left_out:
-            event["left_out"], self._left_out = self._left_out, 0
+        self._available_events -= 1
+        if self._left_out_count:
+            event["left_out"] = self._left_out_count
+            self._left_out_count = 0
         return event
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Say what has happened. fields: strings and numbers."""
-        self._log.msg(event, **fields)
+        """Write an event.
+
+        :param fields: strings and numbers
+        """
+        self._logger.msg(event, **fields)
 
     def log_final(self, event: str, **fields: Any) -> None:
-        """Say it whatever was said before: once, at the end of the process."""
-        self._room = max(self._room, 1.0)
+        """Write an event at the end of the process, whatever was written before it."""
+        self._available_events = max(self._available_events, 1.0)
         self(event, **fields)
 
 
-class _Straight(structlog.BoundLoggerBase):
-    """To standard error as it is now."""
+class _StandardErrorLogger(structlog.BoundLoggerBase):
+    """Writes to what standard error is at that moment: tests and supervisors replace it."""
 
     def msg(self, event: str, **fields: Any) -> None:
+        """Write one event, unless it is left out."""
         try:
-            shown, _ = self._process_event("msg", event, fields)
+            rendered, _ = self._process_event("msg", event, fields)
         except structlog.DropEvent:
             return
-        print(*shown, file=sys.stderr, flush=True)
+        print(*rendered, file=sys.stderr, flush=True)
 
 
 log = Log()
 
 
-class _Handler(logging.Handler):
-    """What libraries log goes the same way and under the same bound."""
+class _LibraryHandler(logging.Handler):
+    """Takes what libraries log, so that it has the same format and is bounded by the same rate."""
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Write a record as an event."""
         log("library", logger=record.name, text=self.format(record))
 
 
 def adopt_libraries() -> None:
-    """Send warnings and errors of libraries to the log."""
-    logging.basicConfig(level=logging.WARNING, handlers=[_Handler()], force=True)
+    """Send warnings and errors of libraries to this log."""
+    logging.basicConfig(level=logging.WARNING, handlers=[_LibraryHandler()], force=True)
--- a/harriertide/engine/runtime.py
+++ b/harriertide/engine/runtime.py
@@ -1,4 +1,4 @@
-"""Between the reducer and the sockets: collects the events of a loop turn, performs the effects."""
+"""Runs a core on an event loop: collects the events of a turn of the loop, and performs the effects."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from contextvars import Context
 from dataclasses import dataclass
 from functools import partial
-from typing import Protocol, runtime_checkable
+from typing import Any, Protocol, runtime_checkable
 
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
@@ -16,137 +16,181 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.log import log
 
-CLOSE_STEP_S = 0.005
+CLOSE_POLL_S = 0.005  # how often a runtime that is closing looks whether its attempts have ended
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt as its performer sees it: where to, until when, and the last look before writing."""
+    """An attempt, as the job that performs it sees it."""
 
     runtime: Runtime
     request_id: str
     number: int
     node_id: str
     stop_at_us: int
-    not_before_us: int = 0  # not to be written before
-    body_written_us: int = 0  # when its last byte was, where it was sent on as it came
+    not_before_us: int = 0  # no byte may be written before; 0: at once
+    body_written_us: int = 0  # set by who forwards a body as it comes: when its last byte was written
 
     def may_write(self) -> api.OutcomeKind | None:
-        """None: write now. Else the attempt ends so, with nothing written."""
+        """Check the attempt right before its first byte is written.
+
+        :returns: None to write it now, else how it ends with nothing written
+        """
         runtime = self.runtime
         if runtime.has_client_disconnected(self.request_id):
             return "not_sent"
         return runtime.core.may_write(self.request_id, self.number, runtime.clock.now_us())
 
 
-AttemptResult = tuple[api.OutcomeKind, object]
+@dataclass(frozen=True, slots=True)
+class AttemptResult:
+    """How an attempt ended, and the reply that its client may be given."""
+
+    kind: api.OutcomeKind
+    reply: object = None
 
 
 class Job(Protocol):
-    """A taken request, as its front carries it."""
+    """A request that was taken, as its front performs and answers it."""
 
     @property
     def context(self) -> Context | None:
-        """Of who asked: its attempts run in a copy. None: in the runtime's own."""
+        """The context of who asked, in a copy of which attempts run; None: that of the runtime."""
 
     async def perform(self, attempt: Attempt) -> AttemptResult:
-        """Perform one attempt; how it ended, and what to pass on."""
+        """Perform one attempt."""
 
     def has_client_disconnected(self) -> bool:
-        """Whether who asked has left, as the system knows it now: the loop may not have heard of it yet."""
+        """Whether the client is gone as the system knows it now: the loop may not have been told yet."""
 
     def respond(self, answer: ev.Respond) -> None:
-        """The final answer."""
+        """Give the client its final answer."""
 
 
 @runtime_checkable
 class Disposable(Protocol):
-    """A reply that holds something, which is let go where nobody wants it."""
+    """A reply that holds a resource, which has to be freed where nobody takes the reply."""
 
     def dispose(self) -> None:
-        """Let go."""
+        """Free the resource."""
+
+
+def _do_nothing(*_: object) -> None:
+    """A hook that nobody has set."""
 
 
 class Runtime:
-    """Owns the loop's side of the core; all fronts share one."""
+    """The event loop's side of a core, which all fronts of a process share.
+
+    Its owner sets the hooks that the process has a use for, before the first event is posted.
+    """
 
     def __init__(self, core: Reducer, clock: Clock) -> None:
-        self.core, self.clock = core, clock
-        self.send_peer_message: Callable[[int, bytes], None] = lambda head, body: None
-        self.watch_endpoints: Callable[[], None] = lambda: None
-        self.start_probe: Callable[[str], None] = lambda node: None
-        self.record_event: Callable[[int, ev.Event], None] | None = None  # of what the core is told
+        self.core = core
+        self.clock = clock
+        self.send_peer_message: Callable[[int, bytes], None] = _do_nothing  # to a broker, by its index
+        self.watch_endpoints: Callable[[], None] = _do_nothing
+        self.start_probe: Callable[[str], None] = _do_nothing  # of a node, by its id
+        self.record_event: Callable[[int, ev.Event], None] | None = None  # each event, before it is handled
+        # Called before posted events are handled: guards against a process that was suspended, was replaced
+        # by another meanwhile, and acts on what it held (an upgrade in place sets it).
+        self.check_fence: Callable[[], None] = _do_nothing
         self._loop = asyncio.get_running_loop()
+        self._is_closed = False
+        self._posted: list[ev.Event] = []
         self._jobs: dict[str, Job] = {}
-        self._events: list[ev.Event] = []
+        self._attempt_tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
         self._timers: set[asyncio.TimerHandle] = set()
-        self.check_fence: Callable[[], None] = lambda: None  # called before what has happened is acted on
-        self._closed = False
-        self._tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
+        self._effect_handlers: dict[type, Callable[[Any], None]] = {
+            ev.StartAttempt: self._start_attempt,
+            ev.CancelAttempt: self._cancel_attempt,
+            ev.Respond: self._respond,
+            ev.SetTimer: self._set_timer,
+            ev.SendPeerMessage: self._send_peer_message,
+            ev.WatchEndpoints: self._watch_endpoints,
+            ev.StartProbe: self._start_probe,
+            ev.DiscardReply: self._discard_reply,
+            ev.LogLine: self._write_log_line,
+        }
+
+    # --- for fronts -----------------------------------------------------------------------------
 
     def submit(self, arrival: api.Arrival, job: Job, streams_body: bool = False) -> bool:
-        """Take a request into the core; False if its id is in use. streams: see Arrived."""
+        """Give a request to the core.
+
+        :param streams_body: its body is forwarded as it comes
+        :returns: False if its id is in use
+        """
         if arrival.request_id in self._jobs or self.core.has_request(arrival.request_id):
             return False
         self._jobs[arrival.request_id] = job
         self.post(ev.RequestArrived(arrival, streams_body))
         return True
 
-    def client_disconnected(self, request: str) -> None:
-        """The client of a request is gone."""
-        self.post(ev.ClientDisconnected(request))
+    def client_disconnected(self, request_id: str) -> None:
+        """Report that the client of a request is gone."""
+        self.post(ev.ClientDisconnected(request_id))
 
-    def has_client_disconnected(self, request: str) -> bool:
-        """Whether who asked has left, looked up now.
+    def has_client_disconnected(self, request_id: str) -> bool:
+        """Look up now whether the client of a request is gone, and report it if so.
 
-        Guards against an attempt that begins behind its client's close: that lies behind bytes that were not
-        read, or comes in a turn of the loop in which there is much else to do.
+        Guards against an attempt that begins after its client has closed the connection. The close lies
+        behind bytes that were not read yet, or came in a turn of the loop that has much else to do.
         """
-        job = self._jobs.get(request)
+        job = self._jobs.get(request_id)
         if job is None or not job.has_client_disconnected():
             return False
-        self.client_disconnected(request)
+        self.client_disconnected(request_id)
         return True
 
     def response_started(self, attempt: Attempt) -> None:
-        """The answer of an attempt is on its way to the client."""
+        """Report that the response of an attempt has begun to go to the client."""
         self.post(ev.ResponseStarted(attempt.request_id, attempt.number))
 
-    def cancel_attempts(self, request: str) -> None:
-        """Stop what runs for a request whose client is gone; it ends as cancelled."""
+    def cancel_attempts(self, request_id: str) -> None:
+        """Cancel what runs for a request whose client is gone; it ends as cancelled."""
         for number in range(self.core.settings.max_attempts):
-            task = self._tasks.get((request, number))
+            task = self._attempt_tasks.get((request_id, number))
             if task is not None:
                 task.cancel()
 
-    async def close(self, by: float) -> None:
-        """Answer what is open, stop what runs, and wait for its end until this moment of the loop's clock."""
+    async def close(self, deadline_s: float) -> None:
+        """Answer open requests, cancel their attempts, and wait for the end of these.
+
+        :param deadline_s: the moment of the loop's clock until which to wait
+        """
         self.post(ev.ShutdownStarted())
-        for task in self._tasks.values():
+        for task in self._attempt_tasks.values():
             task.cancel()
-        while (self._tasks or self._events) and self._loop.time() < by:
-            await until(min(by, self._loop.time() + CLOSE_STEP_S))
-        self._closed = True
+        while (self._attempt_tasks or self._posted) and self._loop.time() < deadline_s:
+            await until(min(deadline_s, self._loop.time() + CLOSE_POLL_S))
+        self._is_closed = True
         for timer in self._timers:
             timer.cancel()
         self._timers.clear()
 
+    # --- events ---------------------------------------------------------------------------------
+
     def post(self, event: ev.Event) -> None:
-        """Tell the core at the end of this turn of the loop, with all else that happens in it."""
-        if self._closed:
-            return  # what ends later than its runtime changes nothing any more
-        if not self._events:
+        """Have the core handle an event at the end of this turn of the loop, with all others of the turn.
+
+        Once the runtime is closed, events change nothing any more.
+        """
+        if self._is_closed:
+            return
+        if not self._posted:
             self._loop.call_soon(self.flush)
-        self._events.append(event)
+        self._posted.append(event)
 
     def flush(self) -> None:
-        """Tell the core what was posted, and do what it says."""
+        """Have the core handle all posted events now."""
         self.check_fence()
-        events, self._events = self._events, []
+        events = self._posted
+        self._posted = []
         self._step(events)
 
     def handle_now(self, event: ev.Event) -> None:
-        """Tell the core before all that was posted and not yet told."""
+        """Have the core handle an event now, before those that were posted."""
         self._step([event])
 
     def _step(self, events: list[ev.Event]) -> None:
@@ -156,77 +200,93 @@
                 self.record_event(now_us, event)
         for effect in self.core.step(now_us, events):
             try:
-                self._perform(effect)
+                self._effect_handlers[type(effect)](effect)
             except Exception:  # guards against one broken effect taking the answers of others with it
                 log("an effect failed in the broker itself", trace=traceback.format_exc())
         for event in events:
-            if isinstance(event, (ev.AttemptFinished, ev.ClientDisconnected)) and not self.core.has_request(
-                event.request_id
-            ):
-                self._jobs.pop(event.request_id, None)
-
-    def _perform(self, effect: ev.Effect) -> None:
-        if isinstance(effect, ev.StartAttempt):
-            attempt = Attempt(
-                self,
-                effect.request_id,
-                effect.attempt,
-                effect.node_id,
-                effect.stop_at_us,
-                effect.not_before_us,
-            )
-            job = self._jobs[effect.request_id]
-            context = job.context.copy() if job.context is not None else None
-            task = self._loop.create_task(self._run(job, attempt), context=context)
-            self._tasks[effect.request_id, effect.attempt] = task
-            task.add_done_callback(partial(self._stopped, attempt))
-        elif isinstance(effect, ev.CancelAttempt):
-            running = self._tasks.get((effect.request_id, effect.attempt))
-            if running is not None:
-                running.cancel()
-        elif isinstance(effect, ev.Respond):
-            job = self._jobs[effect.request_id]
-            if not self.core.has_request(effect.request_id):
-                del self._jobs[effect.request_id]
-            job.respond(effect)
-        elif isinstance(effect, ev.SetTimer):
-            self._set(self.clock.loop_time(effect.at_us), ev.TimerFired(effect.token))
-        elif isinstance(effect, ev.SendPeerMessage):
-            self.send_peer_message(effect.recipient_index, effect.body)
-        elif isinstance(effect, ev.WatchEndpoints):
-            self.watch_endpoints()
-        elif isinstance(effect, ev.StartProbe):
-            self.start_probe(effect.node_id)
-        elif isinstance(effect, ev.DiscardReply):
-            if isinstance(effect.reply, Disposable):
-                effect.reply.dispose()
-        else:
-            log("core", text=effect.text)
-
-    def _set(self, at: float, event: ev.TimerFired) -> None:
+            if isinstance(event, (ev.AttemptFinished, ev.ClientDisconnected)):
+                self._forget_finished_job(event.request_id)
+
+    def _forget_finished_job(self, request_id: str) -> None:
+        if not self.core.has_request(request_id):
+            self._jobs.pop(request_id, None)
+
+    # --- effects --------------------------------------------------------------------------------
+
+    def _start_attempt(self, effect: ev.StartAttempt) -> None:
+        attempt = Attempt(
+            self,
+            effect.request_id,
+            effect.attempt,
+            effect.node_id,
+            effect.stop_at_us,
+            effect.not_before_us,
+        )
+        job = self._jobs[effect.request_id]
+        context = job.context.copy() if job.context is not None else None
+        task = self._loop.create_task(self._run_attempt(job, attempt), context=context)
+        self._attempt_tasks[effect.request_id, effect.attempt] = task
+        task.add_done_callback(partial(self._on_task_done, attempt))
+
+    def _cancel_attempt(self, effect: ev.CancelAttempt) -> None:
+        task = self._attempt_tasks.get((effect.request_id, effect.attempt))
+        if task is not None:
+            task.cancel()
+
+    def _respond(self, effect: ev.Respond) -> None:
+        job = self._jobs[effect.request_id]
+        self._forget_finished_job(effect.request_id)
+        job.respond(effect)
+
+    def _set_timer(self, effect: ev.SetTimer) -> None:
         def fire() -> None:
             self._timers.discard(timer)
-            self.post(event)
+            self.post(ev.TimerFired(effect.token))
 
-        timer = self._loop.call_at(at, fire)
+        timer = self._loop.call_at(self.clock.loop_time(effect.at_us), fire)
         self._timers.add(timer)
 
-    async def _run(self, job: Job, attempt: Attempt) -> None:
+    def _send_peer_message(self, effect: ev.SendPeerMessage) -> None:
+        self.send_peer_message(effect.recipient_index, effect.body)
+
+    def _watch_endpoints(self, effect: ev.WatchEndpoints) -> None:
+        self.watch_endpoints()
+
+    def _start_probe(self, effect: ev.StartProbe) -> None:
+        self.start_probe(effect.node_id)
+
+    def _discard_reply(self, effect: ev.DiscardReply) -> None:
+        if isinstance(effect.reply, Disposable):
+            effect.reply.dispose()
+
+    def _write_log_line(self, effect: ev.LogLine) -> None:
+        log("core", text=effect.text)
+
+    # --- attempts -------------------------------------------------------------------------------
+
+    async def _run_attempt(self, job: Job, attempt: Attempt) -> None:
         try:
-            kind, reply = await job.perform(attempt)
-        except Exception:  # guards against a fault in a performer leaving its request without an answer
+            result = await job.perform(attempt)
+        except Exception:  # guards against a fault of a front leaving its request without an answer
             log("an attempt failed in the broker itself", trace=traceback.format_exc())
-            kind, reply = "reset", None
-        self._end(attempt, kind, reply)
-
-    def _end(self, attempt: Attempt, kind: api.OutcomeKind, reply: object) -> None:
-        """Exactly one Ended for each attempt, whatever the performer does."""
-        if self._tasks.pop((attempt.request_id, attempt.number), None) is not None:
-            self.post(
-                ev.AttemptFinished(attempt.request_id, attempt.number, kind, reply, attempt.body_written_us)
+            result = AttemptResult("reset")
+        self._finish_attempt(attempt, result)
+
+    def _finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
+        """Report the end of an attempt: exactly once, whatever its job does."""
+        if self._attempt_tasks.pop((attempt.request_id, attempt.number), None) is None:
+            return
+        self.post(
+            ev.AttemptFinished(
+                attempt.request_id,
+                attempt.number,
+                result.kind,
+                result.reply,
+                attempt.body_written_us,
             )
+        )
 
-    def _stopped(self, attempt: Attempt, task: asyncio.Task[None]) -> None:
-        """Its task is over; where the core has stopped it, maybe before it began, it says so here."""
+    def _on_task_done(self, attempt: Attempt, task: asyncio.Task[None]) -> None:
+        """Report the end of an attempt that was cancelled, maybe before it began to run."""
         if task.cancelled():
-            self._end(attempt, "cancelled", None)
+            self._finish_attempt(attempt, AttemptResult("cancelled"))
--- a/harriertide/objects/jobs.py
+++ b/harriertide/objects/jobs.py
@@ -171,7 +171,7 @@
     async def perform(self, attempt: Attempt) -> AttemptResult:
         source = self._source
         if not source.ready():
-            return "not_sent", None  # refused: only the client still has the body
+            return AttemptResult("not_sent")  # refused: only the client still has the body
         self._begun(attempt.node_id)
         headers = {**self.headers(attempt), "Content-Length": str(source.size)}
         try:
@@ -179,10 +179,10 @@
                 kind = await self.ended(attempt, response)
                 if kind == "ok":
                     self.box, self.tag = attempt.node_id, response.headers.get("ETag", "")
-                return kind, None
+                return AttemptResult(kind)
         except AttemptFailedError as end:
             # a client that brings no body says nothing of the box's health
-            return ("cancelled" if source.broken or source.waiting else end.kind), None
+            return AttemptResult("cancelled" if source.broken or source.waiting else end.kind)
 
 
 class ReadBlob(ObjectJob):
@@ -213,11 +213,11 @@
             async with self._client.open(attempt, "GET", self._target, headers, most=most) as response:
                 if response.status in (404, 412, 416):
                     self.missing = True  # asking again would not bring it back
-                    return "not_sent", None
+                    return AttemptResult("not_sent")
                 if outcome(response) != "ok":
-                    return await self.ended(attempt, response), None
+                    return AttemptResult(await self.ended(attempt, response))
                 if not self._fits(response):
-                    return "error", None
+                    return AttemptResult("error")
                 async for chunk in response.content.iter_chunked(CHUNK_BYTES):
                     kept = chunk[: self._last + 1 - self._next]
                     # booked before it is written: guards against the same bytes twice after a break
@@ -226,13 +226,13 @@
                     try:
                         await self._sink(kept)
                     except (ConnectionError, asyncio.InvalidStateError):
-                        return "cancelled", None  # the client is gone
+                        return AttemptResult("cancelled")  # the client is gone
                     writing = False
-                return ("ok" if self._next > self._last else "reset"), None
+                return AttemptResult("ok" if self._next > self._last else "reset")
         except AttemptFailedError as end:
             # stopped while the client took its time: nothing against the box
             slow_client = writing and end.kind == "timeout"
-            return ("cancelled" if slow_client else end.kind), None
+            return AttemptResult("cancelled" if slow_client else end.kind)
 
     def _fits(self, response: Incoming) -> bool:
         """The box answers just the stretch that was asked for."""
@@ -248,7 +248,7 @@
         try:
             async with self._client.open(attempt, "DELETE", self._target, self.headers(attempt)) as response:
                 if response.status == 404:
-                    return "ok", None
-                return await self.ended(attempt, response), None
+                    return AttemptResult("ok")
+                return AttemptResult(await self.ended(attempt, response))
         except AttemptFailedError as end:
-            return end.kind, None
+            return AttemptResult(end.kind)
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -65,12 +65,14 @@
         rows = [*self._rows, (b"X-Budget-Ms", b"%d" % wait_ms)]
         if isinstance(self._body, ComingBody):
             rows.append(self._body.framing)
-            return await self._client.relay(
-                attempt, self._method, self._target, rows, self._body.chunks(attempt)
+            return AttemptResult(
+                *await self._client.relay(
+                    attempt, self._method, self._target, rows, self._body.chunks(attempt)
+                )
             )
         if self._body or self._method != "GET":
             rows.append((b"Content-Length", b"%d" % len(self._body)))
-        return await self._client.relay(attempt, self._method, self._target, rows, self._body)
+        return AttemptResult(*await self._client.relay(attempt, self._method, self._target, rows, self._body))
 
     def has_client_disconnected(self) -> bool:
         """Whether the client has closed its connection, or its side of it."""
