--- a/examples/aiohttp_app.py
+++ b/examples/aiohttp_app.py
@@ -2,7 +2,7 @@
 
     python examples/aiohttp_app.py boxes.toml 8080
 
-GET /page/NAME?shard=N reads a blob from the box that the broker chooses.
+GET /page/NAME?shard=N reads a blob from the node that the broker chooses.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from aiohttp import web
 
-from harriertide.library import Ask, Broker
-from harriertide.library.web import ATTEMPT, Guard
+from harriertide.library import Broker, RequestSpec
+from harriertide.library.web import ATTEMPT, BrokerMiddleware
 
 
-def describe(request: web.Request) -> Ask | None:
+def describe(request: web.Request) -> RequestSpec | None:
     """What the decisions need to know; None lets a request pass beside the broker."""
     if not request.path.startswith("/page/"):
         return None
-    return Ask("photos", shard=int(request.query.get("shard", "-1")), request_class="read")
+    return RequestSpec("photos", shard=int(request.query.get("shard", "-1")), request_class="read")
 
 
 def make(broker: Broker) -> web.Application:
@@ -28,16 +28,16 @@
     async def page(request: web.Request) -> web.Response:
         name = request.match_info["name"]
         if request.method == "PUT":
-            body = await request.read()  # held by the guard: there again for a further attempt
-            reply = await broker.boxes.request(request[ATTEMPT], "PUT", f"/photos/{name}", {}, body)
+            body = await request.read()  # buffered by the middleware: there again for a retry
+            reply = await broker.nodes.request(request[ATTEMPT], "PUT", f"/photos/{name}", {}, body)
         else:
-            reply = await broker.boxes.request(request[ATTEMPT], "GET", f"/photos/{name}")
+            reply = await broker.nodes.request(request[ATTEMPT], "GET", f"/photos/{name}")
         return web.Response(status=reply.status, body=reply.body)
 
     async def about(request: web.Request) -> web.Response:
         return web.json_response(broker.counters())
 
-    guard = Guard(broker, describe)
+    guard = BrokerMiddleware(broker, describe)
     app = web.Application(middlewares=[guard.middleware])
     guard.attach(app)
     app.router.add_get("/page/{name}", page)
--- a/examples/threads.py
+++ b/examples/threads.py
@@ -10,8 +10,8 @@
 import sys
 from concurrent.futures import ThreadPoolExecutor
 
-from harriertide.library import Ask, RefusedError
-from harriertide.library.blocking import Broker, Work
+from harriertide.library import RejectedError, RequestSpec
+from harriertide.library.blocking import BlockingAttempt, Broker
 
 
 def main(file: str, names: list[str]) -> int:
@@ -19,14 +19,14 @@
     with Broker.from_file(file) as broker, ThreadPoolExecutor(4) as pool:
 
         def read(name: str) -> str:
-            def perform(work: Work) -> str:
-                reply = work.request("GET", f"/photos/{name}")
+            def perform(attempt: BlockingAttempt) -> str:
+                reply = attempt.request("GET", f"/photos/{name}")
                 return f"{name} {len(reply.body)}" if reply.status == 200 else f"{name} is not there"
 
             try:
-                return broker.call(Ask("photos", shard=0, request_class="read"), perform)
-            except RefusedError as refused:
-                return f"{name} later, in {refused.header} s"
+                return broker.call(RequestSpec("photos", shard=0, request_class="read"), perform)
+            except RejectedError as rejected:
+                return f"{name} later, in {rejected.retry_after} s"
 
         for line in pool.map(read, names):
             print(line)
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/bench_library.py
@@ -35,7 +35,7 @@
 from harriertide.http.limits import Limits
 from harriertide.http.nodes import NodeClient
 from harriertide.lab import plant
-from harriertide.library import Ask, Attempt, Box, Broker, Fixed
+from harriertide.library import Attempt, Broker, Node, NodeList, RequestSpec
 from harriertide.platform.configuration import Config
 
 WAYS = ("direct", "library", "daemon")
@@ -121,12 +121,12 @@
 
 
 def _library(broker: Broker) -> Send:
-    ask = Ask("00000000000000aa", shard=0, units=2.0)
+    ask = RequestSpec("00000000000000aa", shard=0, units=2.0)
 
     async def send(number: int) -> bool:
         async def perform(attempt: Attempt) -> int:
             headers = {"X-Call-Id": f"{number:016x}", "X-Budget-Ms": "1500"}
-            reply = await broker.boxes.request(attempt, "GET", "/api?key=00000000000000ab", headers)
+            reply = await broker.nodes.request(attempt, "GET", "/api?key=00000000000000ab", headers)
             return reply.status
 
         return await broker.call(ask, perform) == 200
@@ -167,7 +167,7 @@
     clients = [NodeClient({"box-0": at}.get, CONNECT_US, IDLE_US, limits) for at in (box, front)]
     rows: dict[str, list[dict[str, float]]] = {way: [] for way in WAYS}
     failed = number = 0
-    async with Broker(SETTINGS, [Box("box-0", 0, box)], seed=1) as broker:
+    async with Broker(SETTINGS, [Node("box-0", 0, box)], seed=1) as broker:
         sends = (_plain(clients[0], clock), _library(broker), _plain(clients[1], clock))
         ways = dict(zip(WAYS, sends, strict=True))
         for send in ways.values():
@@ -199,13 +199,13 @@
     for _ in range(3):
         for count in counts:
             settings = replace(plant.SETTINGS, shard_count=count)
-            source = Fixed(Box(f"box-{n}", n) for n in range(count))
+            source = NodeList(Node(f"box-{n}", n) for n in range(count))
 
             async def empty(attempt: Attempt) -> None:
                 pass
 
             async with Broker(settings, source, seed=1) as broker:
-                asks = [Ask(f"v{n % 40}", shard=n % count) for n in range(count)]
+                asks = [RequestSpec(f"v{n % 40}", shard=n % count) for n in range(count)]
                 for number in range(500):
                     await broker.call(asks[number % count], empty)
                 before = _cpu_s(os.getpid())
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/parity.py
@@ -34,8 +34,9 @@
 from harriertide.engine.runtime import Runtime
 from harriertide.engine.workload import Workload, absolute_event, load
 from harriertide.lab import plant, virtual
-from harriertide.library import Ask, Attempt, Box, Broker, FailedError, Fixed, RefusedError
-from harriertide.library.exchange import Exchange, Loopback
+from harriertide.library import Attempt, Broker, FailedError, Node, NodeList, RejectedError, RequestSpec
+from harriertide.library.loopback_peers import LoopbackPeers
+from harriertide.library.peer_transport import PeerTransport
 from harriertide.platform.configuration import Config
 from harriertide.platform.fields import SENT_BEFORE_US
 
@@ -159,7 +160,7 @@
     return played
 
 
-Seats = Callable[[int], Exchange | None]
+Seats = Callable[[int], PeerTransport | None]
 Kill = Callable[[list[Broker]], Awaitable[None]]
 
 
@@ -181,14 +182,14 @@
     runtimes: list[Runtime] = []
     start_us = 0
     for place in range(brokers):
-        source = Fixed([Box("none", 0, state="gone")])
-        source.find = places.get  # type: ignore[assignment]
+        source = NodeList([Node("none", 0, state="gone")])
+        source.find_address = places.get  # type: ignore[assignment]
         settings, seed = workload.header.settings, workload.header.seed + place
-        broker = Broker(settings, source, seed=seed, exchange=seat(place))
+        broker = Broker(settings, source, seed=seed, peers=seat(place))
         await broker.start()
         all_brokers.append(broker)
-        assert broker._runtime is not None
-        runtimes.append(broker._runtime)
+        assert broker.runtime is not None
+        runtimes.append(broker.runtime)
         start_us = start_us or runtimes[0].clock.unix_us(loop.time() + LEAD_S)
         _watch(broker.core, start_us, played)
     clock, taking = runtimes[0].clock, list(all_brokers)
@@ -205,13 +206,13 @@
         async def perform(attempt: Attempt) -> bytes:
             headers = {"X-Call-Id": arrival.request_id}
             target = f"/api?key={arrival.key}"
-            return (await broker.boxes.request(attempt, method, target, headers, body)).body
+            return (await broker.nodes.request(attempt, method, target, headers, body)).body
 
-        ask = Ask(
+        ask = RequestSpec(
             arrival.volume, arrival.shard, arrival.units, arrival.request_class, arrival.plan, arrival.key,
             clock.loop_time(last_us), arrival.sharing_broker_count, arrival.request_id,
         )  # fmt: skip
-        with suppress(RefusedError, FailedError):
+        with suppress(RejectedError, FailedError):
             await broker.call(ask, perform)
 
     other = asyncio.ensure_future(beside(taking)) if beside is not None else None
@@ -255,8 +256,8 @@
 def play(workload: Workload, make: Callable[[], list[plant.Box]], brokers: int = 1) -> tuple[Played, Played]:
     """Through both, each with boxes of its own."""
 
-    def seat(place: int) -> Exchange | None:
-        return Loopback(FIRST_PORT, brokers) if brokers > 1 else None
+    def seat(place: int) -> PeerTransport | None:
+        return LoopbackPeers(FIRST_PORT, brokers) if brokers > 1 else None
 
     return (
         virtual.run(through_daemon(workload, make(), brokers)),
--- a/harriertide/library/__init__.py
+++ b/harriertide/library/__init__.py
@@ -1,24 +1,32 @@
-"""The broker inside an application. Its middlewares are harriertide.library.web and .asgi; .blocking is for
-programs on threads."""
+"""The broker inside an application.
 
-from harriertide.library.broker import Boxes, Broker
-from harriertide.library.exchange import Hub, Loopback
-from harriertide.library.sources import Box, Discovery, Fixed, OperatorFile
-from harriertide.library.types import (
-    Ask,
-    Attempt,
-    BoxBrokeError,
-    BoxError,
-    BoxFullError,
-    BoxSlowError,
-    BoxUnreachableError,
+Its middlewares are `harriertide.library.web` (aiohttp) and `harriertide.library.asgi`;
+`harriertide.library.blocking` is for programs on threads.
+"""
+
+from harriertide.library.attempt import Attempt
+from harriertide.library.broker import Broker
+from harriertide.library.errors import (
+    AttemptError,
     FailedError,
+    NodeConnectionLostError,
+    NodeError,
+    NodeOverloadedError,
+    NodeTimeoutError,
+    NodeUnreachableError,
     NotWrittenError,
-    RefusedError,
+    RejectedError,
+    RequestError,
 )
+from harriertide.library.in_process_peers import InProcessPeers
+from harriertide.library.loopback_peers import LoopbackPeers
+from harriertide.library.node_client_view import NodeClientView
+from harriertide.library.node_sources import Discovery, Node, NodeList, OperatorFile
+from harriertide.library.request_spec import RequestSpec
 
 __all__ = [
-    "Ask", "Attempt", "Box", "BoxBrokeError", "BoxError", "BoxFullError", "BoxSlowError",
-    "BoxUnreachableError", "Boxes", "Broker", "Discovery", "FailedError", "Fixed", "Hub", "Loopback",
-    "NotWrittenError", "OperatorFile", "RefusedError",
+    "Attempt", "AttemptError", "Broker", "Discovery", "FailedError", "InProcessPeers", "LoopbackPeers",
+    "Node", "NodeClientView", "NodeConnectionLostError", "NodeError", "NodeList", "NodeOverloadedError",
+    "NodeTimeoutError", "NodeUnreachableError", "NotWrittenError", "OperatorFile", "RejectedError",
+    "RequestError", "RequestSpec",
 ]  # fmt: skip
--- a/harriertide/library/blocking.py
+++ b/harriertide/library/blocking.py
@@ -1,10 +1,10 @@
 """The broker for programs on threads: its own event loop in a thread of its own.
 
     with Broker.from_file("boxes.toml") as broker:
-        page = broker.call(Ask("photos", shard=3), lambda attempt: fetch(attempt.box))
+        page = broker.call(RequestSpec("photos", shard=3), lambda attempt: fetch(attempt.node_id))
 
-perform runs in the caller's own thread, one attempt after the other. It can't be cancelled there: an attempt
-whose time is up is over for the core when perform returns or raises.
+`perform` runs in the caller's own thread, one attempt after the other. It cannot be cancelled there: an
+attempt whose time is up is over for the core when perform returns or raises.
 """
 
 from __future__ import annotations
@@ -12,118 +12,143 @@
 import asyncio
 import queue
 import threading
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable, Coroutine, Mapping
 from types import TracebackType
 from typing import Any, TypeVar
 
 from harriertide.http.nodes import Reply
-from harriertide.library import broker as loops
-from harriertide.library.types import Ask, Attempt, FailedError
+from harriertide.library import broker as async_broker
+from harriertide.library.attempt import Attempt
+from harriertide.library.errors import FailedError
+from harriertide.library.request_spec import RequestSpec
 
 T = TypeVar("T")
 
 
-class Work:
-    """One attempt, in the caller's thread."""
+class BlockingAttempt:
+    """One attempt, as work in the caller's thread sees it; its fields are those of `library.Attempt`."""
 
-    def __init__(self, owner: Broker, attempt: Attempt) -> None:
-        self._owner, self._attempt = owner, attempt
-        self.box, self.number, self.address = attempt.box, attempt.number, attempt.address
+    def __init__(self, broker: Broker, attempt: Attempt) -> None:
+        self._broker = broker
+        self._attempt = attempt
+        self.node_id = attempt.node_id
+        self.number = attempt.number
+        self.address = attempt.address
 
-    def may_write(self) -> None:
-        """As Attempt.may_write."""
-        self._owner.run(self._on_loop(self._attempt.may_write))
+    def check_write(self) -> None:
+        """As `library.Attempt.check_write`."""
+        self._broker.run(_call_on_loop(self._attempt.check_write))
 
-    def began(self) -> None:
-        """As Attempt.began."""
-        self._owner.run(self._on_loop(self._attempt.began))
+    def response_started(self) -> None:
+        """As `library.Attempt.response_started`."""
+        self._broker.run(_call_on_loop(self._attempt.response_started))
 
     def request(
-        self, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
+        self,
+        method: str,
+        target: str,
+        headers: Mapping[str, str] | None = None,
+        body: bytes = b"",
     ) -> Reply:
-        """As Boxes.request."""
-        boxes = self._owner.inner.boxes
-        return self._owner.run(boxes.request(self._attempt, method, target, headers, body))
+        """As `library.NodeClientView.request`."""
+        nodes = self._broker.async_broker.nodes
+        return self._broker.run(nodes.request(self._attempt, method, target, headers, body))
 
-    @staticmethod
-    async def _on_loop(what: Callable[[], None]) -> None:
-        what()
+
+async def _call_on_loop(function: Callable[[], None]) -> None:
+    function()
 
 
 class Broker:
-    """A library.Broker, made by make() on a loop of its own."""
+    """A `library.Broker`, on an event loop of its own.
+
+    :param make: makes it
+    """
 
-    def __init__(self, make: Callable[[], loops.Broker]) -> None:
-        self.inner = make()
+    def __init__(self, make: Callable[[], async_broker.Broker]) -> None:
+        self.async_broker = make()
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, name="harriertide", daemon=True)
-        self._ended = False
+        self._is_closed = False
 
     @classmethod
     def from_file(cls, path: str) -> Broker:
-        """As library.Broker.from_file."""
-        return cls(lambda: loops.Broker.from_file(path))
+        """As `library.Broker.from_file`."""
+        return cls(lambda: async_broker.Broker.from_file(path))
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """Something on the broker's loop, waited for here."""
+        """Run a coroutine on the broker's loop, and wait for it."""
         return asyncio.run_coroutine_threadsafe(work, self._loop).result()
 
     def __enter__(self) -> Broker:
         self._thread.start()
-        self.run(self.inner.start())
+        self.run(self.async_broker.start())
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        trace: TracebackType | None,
     ) -> None:
-        """Refuse, finish and stop; the loop's thread is over when this returns."""
-        if self._ended:
+        """Stop the broker; the loop's thread is over when this returns."""
+        if self._is_closed:
             return
-        self._ended = True
+        self._is_closed = True
         try:
-            self.run(self.inner.stop())
+            self.run(self.async_broker.stop())
         finally:
             self._loop.call_soon_threadsafe(self._loop.stop)
             self._thread.join()
             self._loop.close()
 
-    def call(self, ask: Ask, perform: Callable[[Work], T]) -> T:
-        """As library.Broker.call, from any thread but the broker's own."""
-        turns: queue.SimpleQueue[tuple[Attempt, asyncio.Future[T]] | None] = queue.SimpleQueue()
+    def call(self, spec: RequestSpec, perform: Callable[[BlockingAttempt], T]) -> T:
+        """As `library.Broker.call`, from any thread but the broker's own.
+
+        :raises FailedError: also where the broker is closed
+        """
+        # Attempts for this thread, with where their result goes; None: the call is over.
+        attempts: queue.SimpleQueue[tuple[Attempt, asyncio.Future[T]] | None] = queue.SimpleQueue()
 
         async def hand_over(attempt: Attempt) -> T:
-            done: asyncio.Future[T] = asyncio.get_running_loop().create_future()
-            turns.put((attempt, done))
-            return await done
+            result: asyncio.Future[T] = asyncio.get_running_loop().create_future()
+            attempts.put((attempt, result))
+            return await result
 
-        async def whole() -> T:
+        async def call_and_finish() -> T:
             try:
-                return await self.inner.call(ask, hand_over)
+                return await self.async_broker.call(spec, hand_over)
             finally:
-                turns.put(None)
+                attempts.put(None)
 
-        if self._ended:
+        if self._is_closed:
             raise FailedError("the broker is closed")
-        call = asyncio.run_coroutine_threadsafe(whole(), self._loop)
-        while (turn := turns.get()) is not None:
-            attempt, done = turn
-            if done.done():
+        answer = asyncio.run_coroutine_threadsafe(call_and_finish(), self._loop)
+        while (handed_over := attempts.get()) is not None:
+            attempt, result = handed_over
+            if result.done():
                 continue  # its time was up before the one ahead of it had returned
-            try:
-                value = perform(Work(self, attempt))
-            except Exception as fault:
-                self._tell(done, None, fault)
-            else:
-                self._tell(done, value, None)
-        return call.result()
-
-    def _tell(self, done: asyncio.Future[T], value: T | None, fault: Exception | None) -> None:
-        def on_loop() -> None:
-            if done.done():
-                return  # its time was up
-            if fault is not None:
-                done.set_exception(fault)
-            else:
-                done.set_result(value)  # type: ignore[arg-type]
-
-        self._loop.call_soon_threadsafe(on_loop)
+            self._perform(perform, attempt, result)
+        return answer.result()
+
+    def _perform(
+        self, perform: Callable[[BlockingAttempt], T], attempt: Attempt, result: asyncio.Future[T]
+    ) -> None:
+        try:
+            value = perform(BlockingAttempt(self, attempt))
+        except Exception as error:
+            self._loop.call_soon_threadsafe(_set_exception, result, error)
+        else:
+            self._loop.call_soon_threadsafe(_set_result, result, value)
+
+
+def _set_result(result: asyncio.Future[T], value: T) -> None:
+    """On the loop's thread; a result that is done belongs to an attempt whose time was up."""
+    if not result.done():
+        result.set_result(value)
+
+
+def _set_exception(result: asyncio.Future[T], error: Exception) -> None:
+    """On the loop's thread; a result that is done belongs to an attempt whose time was up."""
+    if not result.done():
+        result.set_exception(error)
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -3,171 +3,103 @@
 from __future__ import annotations
 
 import asyncio
-import contextvars
 import time
 from collections import Counter
-from collections.abc import Awaitable, Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from contextlib import ExitStack
 from dataclasses import replace
 from pathlib import Path
 from secrets import token_hex
 from types import TracebackType
-from typing import Any, Generic, TypeVar, cast
+from typing import Any, TypeVar
 
 from harriertide.config import model
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
-from harriertide.engine import runtime as engine
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.counters import counter_fields
-from harriertide.engine.runtime import AttemptResult, Runtime
+from harriertide.engine.runtime import Runtime
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import NodeClient, Reply
-from harriertide.library.exchange import Exchange
-from harriertide.library.places import View
-from harriertide.library.sources import Box, Fixed, OperatorFile, Source
-from harriertide.library.types import (
-    BOX_FAULTS,
-    NO_NAMES,
-    Ask,
-    Attempt,
-    BoxError,
-    FailedError,
-    Names,
-    RefusedError,
-    arrival,
-)
+from harriertide.http.nodes import NodeClient
+from harriertide.library.call import OVERDUE_GRACE_S, CallJob, Work
+from harriertide.library.errors import RejectedError
+from harriertide.library.membership import MembershipView
+from harriertide.library.node_client_view import NodeClientView
+from harriertide.library.node_sources import Node, NodeList, NodeSource, OperatorFile
+from harriertide.library.operator_state import names_of, nodes_of
+from harriertide.library.peer_transport import PeerTransport
+from harriertide.library.request_spec import NO_NAMES, NameTable, RequestSpec, build_arrival
 from harriertide.platform.probes import Probes
 
 T = TypeVar("T")
-Perform = Callable[[Attempt], Awaitable[T]]
-CONNECT_US, IDLE_US = 250_000, 15_000_000
-SOCKETS, MEMORY_MB = 256, 64  # of which the client of boxes takes its part
-_OVERDUE, _LEFT = ev.Respond("", "failed"), ev.Respond("", "failed")
-LAST_S = 0.25  # after the end of its time a call whose work goes on all the same is answered
-STOP_S = 5.0  # a stop without a moment of its own waits so long for open calls
-
-
-class _Call(Generic[T]):
-    """One call on its way through the core."""
-
-    def __init__(
-        self, perform: Perform[T], find: Callable[[str], str | None], gone: Callable[[], bool]
-    ) -> None:
-        self.context, self._gone = contextvars.copy_context(), gone
-        self._perform, self._find = perform, find
-        self.final: asyncio.Future[ev.Respond] = asyncio.get_running_loop().create_future()
-
-    async def perform(self, attempt: engine.Attempt) -> AttemptResult:
-        """The application's work, once; what it raises of a box's is an outcome, all else its answer."""
-        mine = Attempt(attempt, self._find(attempt.node_id))
-        if attempt.not_before_us:
-            await until(attempt.runtime.clock.loop_time(attempt.not_before_us))
-        if attempt.runtime.has_client_disconnected(attempt.request_id):
-            return "not_sent", None
-        try:
-            async with asyncio.timeout_at(mine.stop_at) as limit:
-                return "ok", (await self._perform(mine), None)
-        except BoxError as fault:
-            return fault.kind, None
-        except TimeoutError as fault:
-            return ("timeout", None) if limit.expired() else ("ok", (None, fault))
-        except Exception as fault:  # the application's own affair: it is the answer, the box is not to blame
-            return "ok", (None, fault)
-
-    def has_client_disconnected(self) -> bool:
-        """Whether who asked has left; then nobody waits for an answer of the core."""
-        if self._gone():
-            self.respond(_LEFT)
-            return True
-        return False
-
-    def respond(self, answer: ev.Respond) -> None:
-        """The final answer, to who waits for it."""
-        if not self.final.done():
-            self.final.set_result(answer)
-
-
-class Boxes:
-    """A bounded client of boxes. The core is asked right before the first byte of each request leaves."""
-
-    def __init__(self, client: NodeClient) -> None:
-        self._client = client
-
-    async def request(
-        self,
-        attempt: Attempt,
-        method: str,
-        target: str,
-        headers: Mapping[str, str] | None = None,
-        body: bytes = b"",
-    ) -> Reply:
-        """One exchange with the attempt's box: its whole answer, of any status below 500.
-
-        BoxError and its kinds for all else; let them pass, so that the core can try again.
-        """
-        kind, reply = await self._client.exchange(attempt.engine, method, target, headers or {}, body)
-        if kind == "ok" and reply is not None:
-            return reply
-        if kind == "error" and reply is not None and reply.status < 500:
-            return reply
-        fault = BOX_FAULTS.get(kind)
-        if fault is None:
-            unwritten = BoxError(kind)
-            unwritten.kind = kind
-            raise unwritten
-        raise fault(f"{attempt.box}: {kind}" if reply is None else f"{attempt.box}: status {reply.status}")
+CONNECT_TIMEOUT_US = 250_000  # nodes are near: a longer one would take a large part of a page read's time
+IDLE_TIMEOUT_US = 15_000_000  # after which nodes may close an idle connection
+DEFAULT_DESCRIPTOR_COUNT = 256  # sockets and files of the process, of which the node client takes its part
+DEFAULT_MEMORY_MB = 64
+STOP_TIMEOUT_S = 5.0  # how long a stop without a deadline waits for open calls
+STOP_POLL_S = 0.005  # how often a stop looks whether they have ended
 
 
 class Broker:
     """One broker in this process, on the event loop that starts it.
 
         async with Broker.from_file("boxes.toml") as broker:
-            page = await broker.call(Ask("photos", shard=3), perform)
-
-    settings, source: see from_file and from_tables for what needs neither. record: a file to which what the
-    core is told is written, to be played again (harriertide lab parity). exchange: a seat among other brokers
-    on the same boxes, so that they share what one alone would take.
+            page = await broker.call(RequestSpec("photos", shard=3), perform)
+
+    :param settings: see `from_file` and `from_tables` for what needs neither settings nor source
+    :param source: where the endpoint list comes from, or the nodes of a list that stays as it is
+    :param seed: of the decisions' random numbers; None: drawn
+    :param descriptor_count: how many sockets and files the process may have open
+    :param record: a file to which all that the core is told is written, to be played again
+        (`harriertide lab parity`)
+    :param peers: reaches other brokers before the same nodes, so that they share what one alone would take
     """
 
     def __init__(
         self,
         settings: api.Settings,
-        source: Source | Iterable[Box],
+        source: NodeSource | Iterable[Node],
         *,
-        names: Names = NO_NAMES,
+        names: NameTable = NO_NAMES,
         seed: int | None = None,
-        sockets: int = SOCKETS,
-        memory_mb: int = MEMORY_MB,
+        descriptor_count: int = DEFAULT_DESCRIPTOR_COUNT,
+        memory_mb: int = DEFAULT_MEMORY_MB,
         record: str | None = None,
-        exchange: Exchange | None = None,
+        peers: PeerTransport | None = None,
     ) -> None:
-        self.source: Source = Fixed(source) if isinstance(source, Iterable) else source
+        self.source: NodeSource = NodeList(source) if isinstance(source, Iterable) else source
         self.names = names
         self.counts: Counter[str] = Counter()
         self._seed = time.time_ns() if seed is None else seed
         self.core = Reducer(settings, self._seed)
-        self.exchange, self._settings, self._view = exchange, settings, View((0,), 0)
-        self._record, self._file = record, ExitStack()
-        self._limits = Limits.share(sockets, memory_mb)
+        self.peers = peers
+        self.view = MembershipView((0,), 0)  # which brokers share, this one included
+        self._settings = settings
+        self._plan_names: list[str] = list(names.plans)
+        self._limits = Limits.share(descriptor_count, memory_mb)
+        self._record_path = record
+        self._open_files = ExitStack()
         self._runtime: Runtime | None = None
         self._client: NodeClient | None = None
         self._probes: Probes | None = None
-        self._refusing = self._stopping = False
-        self._open: set[asyncio.Future[ev.Respond]] = set()
-        self._grades: list[str] = list(names.plans)
+        self._rejects_calls = False
+        self._is_stopping = False
+        self._open_calls: set[CallJob[Any]] = set()
 
     # --- how to make one -----------------------------------------------------------------------
 
     @classmethod
-    def from_file(cls, path: str, *, look_s: float = 1.0, seed: int | None = None) -> Broker:
-        """As an operator's file says, which is looked at again every look_s seconds. Classes: read, write,
-        bulk; plans: its grades. OperatorFileError names the key that can't be used."""
-        made: list[Broker] = []
-        source = OperatorFile(path, look_s, lambda state: made[0].restate(state))
-        made.append(cls._stated(source.state, source, seed))
-        return made[0]
+    def from_file(cls, path: str, *, poll_interval_s: float = 1.0, seed: int | None = None) -> Broker:
+        """A broker as an operator's file has it. Classes: read, write, bulk; plans: the file's grades.
+
+        :param poll_interval_s: between two looks at the file for changes
+        :raises OperatorFileError: the file cannot be used; the message names the key
+        """
+        source = OperatorFile(path, poll_interval_s)
+        broker = cls._from_state(source.state, source, seed)
+        source.on_state_changed = broker.apply_operator_state
+        return broker
 
     @classmethod
     def from_tables(
@@ -179,184 +111,200 @@
         *,
         seed: int | None = None,
     ) -> Broker:
-        """The same tables as in an operator's file, as arguments."""
-        given = {"boxes": boxes, "grades": grades, "volumes": volumes, "limits": limits or {}}
-        state = model.read_state({section: dict(table) for section, table in given.items()})
-        rows = state["boxes"].items()
-        fixed = Fixed(
-            Box(name, row["shard"], row["address"], state="live" if row["state"] == "up" else "draining")
-            for name, row in rows
-        )
-        return cls._stated(state, fixed, seed)
+        """A broker as the tables of an operator's file have it, which are given as arguments.
+
+        :raises OperatorFileError: a table cannot be used; the message names the key
+        """
+        tables = {"boxes": boxes, "grades": grades, "volumes": volumes, "limits": limits or {}}
+        state = model.read_state({section: dict(table) for section, table in tables.items()})
+        return cls._from_state(state, NodeList(nodes_of(state)), seed)
 
     @classmethod
-    def _stated(cls, state: model.State, source: Source, seed: int | None) -> Broker:
-        grades = list(state["grades"])
-        return cls(model.settings(state, grades), source, names=_names(state, grades), seed=seed)
-
-    def restate(self, state: model.State) -> None:
-        """Go by another state of the operator's tables; requests under way keep what they came with."""
-        self._grades += [name for name in state["grades"] if name not in self._grades]
-        self.names = _names(state, self._grades)
+    def _from_state(cls, state: model.State, source: NodeSource, seed: int | None) -> Broker:
+        plan_names = list(state["grades"])
+        names = names_of(state, plan_names)
+        return cls(model.settings(state, plan_names), source, names=names, seed=seed)
+
+    def apply_operator_state(self, state: model.State) -> None:
+        """Go by another state of the operator's tables; open requests keep the plan that they came with."""
+        self._plan_names += [name for name in state["grades"] if name not in self._plan_names]
+        self.names = names_of(state, self._plan_names)
         if self._runtime is not None:
-            self._resettle(model.settings(state, self._grades))
+            self._apply_settings(model.settings(state, self._plan_names))
 
     # --- life ----------------------------------------------------------------------------------
 
     @property
-    def started(self) -> bool:
+    def has_started(self) -> bool:
         """Whether it was ever started."""
         return self._runtime is not None
 
     @property
-    def running(self) -> bool:
+    def is_accepting_calls(self) -> bool:
         """Whether calls are taken."""
-        return self._runtime is not None and not self._refusing
+        return self._runtime is not None and not self._rejects_calls
+
+    @property
+    def runtime(self) -> Runtime:
+        """What runs the core on the event loop.
+
+        :raises RuntimeError: the broker was not started
+        """
+        if self._runtime is None:
+            raise RuntimeError("the broker has not been started")
+        return self._runtime
 
     async def start(self) -> None:
-        """Begin to take calls, on this event loop."""
+        """Begin to take calls, on this event loop.
+
+        :raises RuntimeError: the broker was started before
+        """
         if self._runtime is not None:
             raise RuntimeError("the broker has been started before")
-        self._runtime = Runtime(self.core, Clock(asyncio.get_running_loop()))
-        self._runtime.watch_endpoints = self.source.subscribe
-        self._client = NodeClient(self.source.find, CONNECT_US, IDLE_US, self._limits)
-        self._probes = Probes(self._client, self._runtime.post)
-        self._runtime.start_probe = self._probes.start
-        if self._record is not None:
-            self._write_down(self._record)
-        self.source.start(self._runtime.post)
-        if self.exchange is not None:
-            self._runtime.send_peer_message = self.exchange.tell
-            await self.exchange.join(self._runtime.post, self._take_view)
-
-    def _take_view(self, view: View) -> None:
-        """Other brokers have come or gone: this one's number and theirs."""
-        self._view = view
-        self._resettle(self._settings)
-
-    def _resettle(self, settings: api.Settings) -> None:
-        """Go by these settings, in the place that this broker has among others."""
+        runtime = Runtime(self.core, Clock(asyncio.get_running_loop()))
+        self._runtime = runtime
+        self._client = NodeClient(self.source.find_address, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, self._limits)
+        self._probes = Probes(self._client, runtime.post)
+        runtime.watch_endpoints = self.source.watch
+        runtime.start_probe = self._probes.start
+        if self._record_path is not None:
+            self._record_events(runtime, self._record_path)
+        self.source.start(runtime.post)
+        if self.peers is not None:
+            runtime.send_peer_message = self.peers.send
+            await self.peers.join(runtime.post, self._on_view_changed)
+
+    def _on_view_changed(self, view: MembershipView) -> None:
+        """Other brokers have come or gone: this one's index and their number."""
+        self.view = view
+        self._apply_settings(self._settings)
+
+    def _apply_settings(self, settings: api.Settings) -> None:
+        """Go by these settings, with this broker's index among those that share."""
         self._settings = settings
-        heads = len(self._view.members)
-        if self.exchange is not None:
+        if self.peers is not None:
+            broker_count = len(self.view.members)
             settings = replace(
-                settings, broker_index=self._view.place, broker_count=heads, peer_messages_allowed=heads > 1
+                settings,
+                broker_index=self.view.broker_index,
+                broker_count=broker_count,
+                peer_messages_allowed=broker_count > 1,
             )
         if self._runtime is not None:
             self._runtime.post(ev.SettingsChanged(settings))
 
-    def _write_down(self, path: str) -> None:
-        from harriertide.engine.workload import Recorder  # its library is loaded only where it is wanted
+    def _record_events(self, runtime: Runtime, path: str) -> None:
+        from harriertide.engine.workload import Recorder  # loads msgspec, which only a recording needs
 
-        runtime = self._runtime
-        assert runtime is not None
-        file = self._file.enter_context(Path(path).open("wb"))  # noqa: SIM115 - closed by stop
-        runtime.record_event = Recorder(file, self.core.settings, self._seed, runtime.clock.now_us()).take
+        file = self._open_files.enter_context(Path(path).open("wb"))  # noqa: SIM115 - closed by stop
+        recorder = Recorder(file, self.core.settings, self._seed, runtime.clock.now_us())
+        runtime.record_event = recorder.take
 
-    def refuse(self) -> None:
-        """Refuse new calls from now on; stop() is to follow."""
-        self._refusing = True
+    def reject_calls(self) -> None:
+        """Reject new calls from now on; `stop` is to follow."""
+        self._rejects_calls = True
 
-    async def stop(self, by: float | None = None) -> None:
-        """Refuse new calls, let open ones finish, answer and stop those that are open by then.
+    async def stop(self, deadline_s: float | None = None) -> None:
+        """Reject new calls, let open ones finish, then answer and cancel those that are open at the deadline.
 
-        by: a moment of the loop's clock. Returns with no task, timer or connection of the broker left, but
-        for work that swallows its cancellation.
+        No task, timer or connection of the broker is left, but for work that swallows its cancellation.
+
+        :param deadline_s: a moment of the event loop's clock; None: STOP_TIMEOUT_S from now
         """
-        if self._runtime is None or self._stopping:
+        if self._runtime is None or self._is_stopping:
             return
-        self._refusing = self._stopping = True
+        self._rejects_calls = True
+        self._is_stopping = True
         loop = asyncio.get_running_loop()
-        end = loop.time() + STOP_S if by is None else by
-        while self._open and loop.time() < end:
-            await until(min(end, loop.time() + 0.005))
-        if self.exchange is not None:
-            await self.exchange.leave()
+        if deadline_s is None:
+            deadline_s = loop.time() + STOP_TIMEOUT_S
+        while self._open_calls and loop.time() < deadline_s:
+            await until(min(deadline_s, loop.time() + STOP_POLL_S))
+        if self.peers is not None:
+            await self.peers.leave()
         await self.source.close()
-        await self._runtime.close(max(end, loop.time()) + LAST_S)
+        await self._runtime.close(max(deadline_s, loop.time()) + OVERDUE_GRACE_S)
         if self._probes is not None:
             await self._probes.close()
         if self._client is not None:
             await self._client.close()
-        self._file.close()
+        self._open_files.close()
 
     async def __aenter__(self) -> Broker:
         await self.start()
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        trace: TracebackType | None,
     ) -> None:
         await self.stop()
 
     # --- calls ---------------------------------------------------------------------------------
 
     @property
-    def boxes(self) -> Boxes:
-        """A client of boxes for what perform does."""
+    def nodes(self) -> NodeClientView:
+        """A client of nodes for what an application's work does.
+
+        :raises RuntimeError: the broker was not started
+        """
         if self._client is None:
             raise RuntimeError("the broker has not been started")
-        return Boxes(self._client)
+        return NodeClientView(self._client)
 
-    async def call(self, ask: Ask, perform: Perform[T], gone: Callable[[], bool] = lambda: False) -> T:
-        """Run perform(attempt) on a box of the core's choice, again where it may help; what it returned.
-
-        RefusedError and FailedError are the final answers, at once when they are decided. What else perform
-        raises passes as it is, and is not repeated. Cancelled, its work is cancelled and nobody is answered.
-        gone: asked before each attempt begins and is written; true when who asked has left: none does then.
+    async def call(
+        self,
+        spec: RequestSpec,
+        perform: Work[T],
+        is_abandoned: Callable[[], bool] = lambda: False,
+    ) -> T:
+        """Run `perform(attempt)` on a node of the core's choice, again where that may help.
+
+        What else it raises than an AttemptError passes as it is, and is not retried. A call that is cancelled
+        cancels its work.
+
+        :param is_abandoned: asked before each attempt begins and is written: whether who asked has left. No
+            attempt is made then.
+        :returns: what perform returned
+        :raises RejectedError: the final answer, as soon as it is decided: a retry is harmless
+        :raises FailedError: the final answer, as soon as it is decided: the request may have executed
+        :raises ValueError: the spec has a value that cannot be used, or an id that is in use
+        :raises RuntimeError: the broker was not started
         """
-        runtime = self._runtime
-        if runtime is None:
-            raise RuntimeError("the broker has not been started")
-        if self._refusing:
+        runtime = self.runtime
+        if self._rejects_calls:
             self.counts["refused_stopping"] += 1
-            raise RefusedError(self.core.settings.max_retry_after_us / 1e6)
-        clock = runtime.clock
-        deadline_at_us = None if ask.give_up_at is None else clock.unix_us(ask.give_up_at)
-        hosts = ask.hosts or len(self._view.members)
-        request = ask.request or token_hex(8)
-        asked = arrival(ask, request, hosts, self.names, self.core, clock.now_us(), deadline_at_us)
-        call = _Call(perform, self.source.find, gone)
-        if not runtime.submit(asked, call):
-            raise ValueError(f"request: {asked.request_id} is open already")
-        self._open.add(call.final)
-        # work that swallows its cancellation must not keep its caller from an answer
-        last = clock.loop_time(asked.deadline_at_us) + LAST_S
-        timer = asyncio.get_running_loop().call_at(last, call.respond, _OVERDUE)
+            raise RejectedError(self.core.settings.max_retry_after_us / 1e6)
+        arrival = self._arrival_of(spec, runtime.clock)
+        job = CallJob(perform, self.source.find_address, is_abandoned)
+        if not runtime.submit(arrival, job):
+            raise ValueError(f"request: {arrival.request_id} is open already")
+        self._open_calls.add(job)
         try:
-            answer = await call.final
-        except asyncio.CancelledError:
-            runtime.client_disconnected(asked.request_id)
-            runtime.cancel_attempts(asked.request_id)
-            raise
+            return await job.wait_for_result(runtime, arrival)
         finally:
-            timer.cancel()
-            self._open.discard(call.final)
-        if answer is _OVERDUE:
-            self.counts["overdue"] += 1
-            runtime.client_disconnected(asked.request_id)
-            raise FailedError("its work did not end within its time")
-        if answer.kind == "served":
-            assert isinstance(answer.reply, tuple)
-            value, fault = answer.reply
-            if fault is not None:
-                raise fault
-            return cast(T, value)
-        if answer.kind == "rejected":
-            raise RefusedError(answer.retry_after_us / 1e6)
-        raise FailedError
+            self._open_calls.discard(job)
+            if job.is_overdue:
+                self.counts["overdue"] += 1
+
+    def _arrival_of(self, spec: RequestSpec, clock: Clock) -> api.Arrival:
+        return build_arrival(
+            spec,
+            spec.request_id or token_hex(8),
+            broker_count=len(self.view.members),
+            names=self.names,
+            settings=self.core.settings,
+            now_us=clock.now_us(),
+            deadline_at_us=None if spec.deadline_s is None else clock.unix_us(spec.deadline_s),
+        )
 
     def counters(self) -> dict[str, int]:
-        """All counts, by part and name."""
+        """All counters, by "part.name"."""
         parts = {"core": self.core.counts, "library": self.counts}
-        if self.exchange is not None:
-            parts["exchange"] = self.exchange.counts
+        if self.peers is not None:
+            parts["exchange"] = self.peers.counts
         if self._client is not None:
             parts["boxes"] = self._client.counts
         return counter_fields(parts)
-
-
-def _names(state: model.State, grades: list[str]) -> Names:
-    plans = {name: place for place, name in enumerate(grades)}
-    volumes = {name: plans[row["grade"]] for name, row in state["volumes"].items()}
-    return Names({"read": 0, "write": 1, "bulk": 2}, plans, volumes)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,10 +23,12 @@
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire, names_from_wire
 from harriertide.http import clients
+from harriertide.library.attempt import Attempt
 from harriertide.library.broker import Broker
-from harriertide.library.sources import Box
-from harriertide.library.types import Ask, Attempt, BoxError, FailedError
-from harriertide.library.web import Guard
+from harriertide.library.errors import FailedError, NodeError
+from harriertide.library.node_sources import Node
+from harriertide.library.request_spec import RequestSpec
+from harriertide.library.web import BrokerMiddleware
 from harriertide.platform.configuration import Config
 from harriertide.platform.peers import address
 from tests.scenario import Line, Stand, World
@@ -203,7 +205,7 @@
         ran = 0
         left = asyncio.Event()
         settings = from_wire(WIRE)
-        broker = Broker(replace(settings, shard_count=1), [Box("b1", 0, "127.0.0.1:1")], seed=1)
+        broker = Broker(replace(settings, shard_count=1), [Node("b1", 0, "127.0.0.1:1")], seed=1)
 
         async def handler(request: web.Request) -> web.Response:
             nonlocal ran
@@ -213,10 +215,10 @@
             left.set()
             while ran == 1 and not gone:
                 await asyncio.sleep(0)
-            raise BoxError("error")
+            raise NodeError("error")
 
         gone: list[bool] = []
-        guard = Guard(broker, lambda request: Ask("v", shard=0))
+        guard = BrokerMiddleware(broker, lambda request: RequestSpec("v", shard=0))
         app = web.Application(middlewares=[guard.middleware])
         guard.attach(app)
         app.router.add_get("/", handler)
@@ -243,12 +245,12 @@
 
         async def perform(attempt: Attempt) -> None:
             gone.append(True)
-            raise BoxError("error")
+            raise NodeError("error")
 
-        async with Broker(from_wire(WIRE), [Box("b1", 0, "127.0.0.1:1")], seed=1) as broker:
+        async with Broker(from_wire(WIRE), [Node("b1", 0, "127.0.0.1:1")], seed=1) as broker:
             async with asyncio.timeout(0.5):
                 with pytest.raises(FailedError):
-                    await broker.call(Ask("v", shard=0), perform, lambda: bool(gone))
+                    await broker.call(RequestSpec("v", shard=0), perform, lambda: bool(gone))
             await asyncio.sleep(0)
             assert len(gone) == 1 and broker.core.open_request_count() == 0
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -17,16 +17,16 @@
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.library import (
-    Ask,
     Attempt,
-    Box,
-    BoxError,
-    BoxFullError,
     Broker,
     FailedError,
-    Fixed,
+    Node,
+    NodeError,
+    NodeList,
+    NodeOverloadedError,
     NotWrittenError,
-    RefusedError,
+    RejectedError,
+    RequestSpec,
     blocking,
 )
 from tests.helpers import SETTINGS
@@ -34,11 +34,11 @@
 from tests.test_config import FILE
 
 LONE = replace(SETTINGS, broker_count=1, peer_messages_allowed=False, max_retry_after_us=500_000)
-BOXES = (Box("b1", 0), Box("b2", 1))
+BOXES = (Node("b1", 0), Node("b2", 1))
 Play = Callable[[Broker, list[str]], Awaitable[None]]
 
 
-def play(work: Play, *boxes: Box, settings: api.Settings = LONE) -> Broker:
+def play(work: Play, *boxes: Node, settings: api.Settings = LONE) -> Broker:
     """Run within a broker; whatever was done, nothing is left of it."""
     broker = Broker(settings, boxes or BOXES, seed=1)
 
@@ -55,14 +55,14 @@
     return broker
 
 
-def ask(shard: int = 0, ms: int | None = None) -> Ask:
+def ask(shard: int = 0, ms: int | None = None) -> RequestSpec:
     at = None if ms is None else asyncio.get_running_loop().time() + ms / 1000
-    return Ask("v", shard=shard, give_up_at=at)
+    return RequestSpec("v", shard=shard, deadline_s=at)
 
 
 FAULTS: dict[str, tuple[type[Exception], int]] = {
-    "an error is mended by a further attempt": (BoxError, 2),
-    "a refusal too": (BoxFullError, 2),
+    "an error is mended by a further attempt": (NodeError, 2),
+    "a refusal too": (NodeOverloadedError, 2),
     "what is the application's own passes and is not repeated": (KeyError, 1),
     "also its own time-out": (TimeoutError, 1),
 }
@@ -72,7 +72,7 @@
 def test_what_the_work_raises(fault: type[Exception], runs: int) -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> str:
-            ran.append(attempt.box)
+            ran.append(attempt.node_id)
             if len(ran) == 1:
                 raise fault("once")
             return "done"
@@ -90,10 +90,10 @@
 def test_a_box_that_always_fails_is_tried_as_often_as_allowed_and_then_refused() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> None:
-            ran.append(attempt.box)
-            raise BoxFullError
+            ran.append(attempt.node_id)
+            raise NodeOverloadedError
 
-        with pytest.raises(RefusedError) as refused:
+        with pytest.raises(RejectedError) as refused:
             await broker.call(ask(), perform)
         assert refused.value.retry_after_s > 0 and len(ran) == LONE.max_attempts
 
@@ -103,11 +103,11 @@
 def test_after_the_answer_has_begun_no_attempt_follows() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> None:
-            ran.append(attempt.box)
-            attempt.began()
-            raise BoxError
+            ran.append(attempt.node_id)
+            attempt.response_started()
+            raise NodeError
 
-        with pytest.raises((FailedError, RefusedError)):
+        with pytest.raises((FailedError, RejectedError)):
             await broker.call(ask(), perform)
         assert len(ran) == 1
 
@@ -131,16 +131,16 @@
 def test_a_drain_told_between_decision_and_write_stops_the_write() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> None:
-            assert isinstance(broker.source, Fixed)
-            attempt.may_write()
-            broker.source.tell(replace(BOXES[0], state="draining"))
+            assert isinstance(broker.source, NodeList)
+            attempt.check_write()
+            broker.source.update(replace(BOXES[0], state="draining"))
             await asyncio.sleep(0)  # the turn in which the core hears of it
             with pytest.raises(NotWrittenError):
-                attempt.may_write()
-            ran.append(attempt.box)
-            attempt.may_write()
+                attempt.check_write()
+            ran.append(attempt.node_id)
+            attempt.check_write()
 
-        with pytest.raises(RefusedError):
+        with pytest.raises(RejectedError):
             await broker.call(ask(), perform)
         assert ran == ["b1"]
 
@@ -151,12 +151,12 @@
     async def work(broker: Broker, ran: list[str]) -> None:
         box = Stand()
         port = await box.start()
-        assert isinstance(broker.source, Fixed)
+        assert isinstance(broker.source, NodeList)
         here = replace(BOXES[0], address=f"127.0.0.1:{port}")
-        broker.source.tell(here)
+        broker.source.update(here)
 
         async def perform(attempt: Attempt) -> bytes:
-            return (await broker.boxes.request(attempt, "GET", "/v/x")).body
+            return (await broker.nodes.request(attempt, "GET", "/v/x")).body
 
         async def answers(*lines: bytes) -> None:
             for line in lines:
@@ -171,8 +171,8 @@
         told = asyncio.create_task(answers(b"HTTP/1.1 404 X\r\nContent-Length: 4\r\n\r\nnone"))
         assert await broker.call(ask(), perform) == b"none"  # an answer, not a fault
         await told
-        broker.source.tell(replace(here, state="draining"))
-        with pytest.raises(RefusedError):
+        broker.source.update(replace(here, state="draining"))
+        with pytest.raises(RejectedError):
             await broker.call(ask(), perform)
         assert box.asked.empty()
         await box.close()
@@ -228,19 +228,19 @@
 def test_a_stop_in_the_middle_refuses_new_calls_finishes_some_and_answers_the_rest() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> str:
-            await asyncio.sleep(0.05 if attempt.box == "b1" else 5)
-            return attempt.box
+            await asyncio.sleep(0.05 if attempt.node_id == "b1" else 5)
+            return attempt.node_id
 
         quick, slow = (asyncio.create_task(broker.call(ask(shard), perform)) for shard in (0, 1))
         await asyncio.sleep(0.01)
         loop = asyncio.get_running_loop()
         stop = asyncio.create_task(broker.stop(loop.time() + 0.3))
         await asyncio.sleep(0)
-        with pytest.raises(RefusedError) as refused:
+        with pytest.raises(RejectedError) as refused:
             await broker.call(ask(), perform)
         assert refused.value.retry_after_s == 0.5
         assert await quick == "b1"
-        with pytest.raises(RefusedError):
+        with pytest.raises(RejectedError):
             await slow
         await stop
 
@@ -257,23 +257,23 @@
         await asyncio.sleep(0)
         time.sleep(0.7)
         ends = await asyncio.gather(*calls, return_exceptions=True)
-        assert all(isinstance(end, (str, RefusedError, FailedError)) for end in ends)
+        assert all(isinstance(end, (str, RejectedError, FailedError)) for end in ends)
         assert await broker.call(ask(), perform) == "done"
 
     play(work)
 
 
 ASKS = {
-    "class": (Ask("v", request_class=9), "request_class"),
-    "class by name": (Ask("v", request_class="odd"), "request_class: there is no class odd"),
-    "plan": (Ask("v", plan=9), "plan"),
-    "plan by name": (Ask("v", plan="lead"), "plan: there is no plan lead"),
-    "units": (Ask("v", units=99), "units"),
+    "class": (RequestSpec("v", request_class=9), "request_class"),
+    "class by name": (RequestSpec("v", request_class="odd"), "request_class: there is no class odd"),
+    "plan": (RequestSpec("v", plan=9), "plan"),
+    "plan by name": (RequestSpec("v", plan="lead"), "plan: there is no plan lead"),
+    "units": (RequestSpec("v", units=99), "units"),
 }
 
 
 @pytest.mark.parametrize(("wrong", "named"), ASKS.values(), ids=ASKS.keys())
-def test_an_ask_that_cannot_be_used_names_its_field(wrong: Ask, named: str) -> None:
+def test_an_ask_that_cannot_be_used_names_its_field(wrong: RequestSpec, named: str) -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         with pytest.raises(ValueError, match=named):
             await broker.call(wrong, lambda attempt: asyncio.sleep(0))
@@ -287,20 +287,22 @@
     file.write_text(good)
 
     async def where(attempt: Attempt) -> str:
-        return f"{attempt.box} {attempt.address}"
+        return f"{attempt.node_id} {attempt.address}"
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        async with Broker.from_file(str(file), look_s=0.02, seed=1) as broker:
-            assert await broker.call(Ask("v", shard=0), where) == "box-1 127.0.0.1:9201"
+        async with Broker.from_file(str(file), poll_interval_s=0.02, seed=1) as broker:
+            assert await broker.call(RequestSpec("v", shard=0), where) == "box-1 127.0.0.1:9201"
             file.write_text(good.replace("shard = 0", "shard = x"))
             await until(loop.time() + 0.1)
-            assert await broker.call(Ask("v", shard=0), where) == "box-1 127.0.0.1:9201"
+            assert await broker.call(RequestSpec("v", shard=0), where) == "box-1 127.0.0.1:9201"
             file.write_text(good.replace("shard = 0", 'shard = 0\nstate = "draining"'))
             await until(loop.time() + 0.1)
-            with pytest.raises(RefusedError):
-                await broker.call(Ask("v", shard=0), where)
-            assert (await broker.call(Ask("v", plan="gold", request_class="write"), where))[:5] == "box-2"
+            with pytest.raises(RejectedError):
+                await broker.call(RequestSpec("v", shard=0), where)
+            assert (await broker.call(RequestSpec("v", plan="gold", request_class="write"), where))[
+                :5
+            ] == "box-2"
 
     asyncio.run(main())
 
@@ -313,14 +315,14 @@
 
 
 def test_threads_call_and_no_thread_is_left() -> None:
-    before, near = threading.active_count(), Ask("v", shard=0)
+    before, near = threading.active_count(), RequestSpec("v", shard=0)
     ran: list[str] = []
 
-    def perform(work: blocking.Work) -> str:
-        ran.append(work.box)
-        work.may_write()
+    def perform(work: blocking.BlockingAttempt) -> str:
+        ran.append(work.node_id)
+        work.check_write()
         if len(ran) == 1:
-            raise BoxError
+            raise NodeError
         time.sleep(0.01)
         return threading.current_thread().name
 
@@ -335,8 +337,8 @@
         for thread in threads:
             thread.join()
         assert sorted(ends) == ["t0", "t1", "t2", "t3"]
-        with pytest.raises(RefusedError):
-            broker.call(Ask("v", shard=0), lambda work: (_ for _ in ()).throw(BoxFullError()))
-    assert broker.inner.core.open_request_count() == 0 and threading.active_count() == before
+        with pytest.raises(RejectedError):
+            broker.call(RequestSpec("v", shard=0), lambda work: (_ for _ in ()).throw(NodeOverloadedError()))
+    assert broker.async_broker.core.open_request_count() == 0 and threading.active_count() == before
     with pytest.raises(FailedError):
-        broker.call(Ask("v"), perform)
+        broker.call(RequestSpec("v"), perform)
--- a/tests/test_middlewares.py
+++ b/tests/test_middlewares.py
@@ -18,10 +18,20 @@
 from starlette.testclient import TestClient
 
 from harriertide.engine.clock import until
-from harriertide.library import Ask, Attempt, Box, BoxBrokeError, BoxError, BoxFullError, Broker, Fixed, asgi
-from harriertide.library.bodies import Holding
+from harriertide.library import (
+    Attempt,
+    Broker,
+    Node,
+    NodeConnectionLostError,
+    NodeError,
+    NodeList,
+    NodeOverloadedError,
+    RequestSpec,
+    asgi,
+)
+from harriertide.library.body_buffer import BodyBuffer
 from harriertide.library.web import ATTEMPT
-from harriertide.library.web import Guard as WebGuard
+from harriertide.library.web import BrokerMiddleware as WebMiddleware
 from tests.test_library import BOXES, LONE
 
 
@@ -36,16 +46,16 @@
 Fault = Callable[[int], Exception | None]
 
 
-def asked(path: str) -> Ask | None:
+def asked(path: str) -> RequestSpec | None:
     name, _, shard = path[1:].partition("/")
-    return Ask("v", shard=int(shard or -1)) if name in ("box", "begun") else None
+    return RequestSpec("v", shard=int(shard or -1)) if name in ("box", "begun") else None
 
 
 @asynccontextmanager
-async def aiohttp_app(broker: Broker, seen: Seen, fault: Fault, hold: Holding) -> AsyncIterator[int]:
+async def aiohttp_app(broker: Broker, seen: Seen, fault: Fault, hold: BodyBuffer) -> AsyncIterator[int]:
     async def handle(request: web.Request) -> web.StreamResponse:
         attempt = request.get(ATTEMPT)
-        seen.ran.append(attempt.box if attempt is not None else "-")
+        seen.ran.append(attempt.node_id if attempt is not None else "-")
         seen.bodies.append(await request.read())
         if request.path.startswith("/begun"):
             response = web.StreamResponse()
@@ -57,7 +67,7 @@
             raise wrong
         return web.Response(text="done")
 
-    guard = WebGuard(broker, lambda request: asked(request.path), hold)
+    guard = WebMiddleware(broker, lambda request: asked(request.path), hold)
     app = web.Application(middlewares=[guard.middleware])
     guard.attach(app)
     app.router.add_route("*", "/{tail:.*}", handle)
@@ -70,10 +80,10 @@
         await runner.cleanup()
 
 
-def starlette_app(broker: Broker, seen: Seen, fault: Fault, hold: Holding) -> asgi.Guard:
+def starlette_app(broker: Broker, seen: Seen, fault: Fault, hold: BodyBuffer) -> asgi.BrokerMiddleware:
     async def handle(request: Request) -> Any:
         attempt: Attempt | None = getattr(request.state, "attempt", None)
-        seen.ran.append(attempt.box if attempt is not None else "-")
+        seen.ran.append(attempt.node_id if attempt is not None else "-")
         seen.bodies.append(await request.body())
         if request.url.path.startswith("/begun"):
 
@@ -90,11 +100,11 @@
         return PlainTextResponse("done")
 
     app = Starlette(routes=[Route("/{tail:path}", handle, methods=["GET", "PUT"])])
-    return asgi.Guard(app, broker, lambda scope: asked(scope["path"]), hold)
+    return asgi.BrokerMiddleware(app, broker, lambda scope: asked(scope["path"]), hold)
 
 
 @asynccontextmanager
-async def uvicorn_app(broker: Broker, seen: Seen, fault: Fault, hold: Holding) -> AsyncIterator[int]:
+async def uvicorn_app(broker: Broker, seen: Seen, fault: Fault, hold: BodyBuffer) -> AsyncIterator[int]:
     config = uvicorn.Config(
         starlette_app(broker, seen, fault, hold), port=0, log_level="critical", lifespan="on"
     )
@@ -113,18 +123,18 @@
 APPS = {"aiohttp": aiohttp_app, "starlette": uvicorn_app}
 
 
-def play(kind: str, fault: Fault, client: Client, *boxes: Box, hold: Holding | None = None) -> Seen:
+def play(kind: str, fault: Fault, client: Client, *boxes: Node, hold: BodyBuffer | None = None) -> Seen:
     """One application, one client; nothing is left of either."""
     seen, broker = Seen(), Broker(LONE, boxes or BOXES, seed=1)
 
     async def main() -> None:
         async with asyncio.timeout(10):
             async with (
-                APPS[kind](broker, seen, fault, hold or Holding()) as port,
+                APPS[kind](broker, seen, fault, hold or BodyBuffer()) as port,
                 ClientSession(f"http://127.0.0.1:{port}") as session,
             ):
                 await client(session, "")
-        assert not broker.running and broker.core.open_request_count() == 0
+        assert not broker.is_accepting_calls and broker.core.open_request_count() == 0
         left = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
         assert not left, left
 
@@ -160,21 +170,23 @@
 
 @both
 def test_an_error_of_a_box_is_mended_by_a_further_attempt_which_has_the_body(kind: str) -> None:
-    seen = play(kind, lambda n: BoxError() if n == 1 else None, gets("/box/0", 200, "done", b"x" * 100_000))
+    seen = play(kind, lambda n: NodeError() if n == 1 else None, gets("/box/0", 200, "done", b"x" * 100_000))
     assert seen.ran == ["b1", "b1"] and seen.bodies == [b"x" * 100_000] * 2
 
 
 @both
 def test_a_body_beyond_what_is_held_passes_once_and_has_one_attempt(kind: str) -> None:
     """The handler has read it when the box breaks: only the client still has it."""
-    hold = Holding(each=1000, total=2000)
-    seen = play(kind, lambda n: BoxBrokeError(), gets("/box/0", 503, body=b"x" * 100_000), hold=hold)
-    assert seen.ran == ["b1"] and seen.bodies == [b"x" * 100_000] and hold.held == 0
+    hold = BodyBuffer(max_body_bytes=1000, max_total_bytes=2000)
+    seen = play(
+        kind, lambda n: NodeConnectionLostError(), gets("/box/0", 503, body=b"x" * 100_000), hold=hold
+    )
+    assert seen.ran == ["b1"] and seen.bodies == [b"x" * 100_000] and hold.reserved_bytes == 0
 
 
 @both
 def test_a_box_that_turns_away_is_tried_as_often_as_allowed_and_then_refused_at_once(kind: str) -> None:
-    assert play(kind, lambda n: BoxFullError(), gets("/box/0", 503)).ran == ["b1"] * LONE.max_attempts
+    assert play(kind, lambda n: NodeOverloadedError(), gets("/box/0", 503)).ran == ["b1"] * LONE.max_attempts
 
 
 @both
@@ -187,7 +199,7 @@
                 assert response.status == 200
                 await response.read()
 
-    assert play(kind, lambda n: BoxBrokeError(), client).ran == ["b1"]
+    assert play(kind, lambda n: NodeConnectionLostError(), client).ran == ["b1"]
 
 
 @both
@@ -219,14 +231,14 @@
         seen = Seen()
         async with asyncio.timeout(10):
             async with (
-                APPS[kind](broker, seen, never, Holding()) as port,
+                APPS[kind](broker, seen, never, BodyBuffer()) as port,
                 ClientSession(f"http://127.0.0.1:{port}") as session,
             ):
                 await client(session, "")
 
     slow = broker.call
 
-    async def slower(ask: Ask, perform: Any, *more: Any) -> Any:
+    async def slower(ask: RequestSpec, perform: Any, *more: Any) -> Any:
         async def first(attempt: Attempt) -> Any:
             try:
                 await asyncio.Event().wait()
@@ -248,7 +260,7 @@
             await asyncio.sleep(0.1)
             return web.Response(text="done")
 
-        guard = WebGuard(broker, lambda request: Ask("v", shard=0))
+        guard = WebMiddleware(broker, lambda request: RequestSpec("v", shard=0))
         app = web.Application(middlewares=[guard.middleware])
         guard.attach(app)
         app.router.add_get("/", handle)
@@ -266,7 +278,7 @@
             assert response.status == 200 and await response.text() == "done"
             response.close()
             await ending
-        assert not broker.running and broker.core.open_request_count() == 0
+        assert not broker.is_accepting_calls and broker.core.open_request_count() == 0
 
     asyncio.run(asyncio.wait_for(main(), 10))
 
@@ -292,7 +304,7 @@
 
     async def main() -> None:
         async with Broker(LONE, BOXES, seed=1) as broker:
-            guard = asgi.Guard(app, broker, lambda scope: Ask("v", shard=0))
+            guard = asgi.BrokerMiddleware(app, broker, lambda scope: RequestSpec("v", shard=0))
             await guard({"type": "http", "path": "/", "headers": []}, receive, send)
 
     asyncio.run(asyncio.wait_for(main(), 10))
@@ -301,8 +313,10 @@
 
 def test_under_starlettes_own_test_client() -> None:
     seen, broker = Seen(), Broker(LONE, BOXES, seed=1)
-    app = starlette_app(broker, seen, lambda n: BoxError() if n == 1 else None, Holding())
+    app = starlette_app(broker, seen, lambda n: NodeError() if n == 1 else None, BodyBuffer())
     with TestClient(app) as client:
         assert client.get("/box/0").text == "done"
-        assert isinstance(broker.source, Fixed)
-    assert seen.ran == ["b1", "b1"] and not broker.running and broker.core.open_request_count() == 0
+        assert isinstance(broker.source, NodeList)
+    assert (
+        seen.ran == ["b1", "b1"] and not broker.is_accepting_calls and broker.core.open_request_count() == 0
+    )
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -11,7 +11,7 @@
 from harriertide.engine import workload as workloads
 from harriertide.engine.clock import until
 from harriertide.lab import parity, plant, virtual
-from harriertide.library import Ask, Box, Broker
+from harriertide.library import Broker, Node, RequestSpec
 
 
 def both(kind: str, seed: int, seconds: float, shape: str) -> tuple[parity.Played, parity.Played]:
@@ -154,10 +154,12 @@
     path = folder / "workload"
 
     async def main() -> None:
-        boxes = [Box("b0", 0), Box("b1", 1, started_us=virtual.WALL_US - 60_000_000)]
+        boxes = [Node("b0", 0), Node("b1", 1, started_us=virtual.WALL_US - 60_000_000)]
         async with Broker(SETTINGS, boxes, seed=5, record=str(path)) as broker:
             for shard in (0, 1, 0):
-                await broker.call(Ask("v", shard=shard, units=2.0), lambda attempt: asyncio.sleep(0.01))
+                await broker.call(
+                    RequestSpec("v", shard=shard, units=2.0), lambda attempt: asyncio.sleep(0.01)
+                )
 
     virtual.run(main())
     return path
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Brokers that share: places, exchanges, and what several of them do with one plant's shares."""
+"""Brokers that share: membership, exchanges, and what several of them do with one plant's shares."""
 
 from __future__ import annotations
 
@@ -17,60 +17,66 @@
 
 from harriertide.engine.clock import until
 from harriertide.lab import parity, plant, virtual
-from harriertide.library import Ask, Box, Broker, Hub, Loopback, blocking
-from harriertide.library.exchange import Exchange
-from harriertide.library.places import BEAT_US, SILENT_US, Places, View
+from harriertide.library import Broker, InProcessPeers, LoopbackPeers, Node, RequestSpec, blocking
+from harriertide.library.membership import FAILED_AFTER_US, HEARTBEAT_US, Membership, MembershipView
+from harriertide.library.peer_transport import PeerTransport
 
 ROOT = Path(__file__).parent.parent
 FIRST = 29_100
 SECOND = 1_000_000
 
 
-def beats(places: Places, members: dict[int, int], from_us: int, until_us: int) -> list[View]:
+def beats(
+    membership: Membership, members: dict[int, int], from_us: int, until_us: int
+) -> list[MembershipView]:
     """Looks and beats in step; the views that came of it."""
     seen = []
-    for now in range(from_us, until_us, BEAT_US):
+    for now in range(from_us, until_us, HEARTBEAT_US):
         for member, mark in members.items():
-            places.heard(member, mark, now)
-        view = places.look(now)
+            membership.record_heartbeat(member, mark, now)
+        view = membership.update_view(now)
         seen += [view] if view else []
     return seen
 
 
 def test_members_take_places_by_their_numbers_and_move_up_when_one_falls_silent() -> None:
-    places = Places(5, 0)
-    (view,) = beats(places, {7: 0, 3: 0}, BEAT_US, SECOND)
-    assert view.members == (3, 5, 7) and view.place == 1
-    (after,) = beats(places, {7: 0}, SECOND, 2 * SECOND)
-    assert after.members == (5, 7) and after.place == 0
-    back = beats(places, {7: 0, 3: 0}, 2 * SECOND, 3 * SECOND)
+    membership = Membership(5, 0)
+    (view,) = beats(membership, {7: 0, 3: 0}, HEARTBEAT_US, SECOND)
+    assert view.members == (3, 5, 7) and view.broker_index == 1
+    (after,) = beats(membership, {7: 0}, SECOND, 2 * SECOND)
+    assert after.members == (5, 7) and after.broker_index == 0
+    back = beats(membership, {7: 0, 3: 0}, 2 * SECOND, 3 * SECOND)
     assert [view.members for view in back] == [(3, 5, 7)]
-    places.left(7)
-    last = places.look(3 * SECOND)
+    membership.remove_member(7)
+    last = membership.update_view(3 * SECOND)
     assert last is not None and last.members == (3, 5)
 
 
 def test_a_silent_member_is_gone_within_its_time_and_not_before() -> None:
-    places = Places(1, 0)
-    beats(places, {2: 0}, BEAT_US, SECOND + 1)
-    heard = places._heard[2]
-    gone = next(now for now in range(heard, heard + SECOND, BEAT_US) if places.look(now))
-    assert SILENT_US < gone - heard <= SILENT_US + BEAT_US
+    membership = Membership(1, 0)
+    beats(membership, {2: 0}, HEARTBEAT_US, SECOND + 1)
+    heard = membership._heartbeats_us[2]
+    gone = next(now for now in range(heard, heard + SECOND, HEARTBEAT_US) if membership.update_view(now))
+    assert FAILED_AFTER_US < gone - heard <= FAILED_AFTER_US + HEARTBEAT_US
 
 
 def test_a_member_that_was_held_up_itself_takes_nobody_for_dead() -> None:
-    places = Places(1, 0)
-    beats(places, {2: 0}, BEAT_US, SECOND)
-    assert places.look(SECOND + 700_000) is None and places.view.members == (1, 2)
-    assert beats(places, {}, SECOND + 760_000, 2 * SECOND)  # but then it is
+    membership = Membership(1, 0)
+    beats(membership, {2: 0}, HEARTBEAT_US, SECOND)
+    assert membership.update_view(SECOND + 700_000) is None and membership.view.members == (1, 2)
+    assert beats(membership, {}, SECOND + 760_000, 2 * SECOND)  # but then it is
 
 
 def test_messages_count_between_equal_views_only() -> None:
-    places = Places(1, 0)
-    beats(places, {2: 0, 3: 0}, BEAT_US, SECOND)
-    assert places.place_of(2) is None
-    places.heard(2, places.view.mark, SECOND)
-    assert places.place_of(2) == 1 and places.place_of(3) is None and places.place_of(9) is None
+    membership = Membership(1, 0)
+    beats(membership, {2: 0, 3: 0}, HEARTBEAT_US, SECOND)
+    assert membership.broker_index_of(2) is None
+    membership.record_heartbeat(2, membership.view.checksum, SECOND)
+    assert (
+        membership.broker_index_of(2) == 1
+        and membership.broker_index_of(3) is None
+        and membership.broker_index_of(9) is None
+    )
 
 
 # --- several brokers on one plant -------------------------------------------------------------
@@ -86,15 +92,15 @@
     return virtual.run(parity.through_library(workload, boxes, brokers, seat, beside))
 
 
-def loopback(place: int) -> Exchange:
-    return Loopback(FIRST, 8)
+def loopback(place: int) -> PeerTransport:
+    return LoopbackPeers(FIRST, 8)
 
 
 def test_two_instances_in_one_process_get_together_what_one_gets() -> None:
     workload, _ = plant.draw("surge", 5, 8.0)
     one = parity.worth(workload, share("surge", 1, lambda place: None))
-    seats = Hub()
-    two = parity.worth(workload, share("surge", 2, lambda place: seats.seat()))
+    seats = InProcessPeers()
+    two = parity.worth(workload, share("surge", 2, lambda place: seats.add_peer()))
     four = parity.worth(workload, share("surge", 4, loopback))
     assert 0.95 * one <= two <= 1.05 * one, (one, two)
     assert 0.95 * one <= four <= 1.05 * one, (one, four)
@@ -109,14 +115,14 @@
         loop = asyncio.get_running_loop()
         await until(loop.time() + parity.LEAD_S + 3.0)
         dead = taking.pop()
-        exchange = dead.exchange
-        assert isinstance(exchange, Loopback) and exchange._timer and exchange._transport
-        exchange._timer.cancel()
+        exchange = dead.peers
+        assert isinstance(exchange, LoopbackPeers) and exchange._heartbeat_timer and exchange._transport
+        exchange._heartbeat_timer.cancel()
         exchange._transport.close()
         died = loop.time()
         for _ in range(40):
             await until(loop.time() + 0.02)
-            seen.append((loop.time() - died, len(taking[0]._view.members)))
+            seen.append((loop.time() - died, len(taking[0].view.members)))
 
     whole = share("surge", 3, loopback)
     killed = share("surge", 3, loopback, kill)
@@ -144,8 +150,8 @@
 def test_junk_on_the_port_has_no_effect() -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        boxes = [Box("b0", 0)]
-        first, second = (Broker(plant.SETTINGS, boxes, seed=n, exchange=Loopback(FIRST, 8)) for n in (1, 2))
+        boxes = [Node("b0", 0)]
+        first, second = (Broker(plant.SETTINGS, boxes, seed=n, peers=LoopbackPeers(FIRST, 8)) for n in (1, 2))
         async with first, second:
             stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 40_000))
             for number in range(5_000):
@@ -153,22 +159,25 @@
                 body = (b"hbt1\x01" + noise[:4], b"hbt1", b"FT\x02" + noise, b"x" * 300)[number % 4]
                 stranger.sendto(body, ("127.0.0.1", FIRST))
             await until(loop.time() + 1.0)
-            assert first._view.members == second._view.members == (FIRST, FIRST + 1)
-            assert await first.call(Ask("v", shard=0), lambda attempt: asyncio.sleep(0, "done")) == "done"
-        assert isinstance(first.exchange, Loopback) and first.exchange.counts["junk"] == 5_000
+            assert first.view.members == second.view.members == (FIRST, FIRST + 1)
+            assert (
+                await first.call(RequestSpec("v", shard=0), lambda attempt: asyncio.sleep(0, "done"))
+                == "done"
+            )
+        assert isinstance(first.peers, LoopbackPeers) and first.peers.counts["junk"] == 5_000
 
     virtual.run(main())
 
 
 def test_instances_on_threads_of_one_process_see_each_other_come_and_go() -> None:
-    seats = Hub()
+    seats = InProcessPeers()
 
     def make() -> blocking.Broker:
-        return blocking.Broker(lambda: Broker(plant.SETTINGS, [Box("b0", 0)], exchange=seats.seat()))
+        return blocking.Broker(lambda: Broker(plant.SETTINGS, [Node("b0", 0)], peers=seats.add_peer()))
 
     def sees(broker: blocking.Broker, count: int) -> None:
         end = time.monotonic() + 3
-        while len(broker.inner._view.members) != count:
+        while len(broker.async_broker.view.members) != count:
             assert time.monotonic() < end
             time.sleep(0.005)
 
@@ -177,7 +186,7 @@
         with make() as second:
             sees(first, 2)
             sees(second, 2)
-            assert second.call(Ask("v", shard=0), lambda work: work.box) == "b0"
+            assert second.call(RequestSpec("v", shard=0), lambda work: work.node_id) == "b0"
         sees(first, 1)
     assert threading.active_count() < 20
 
@@ -185,16 +194,16 @@
 WORKER = """
 import asyncio, json, sys, time
 from harriertide.lab import plant
-from harriertide.library import Ask, Box, Broker, Loopback
+from harriertide.library import RequestSpec, Node, Broker, LoopbackPeers
 
 async def main():
-    broker = Broker(plant.SETTINGS, [Box("b0", 0)], exchange=Loopback(int(sys.argv[1]), 8))
+    broker = Broker(plant.SETTINGS, [Node("b0", 0)], peers=LoopbackPeers(int(sys.argv[1]), 8))
     async with broker:
         seen = None
         while True:
-            await broker.call(Ask("v", shard=0), lambda attempt: asyncio.sleep(0.001))
-            if broker._view.members != seen:
-                seen = broker._view.members
+            await broker.call(RequestSpec("v", shard=0), lambda attempt: asyncio.sleep(0.001))
+            if broker.view.members != seen:
+                seen = broker.view.members
                 print(json.dumps([time.time(), list(seen)]), flush=True)
 
 asyncio.run(main())
@@ -236,4 +245,4 @@
 @pytest.mark.parametrize("host", ["10.0.0.1", "0.0.0.0"])
 def test_an_exchange_is_on_loopback_only(host: str) -> None:
     with pytest.raises(Exception, match="no loopback address"):
-        Loopback(1, host=host)
+        LoopbackPeers(1, host=host)
