--- a/examples/aiohttp_app.py
+++ b/examples/aiohttp_app.py
@@ -37,9 +37,9 @@
     async def about(request: web.Request) -> web.Response:
         return web.json_response(broker.counters())
 
-    guard = BrokerMiddleware(broker, describe)
-    app = web.Application(middlewares=[guard.middleware])
-    guard.attach(app)
+    middleware = BrokerMiddleware(broker, describe)
+    app = web.Application(middlewares=[middleware.middleware])
+    middleware.attach(app)
     app.router.add_get("/page/{name}", page)
     app.router.add_put("/page/{name}", page)
     app.router.add_get("/about", about)
--- a/harriertide/library/web.py
+++ b/harriertide/library/web.py
@@ -1,8 +1,8 @@
 """Middleware for aiohttp.web: an application's requests go through a broker in its own process.
 
-    guard = BrokerMiddleware(broker, describe)
-    app = web.Application(middlewares=[guard.middleware])
-    guard.attach(app)
+    middleware = BrokerMiddleware(broker, describe)
+    app = web.Application(middlewares=[middleware.middleware])
+    middleware.attach(app)
 
 `describe(request)` says what the decisions need to know of a request, or None to let it pass beside the
 broker. The handler runs once an attempt, with it under `request[ATTEMPT]`; what it returns is the response.
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -24,12 +24,12 @@
 GET = b"GET /api HTTP/1.1\r\nX-Call-Id: r\r\n\r\n"
 
 
-def attempt(runtime: Runtime, number: int = 0, from_us: int = 0) -> Attempt:
-    return Attempt(runtime, "r", number, "n0", runtime.clock.now_us() + 2_000_000, from_us)
+def attempt(runtime: Runtime, number: int = 0, not_before_us: int = 0) -> Attempt:
+    return Attempt(runtime, "r", number, "n0", runtime.clock.now_us() + 2_000_000, not_before_us)
 
 
-def beside_a_box(play: Callable[[Runtime, NodeClient, Stand], Awaitable[None]], *script: Any) -> None:
-    """Run with a runtime, a client and one stand-in box; the module is scripted."""
+def beside_a_node(play: Callable[[Runtime, NodeClient, Stand], Awaitable[None]], *script: Any) -> None:
+    """Run with a runtime, a client and one stand-in node; the decision module is scripted."""
 
     async def main() -> None:
         box = Stand()
@@ -72,7 +72,7 @@
     return api.Arrival("r", 0, 0, "v", 0, runtime.clock.now_us() + 2_000_000)
 
 
-def test_the_end_of_a_connection_leaves_in_the_turn_in_which_it_is_given_up() -> None:
+def test_the_end_of_a_connection_leaves_in_the_turn_in_which_it_is_aborted() -> None:
     """asyncio closes the descriptor a turn later; what is written meanwhile must not overtake it."""
 
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
@@ -85,10 +85,10 @@
         with socket.socket(fileno=socket.dup(end.fileno())) as seen:
             assert seen.recv(1, socket.MSG_DONTWAIT) == b""
 
-    beside_a_box(play)
+    beside_a_node(play)
 
 
-def test_an_attempt_is_held_back_while_another_connection_is_at_work_for_its_request() -> None:
+def test_an_attempt_is_held_back_while_another_connection_is_active_for_its_request() -> None:
     """Whatever the reducer was told: the guard looks at connections, and counts."""
 
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
@@ -108,24 +108,29 @@
         assert kind == "ok" and reply is not None and reply.body == b"ok"
         assert client.pool.at_work("r") is None
 
-    beside_a_box(play, [api.StartAttempt("r", "n0", 0)])
+    beside_a_node(play, [api.StartAttempt("r", "n0", 0)])
 
 
 def test_no_byte_of_an_attempt_leaves_before_its_time() -> None:
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(arrival(runtime))])
-        from_us = runtime.clock.now_us() + 5 * CUT_OFF_GAP_US
-        ends = asyncio.create_task(client.exchange(attempt(runtime, 0, from_us), "GET", "/api", {}, b""))
+        not_before_us = runtime.clock.now_us() + 5 * CUT_OFF_GAP_US
+        ends = asyncio.create_task(
+            client.exchange(attempt(runtime, 0, not_before_us), "GET", "/api", {}, b"")
+        )
         asked = await box.asked.get()
-        assert runtime.clock.now_us() >= from_us
+        assert runtime.clock.now_us() >= not_before_us
         asked[3].writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert (await ends)[0] == "ok"
 
-    beside_a_box(play, [api.StartAttempt("r", "n0", 0)])
+    beside_a_node(play, [api.StartAttempt("r", "n0", 0)])
 
 
-def test_an_attempt_that_is_stopped_before_it_began_ends_all_the_same() -> None:
-    """Guards against its request, and its node's room, being held for good."""
+def test_an_attempt_that_is_cancelled_before_it_began_ends_all_the_same() -> None:
+    """The decision module cancels an attempt in the turn in which it starts it.
+
+    Without an end of it the request and its slot at the node would stay open for good.
+    """
 
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
         job = Idle()
@@ -134,7 +139,7 @@
             await asyncio.sleep(0)
         assert job.begun == 0 and not runtime.core.has_request("r")
 
-    beside_a_box(play, [api.StartAttempt("r", "n0", 0), api.CancelAttempt("r", 0)], [api.Reject("r")])
+    beside_a_node(play, [api.StartAttempt("r", "n0", 0), api.CancelAttempt("r", 0)], [api.Reject("r")])
 
 
 def test_attempts_with_ends_of_every_kind_are_never_two_at_work_for_one_request() -> None:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -33,14 +33,14 @@
 from tests.scenario import Stand
 from tests.test_config import FILE
 
-LONE = replace(SETTINGS, broker_count=1, peer_messages_allowed=False, max_retry_after_us=500_000)
-BOXES = (Node("b1", 0), Node("b2", 1))
+ALONE = replace(SETTINGS, broker_count=1, peer_messages_allowed=False, max_retry_after_us=500_000)
+NODES = (Node("b1", 0), Node("b2", 1))
 Play = Callable[[Broker, list[str]], Awaitable[None]]
 
 
-def play(work: Play, *boxes: Node, settings: api.Settings = LONE) -> Broker:
+def play(work: Play, *boxes: Node, settings: api.Settings = ALONE) -> Broker:
     """Run within a broker; whatever was done, nothing is left of it."""
-    broker = Broker(settings, boxes or BOXES, seed=1)
+    broker = Broker(settings, boxes or NODES, seed=1)
 
     async def main() -> None:
         async with asyncio.timeout(10), broker:
@@ -55,15 +55,15 @@
     return broker
 
 
-def ask(shard: int = 0, ms: int | None = None) -> RequestSpec:
+def spec_for(shard: int = 0, ms: int | None = None) -> RequestSpec:
     at = None if ms is None else asyncio.get_running_loop().time() + ms / 1000
     return RequestSpec("v", shard=shard, deadline_s=at)
 
 
 FAULTS: dict[str, tuple[type[Exception], int]] = {
-    "an error is mended by a further attempt": (NodeError, 2),
-    "a refusal too": (NodeOverloadedError, 2),
-    "what is the application's own passes and is not repeated": (KeyError, 1),
+    "an error is mended by a retry": (NodeError, 2),
+    "a rejection too": (NodeOverloadedError, 2),
+    "what is the application's own passes and is not retried": (KeyError, 1),
     "also its own time-out": (TimeoutError, 1),
 }
 
@@ -79,28 +79,28 @@
 
         if runs == 1:
             with pytest.raises(fault):
-                await broker.call(ask(), perform)
+                await broker.call(spec_for(), perform)
         else:
-            assert await broker.call(ask(), perform) == "done"
+            assert await broker.call(spec_for(), perform) == "done"
         assert ran == ["b1"] * runs
 
     play(work)
 
 
-def test_a_box_that_always_fails_is_tried_as_often_as_allowed_and_then_refused() -> None:
+def test_a_request_whose_node_always_rejects_is_retried_as_often_as_allowed_and_then_rejected() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> None:
             ran.append(attempt.node_id)
             raise NodeOverloadedError
 
-        with pytest.raises(RejectedError) as refused:
-            await broker.call(ask(), perform)
-        assert refused.value.retry_after_s > 0 and len(ran) == LONE.max_attempts
+        with pytest.raises(RejectedError) as rejected:
+            await broker.call(spec_for(), perform)
+        assert rejected.value.retry_after_s > 0 and len(ran) == ALONE.max_attempts
 
     play(work)
 
 
-def test_after_the_answer_has_begun_no_attempt_follows() -> None:
+def test_after_the_response_has_started_no_attempt_follows() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> None:
             ran.append(attempt.node_id)
@@ -108,7 +108,7 @@
             raise NodeError
 
         with pytest.raises((FailedError, RejectedError)):
-            await broker.call(ask(), perform)
+            await broker.call(spec_for(), perform)
         assert len(ran) == 1
 
     play(work)
@@ -123,17 +123,19 @@
         async def perform(attempt: Attempt) -> str:
             return mark.get()
 
-        assert await broker.call(ask(), perform) == "desk 7"
+        assert await broker.call(spec_for(), perform) == "desk 7"
 
     play(work)
 
 
 def test_a_drain_told_between_decision_and_write_stops_the_write() -> None:
+    """The application drains a node while an attempt there is about to be written."""
+
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> None:
             assert isinstance(broker.source, NodeList)
             attempt.check_write()
-            broker.source.update(replace(BOXES[0], state="draining"))
+            broker.source.update(replace(NODES[0], state="draining"))
             await asyncio.sleep(0)  # the turn in which the core hears of it
             with pytest.raises(NotWrittenError):
                 attempt.check_write()
@@ -141,18 +143,18 @@
             attempt.check_write()
 
         with pytest.raises(RejectedError):
-            await broker.call(ask(), perform)
+            await broker.call(spec_for(), perform)
         assert ran == ["b1"]
 
     play(work)
 
 
-def test_the_client_of_boxes_asks_the_core_before_it_writes_and_names_faults() -> None:
+def test_the_client_of_nodes_asks_the_core_before_it_writes_and_names_faults() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         box = Stand()
         port = await box.start()
         assert isinstance(broker.source, NodeList)
-        here = replace(BOXES[0], address=f"127.0.0.1:{port}")
+        here = replace(NODES[0], address=f"127.0.0.1:{port}")
         broker.source.update(here)
 
         async def perform(attempt: Attempt) -> bytes:
@@ -166,14 +168,14 @@
         full = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         good = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
         told = asyncio.create_task(answers(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", full, good))
-        assert await broker.call(ask(), perform) == b"page"
+        assert await broker.call(spec_for(), perform) == b"page"
         await told
         told = asyncio.create_task(answers(b"HTTP/1.1 404 X\r\nContent-Length: 4\r\n\r\nnone"))
-        assert await broker.call(ask(), perform) == b"none"  # an answer, not a fault
+        assert await broker.call(spec_for(), perform) == b"none"  # an answer, not a fault
         await told
         broker.source.update(replace(here, state="draining"))
         with pytest.raises(RejectedError):
-            await broker.call(ask(), perform)
+            await broker.call(spec_for(), perform)
         assert box.asked.empty()
         await box.close()
 
@@ -182,6 +184,8 @@
 
 
 def test_work_that_swallows_its_cancellation_does_not_keep_its_caller_from_an_answer() -> None:
+    """The work of a call catches CancelledError and goes on; its caller must not wait for it."""
+
     async def work(broker: Broker, ran: list[str]) -> None:
         let_go = asyncio.Event()
 
@@ -195,7 +199,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         with pytest.raises(FailedError):
-            await broker.call(ask(ms=200), stubborn)
+            await broker.call(spec_for(ms=200), stubborn)
         assert loop.time() - began < 0.8 and ran
         let_go.set()
 
@@ -204,6 +208,8 @@
 
 
 def test_a_caller_that_is_cancelled_ends_its_work_and_leaves_nothing() -> None:
+    """The caller is cancelled while its work waits for a node."""
+
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> None:
             ran.append("begun")
@@ -212,7 +218,7 @@
             finally:
                 ran.append("ended")
 
-        call = asyncio.create_task(broker.call(ask(), perform))
+        call = asyncio.create_task(broker.call(spec_for(), perform))
         while not ran:
             await asyncio.sleep(0)
         call.cancel()
@@ -225,20 +231,22 @@
     assert broker.core.counts["left"] == 1 and broker.core.counts["outcome_cancelled"] == 1
 
 
-def test_a_stop_in_the_middle_refuses_new_calls_finishes_some_and_answers_the_rest() -> None:
+def test_a_stop_in_the_middle_rejects_new_calls_finishes_some_and_answers_the_rest() -> None:
+    """The broker stops with a quick and a slow call open, and a third one comes."""
+
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> str:
             await asyncio.sleep(0.05 if attempt.node_id == "b1" else 5)
             return attempt.node_id
 
-        quick, slow = (asyncio.create_task(broker.call(ask(shard), perform)) for shard in (0, 1))
+        quick, slow = (asyncio.create_task(broker.call(spec_for(shard), perform)) for shard in (0, 1))
         await asyncio.sleep(0.01)
         loop = asyncio.get_running_loop()
         stop = asyncio.create_task(broker.stop(loop.time() + 0.3))
         await asyncio.sleep(0)
-        with pytest.raises(RejectedError) as refused:
-            await broker.call(ask(), perform)
-        assert refused.value.retry_after_s == 0.5
+        with pytest.raises(RejectedError) as rejected:
+            await broker.call(spec_for(), perform)
+        assert rejected.value.retry_after_s == 0.5
         assert await quick == "b1"
         with pytest.raises(RejectedError):
             await slow
@@ -248,22 +256,24 @@
 
 
 def test_an_event_loop_that_was_blocked_answers_all_the_same() -> None:
+    """The application blocks the event loop for longer than its calls may last."""
+
     async def work(broker: Broker, ran: list[str]) -> None:
         async def perform(attempt: Attempt) -> str:
             await asyncio.sleep(0.01)
             return "done"
 
-        calls = [asyncio.create_task(broker.call(ask(ms=600), perform)) for _ in range(20)]
+        calls = [asyncio.create_task(broker.call(spec_for(ms=600), perform)) for _ in range(20)]
         await asyncio.sleep(0)
         time.sleep(0.7)
         ends = await asyncio.gather(*calls, return_exceptions=True)
         assert all(isinstance(end, (str, RejectedError, FailedError)) for end in ends)
-        assert await broker.call(ask(), perform) == "done"
+        assert await broker.call(spec_for(), perform) == "done"
 
     play(work)
 
 
-ASKS = {
+WRONG_SPECS = {
     "class": (RequestSpec("v", request_class=9), "request_class"),
     "class by name": (RequestSpec("v", request_class="odd"), "request_class: there is no class odd"),
     "plan": (RequestSpec("v", plan=9), "plan"),
@@ -272,8 +282,8 @@
 }
 
 
-@pytest.mark.parametrize(("wrong", "named"), ASKS.values(), ids=ASKS.keys())
-def test_an_ask_that_cannot_be_used_names_its_field(wrong: RequestSpec, named: str) -> None:
+@pytest.mark.parametrize(("wrong", "named"), WRONG_SPECS.values(), ids=WRONG_SPECS.keys())
+def test_a_request_spec_that_cannot_be_used_names_its_field(wrong: RequestSpec, named: str) -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
         with pytest.raises(ValueError, match=named):
             await broker.call(wrong, lambda attempt: asyncio.sleep(0))
@@ -282,6 +292,7 @@
 
 
 def test_an_operators_file_is_read_again_and_a_bad_one_keeps_the_old(tmp_path: Path) -> None:
+    """An operator writes a file that cannot be used, then one that drains a node."""
     file = tmp_path / "o.toml"
     good = FILE.format(listen=1, admin=2, folder=tmp_path)
     file.write_text(good)
@@ -326,7 +337,7 @@
         time.sleep(0.01)
         return threading.current_thread().name
 
-    with blocking.Broker(lambda: Broker(LONE, BOXES, seed=1)) as broker:
+    with blocking.Broker(lambda: Broker(ALONE, NODES, seed=1)) as broker:
         ends: list[str] = []
         threads = [
             threading.Thread(target=lambda: ends.append(broker.call(near, perform)), name=f"t{n}")
--- a/tests/test_middlewares.py
+++ b/tests/test_middlewares.py
@@ -32,7 +32,7 @@
 from harriertide.library.body_buffer import BodyBuffer
 from harriertide.library.web import ATTEMPT
 from harriertide.library.web import BrokerMiddleware as WebMiddleware
-from tests.test_library import BOXES, LONE
+from tests.test_library import ALONE, NODES
 
 
 @dataclass
@@ -48,11 +48,13 @@
 
 def asked(path: str) -> RequestSpec | None:
     name, _, shard = path[1:].partition("/")
-    return RequestSpec("v", shard=int(shard or -1)) if name in ("box", "begun") else None
+    return RequestSpec("v", shard=int(shard or -1)) if name in ("node", "begun") else None
 
 
 @asynccontextmanager
-async def aiohttp_app(broker: Broker, seen: Seen, fault: Fault, hold: BodyBuffer) -> AsyncIterator[int]:
+async def aiohttp_app(
+    broker: Broker, seen: Seen, fault: Fault, body_buffer: BodyBuffer
+) -> AsyncIterator[int]:
     async def handle(request: web.Request) -> web.StreamResponse:
         attempt = request.get(ATTEMPT)
         seen.ran.append(attempt.node_id if attempt is not None else "-")
@@ -67,7 +69,7 @@
             raise wrong
         return web.Response(text="done")
 
-    guard = WebMiddleware(broker, lambda request: asked(request.path), hold)
+    guard = WebMiddleware(broker, lambda request: asked(request.path), body_buffer)
     app = web.Application(middlewares=[guard.middleware])
     guard.attach(app)
     app.router.add_route("*", "/{tail:.*}", handle)
@@ -80,7 +82,7 @@
         await runner.cleanup()
 
 
-def starlette_app(broker: Broker, seen: Seen, fault: Fault, hold: BodyBuffer) -> asgi.BrokerMiddleware:
+def starlette_app(broker: Broker, seen: Seen, fault: Fault, body_buffer: BodyBuffer) -> asgi.BrokerMiddleware:
     async def handle(request: Request) -> Any:
         attempt: Attempt | None = getattr(request.state, "attempt", None)
         seen.ran.append(attempt.node_id if attempt is not None else "-")
@@ -100,13 +102,15 @@
         return PlainTextResponse("done")
 
     app = Starlette(routes=[Route("/{tail:path}", handle, methods=["GET", "PUT"])])
-    return asgi.BrokerMiddleware(app, broker, lambda scope: asked(scope["path"]), hold)
+    return asgi.BrokerMiddleware(app, broker, lambda scope: asked(scope["path"]), body_buffer)
 
 
 @asynccontextmanager
-async def uvicorn_app(broker: Broker, seen: Seen, fault: Fault, hold: BodyBuffer) -> AsyncIterator[int]:
+async def uvicorn_app(
+    broker: Broker, seen: Seen, fault: Fault, body_buffer: BodyBuffer
+) -> AsyncIterator[int]:
     config = uvicorn.Config(
-        starlette_app(broker, seen, fault, hold), port=0, log_level="critical", lifespan="on"
+        starlette_app(broker, seen, fault, body_buffer), port=0, log_level="critical", lifespan="on"
     )
     server = uvicorn.Server(config)
     serving = asyncio.create_task(server._serve())
@@ -123,14 +127,16 @@
 APPS = {"aiohttp": aiohttp_app, "starlette": uvicorn_app}
 
 
-def play(kind: str, fault: Fault, client: Client, *boxes: Node, hold: BodyBuffer | None = None) -> Seen:
+def play(
+    kind: str, fault: Fault, client: Client, *nodes: Node, body_buffer: BodyBuffer | None = None
+) -> Seen:
     """One application, one client; nothing is left of either."""
-    seen, broker = Seen(), Broker(LONE, boxes or BOXES, seed=1)
+    seen, broker = Seen(), Broker(ALONE, nodes or NODES, seed=1)
 
     async def main() -> None:
         async with asyncio.timeout(10):
             async with (
-                APPS[kind](broker, seen, fault, hold or BodyBuffer()) as port,
+                APPS[kind](broker, seen, fault, body_buffer or BodyBuffer()) as port,
                 ClientSession(f"http://127.0.0.1:{port}") as session,
             ):
                 await client(session, "")
@@ -163,35 +169,45 @@
 
 
 @both
-def test_a_request_runs_for_the_box_of_its_shard_and_others_pass_beside(kind: str) -> None:
-    assert play(kind, never, gets("/box/1", 200, "done")).ran == ["b2"]
+def test_a_request_runs_for_the_node_of_its_shard_and_others_pass_beside(kind: str) -> None:
+    assert play(kind, never, gets("/node/1", 200, "done")).ran == ["b2"]
     assert play(kind, never, gets("/free", 200, "done")).ran == ["-"]
 
 
 @both
-def test_an_error_of_a_box_is_mended_by_a_further_attempt_which_has_the_body(kind: str) -> None:
-    seen = play(kind, lambda n: NodeError() if n == 1 else None, gets("/box/0", 200, "done", b"x" * 100_000))
+def test_an_error_of_a_node_is_mended_by_a_retry_which_has_the_body(kind: str) -> None:
+    seen = play(kind, lambda n: NodeError() if n == 1 else None, gets("/node/0", 200, "done", b"x" * 100_000))
     assert seen.ran == ["b1", "b1"] and seen.bodies == [b"x" * 100_000] * 2
 
 
 @both
-def test_a_body_beyond_what_is_held_passes_once_and_has_one_attempt(kind: str) -> None:
-    """The handler has read it when the box breaks: only the client still has it."""
-    hold = BodyBuffer(max_body_bytes=1000, max_total_bytes=2000)
+def test_a_body_beyond_the_buffer_is_streamed_once_and_has_one_attempt(kind: str) -> None:
+    """The handler has read it when the connection to the node breaks: only the client still has it."""
+    body_buffer = BodyBuffer(max_body_bytes=1000, max_total_bytes=2000)
     seen = play(
-        kind, lambda n: NodeConnectionLostError(), gets("/box/0", 503, body=b"x" * 100_000), hold=hold
+        kind,
+        lambda n: NodeConnectionLostError(),
+        gets("/node/0", 503, body=b"x" * 100_000),
+        body_buffer=body_buffer,
     )
-    assert seen.ran == ["b1"] and seen.bodies == [b"x" * 100_000] and hold.reserved_bytes == 0
+    assert seen.ran == ["b1"] and seen.bodies == [b"x" * 100_000] and body_buffer.reserved_bytes == 0
 
 
 @both
-def test_a_box_that_turns_away_is_tried_as_often_as_allowed_and_then_refused_at_once(kind: str) -> None:
-    assert play(kind, lambda n: NodeOverloadedError(), gets("/box/0", 503)).ran == ["b1"] * LONE.max_attempts
+def test_a_request_whose_node_rejects_is_retried_as_often_as_allowed_and_then_rejected_at_once(
+    kind: str,
+) -> None:
+    assert (
+        play(kind, lambda n: NodeOverloadedError(), gets("/node/0", 503)).ran == ["b1"] * ALONE.max_attempts
+    )
 
 
 @both
-def test_a_response_that_has_begun_is_not_run_again_and_its_client_can_tell(kind: str) -> None:
-    """Guards against a handler that runs again on a closed response, whose client waits for good."""
+def test_a_response_that_has_started_is_not_run_again_and_its_client_can_tell(kind: str) -> None:
+    """A node fails behind the start of a response.
+
+    A handler that ran again would write to a closed response, and its client would wait for good.
+    """
 
     async def client(session: ClientSession, base: str) -> None:
         with pytest.raises(Exception, match="(?i)disconnect|payload|not enough|closed|reset"):
@@ -203,29 +219,30 @@
 
 
 @both
-def test_an_error_of_the_application_is_its_answer_and_is_not_repeated(kind: str) -> None:
-    assert play(kind, lambda n: KeyError("own"), gets("/box/0", 500)).ran == ["b1"]
+def test_an_error_of_the_application_is_its_answer_and_is_not_retried(kind: str) -> None:
+    assert play(kind, lambda n: KeyError("own"), gets("/node/0", 500)).ran == ["b1"]
 
 
 @both
-def test_with_all_boxes_draining_the_refusal_is_at_once(kind: str) -> None:
-    boxes = [replace(box, state="draining") for box in BOXES]
-    assert play(kind, never, gets("/box/0", 503), *boxes).ran == []
+def test_with_all_nodes_draining_the_rejection_is_at_once(kind: str) -> None:
+    nodes = [replace(node, state="draining") for node in NODES]
+    assert play(kind, never, gets("/node/0", 503), *nodes).ran == []
 
 
 @both
 def test_a_client_that_goes_ends_the_work_done_for_it(kind: str) -> None:
+    """A client closes its connection while the work for it waits for a node."""
     ends: list[str] = []
 
     async def client(session: ClientSession, base: str) -> None:
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.15):
-                await session.get("/box/0")
+                await session.get("/node/0")
         loop = asyncio.get_running_loop()
         while broker.core.counts["left"] == 0:
             await until(loop.time() + 0.01)
 
-    broker = Broker(LONE, BOXES, seed=1)
+    broker = Broker(ALONE, NODES, seed=1)
 
     async def main() -> None:
         seen = Seen()
@@ -252,8 +269,9 @@
     assert ends == ["ended"] and broker.core.open_request_count() == 0 and broker.core.counts["left"] == 1
 
 
-def test_an_application_that_stops_answers_what_is_open_and_refuses_what_comes() -> None:
-    broker = Broker(LONE, BOXES, seed=1)
+def test_an_application_that_stops_answers_open_requests_and_rejects_new_ones() -> None:
+    """The application is stopped while a request is open."""
+    broker = Broker(ALONE, NODES, seed=1)
 
     async def main() -> None:
         async def handle(request: web.Request) -> web.Response:
@@ -283,8 +301,8 @@
     asyncio.run(asyncio.wait_for(main(), 10))
 
 
-def test_a_held_page_of_an_attempt_that_is_given_up_is_not_sent() -> None:
-    """Guards against a 500 that reaches the client although the attempt's time ran out behind it."""
+def test_an_error_page_of_an_attempt_that_timed_out_is_not_sent() -> None:
+    """A framework has sent its page for an error, which is held back, when the attempt's time is over."""
     sent: list[Any] = []
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
@@ -303,7 +321,7 @@
     asked_for: list[int] = []
 
     async def main() -> None:
-        async with Broker(LONE, BOXES, seed=1) as broker:
+        async with Broker(ALONE, NODES, seed=1) as broker:
             guard = asgi.BrokerMiddleware(app, broker, lambda scope: RequestSpec("v", shard=0))
             await guard({"type": "http", "path": "/", "headers": []}, receive, send)
 
@@ -312,10 +330,10 @@
 
 
 def test_under_starlettes_own_test_client() -> None:
-    seen, broker = Seen(), Broker(LONE, BOXES, seed=1)
+    seen, broker = Seen(), Broker(ALONE, NODES, seed=1)
     app = starlette_app(broker, seen, lambda n: NodeError() if n == 1 else None, BodyBuffer())
     with TestClient(app) as client:
-        assert client.get("/box/0").text == "done"
+        assert client.get("/node/0").text == "done"
         assert isinstance(broker.source, NodeList)
     assert (
         seen.ran == ["b1", "b1"] and not broker.is_accepting_calls and broker.core.open_request_count() == 0
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -39,8 +39,8 @@
     assert matched > 2000
 
 
-def test_a_silent_box_is_probed_by_daemon_and_library_and_both_use_it_again() -> None:
-    """The library had nothing that performs a probe: a box once silent would have stayed so to it."""
+def test_an_ejected_node_is_checked_by_daemon_and_library_and_both_use_it_again() -> None:
+    """A node does not respond for three seconds. Without health checks the library would not use it again."""
     workload, _ = plant.draw("failing", 7, 8.0, shape="other")
     made: list[list[plant.Box]] = []
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -26,10 +26,10 @@
 SECOND = 1_000_000
 
 
-def beats(
+def exchange_heartbeats(
     membership: Membership, members: dict[int, int], from_us: int, until_us: int
 ) -> list[MembershipView]:
-    """Looks and beats in step; the views that came of it."""
+    """Heartbeats and updates of the view in step; the views that came of it."""
     seen = []
     for now in range(from_us, until_us, HEARTBEAT_US):
         for member, mark in members.items():
@@ -39,37 +39,39 @@
     return seen
 
 
-def test_members_take_places_by_their_numbers_and_move_up_when_one_falls_silent() -> None:
+def test_members_take_indexes_by_their_ids_and_move_up_when_one_fails() -> None:
     membership = Membership(5, 0)
-    (view,) = beats(membership, {7: 0, 3: 0}, HEARTBEAT_US, SECOND)
+    (view,) = exchange_heartbeats(membership, {7: 0, 3: 0}, HEARTBEAT_US, SECOND)
     assert view.members == (3, 5, 7) and view.broker_index == 1
-    (after,) = beats(membership, {7: 0}, SECOND, 2 * SECOND)
+    (after,) = exchange_heartbeats(membership, {7: 0}, SECOND, 2 * SECOND)
     assert after.members == (5, 7) and after.broker_index == 0
-    back = beats(membership, {7: 0, 3: 0}, 2 * SECOND, 3 * SECOND)
+    back = exchange_heartbeats(membership, {7: 0, 3: 0}, 2 * SECOND, 3 * SECOND)
     assert [view.members for view in back] == [(3, 5, 7)]
     membership.remove_member(7)
     last = membership.update_view(3 * SECOND)
     assert last is not None and last.members == (3, 5)
 
 
-def test_a_silent_member_is_gone_within_its_time_and_not_before() -> None:
+def test_a_member_without_heartbeats_is_gone_within_its_time_and_not_before() -> None:
     membership = Membership(1, 0)
-    beats(membership, {2: 0}, HEARTBEAT_US, SECOND + 1)
+    exchange_heartbeats(membership, {2: 0}, HEARTBEAT_US, SECOND + 1)
     heard = membership._heartbeats_us[2]
     gone = next(now for now in range(heard, heard + SECOND, HEARTBEAT_US) if membership.update_view(now))
     assert FAILED_AFTER_US < gone - heard <= FAILED_AFTER_US + HEARTBEAT_US
 
 
-def test_a_member_that_was_held_up_itself_takes_nobody_for_dead() -> None:
+def test_a_member_that_was_suspended_takes_nobody_for_failed() -> None:
+    """A broker is held up for 0.7 s: the heartbeats of the others wait unread, and they have not failed."""
     membership = Membership(1, 0)
-    beats(membership, {2: 0}, HEARTBEAT_US, SECOND)
+    exchange_heartbeats(membership, {2: 0}, HEARTBEAT_US, SECOND)
     assert membership.update_view(SECOND + 700_000) is None and membership.view.members == (1, 2)
-    assert beats(membership, {}, SECOND + 760_000, 2 * SECOND)  # but then it is
+    assert exchange_heartbeats(membership, {}, SECOND + 760_000, 2 * SECOND)  # but then it is
 
 
 def test_messages_count_between_equal_views_only() -> None:
+    """While views differ an index could mean two brokers at once."""
     membership = Membership(1, 0)
-    beats(membership, {2: 0, 3: 0}, HEARTBEAT_US, SECOND)
+    exchange_heartbeats(membership, {2: 0, 3: 0}, HEARTBEAT_US, SECOND)
     assert membership.broker_index_of(2) is None
     membership.record_heartbeat(2, membership.view.checksum, SECOND)
     assert (
@@ -96,18 +98,18 @@
     return LoopbackPeers(FIRST, 8)
 
 
-def test_two_instances_in_one_process_get_together_what_one_gets() -> None:
+def test_two_brokers_in_one_process_get_together_what_one_gets() -> None:
     workload, _ = plant.draw("surge", 5, 8.0)
     one = parity.worth(workload, share("surge", 1, lambda place: None))
-    seats = InProcessPeers()
-    two = parity.worth(workload, share("surge", 2, lambda place: seats.add_peer()))
+    peers = InProcessPeers()
+    two = parity.worth(workload, share("surge", 2, lambda place: peers.add_peer()))
     four = parity.worth(workload, share("surge", 4, loopback))
     assert 0.95 * one <= two <= 1.05 * one, (one, two)
     assert 0.95 * one <= four <= 1.05 * one, (one, four)
 
 
-def test_a_dead_instances_part_is_in_use_by_the_others_soon() -> None:
-    """One of three dies without a word amid the surge; its requests go to the others from then on."""
+def test_a_failed_brokers_quota_is_in_use_by_the_others_soon() -> None:
+    """One of three fails without a word amid the surge; its requests go to the others from then on."""
     workload, _ = plant.draw("surge", 5, 8.0)
     seen: list[tuple[float, int]] = []
 
@@ -115,10 +117,10 @@
         loop = asyncio.get_running_loop()
         await until(loop.time() + parity.LEAD_S + 3.0)
         dead = taking.pop()
-        exchange = dead.peers
-        assert isinstance(exchange, LoopbackPeers) and exchange._heartbeat_timer and exchange._transport
-        exchange._heartbeat_timer.cancel()
-        exchange._transport.close()
+        transport = dead.peers
+        assert isinstance(transport, LoopbackPeers) and transport._heartbeat_timer and transport._transport
+        transport._heartbeat_timer.cancel()
+        transport._transport.close()
         died = loop.time()
         for _ in range(40):
             await until(loop.time() + 0.02)
@@ -133,7 +135,7 @@
     assert parity.worth(workload, killed, *span) >= 0.9 * parity.worth(workload, whole, *span)
 
 
-def test_a_box_that_starts_cold_beside_four_instances_gets_no_more_than_from_one() -> None:
+def test_a_warming_node_before_four_brokers_gets_no_more_than_from_one() -> None:
     workload, _ = plant.draw("cold", 5, 8.0)
     units = {row.arrival.request_id: row.arrival.units for row in workload.events if row.arrival}
     limit = (
@@ -148,6 +150,8 @@
 
 
 def test_junk_on_the_port_has_no_effect() -> None:
+    """Somebody sends noise to the port, some of it with the right first bytes."""
+
     async def main() -> None:
         loop = asyncio.get_running_loop()
         boxes = [Node("b0", 0)]
@@ -169,11 +173,11 @@
     virtual.run(main())
 
 
-def test_instances_on_threads_of_one_process_see_each_other_come_and_go() -> None:
-    seats = InProcessPeers()
+def test_brokers_on_threads_of_one_process_see_each_other_come_and_go() -> None:
+    peers = InProcessPeers()
 
     def make() -> blocking.Broker:
-        return blocking.Broker(lambda: Broker(plant.SETTINGS, [Node("b0", 0)], peers=seats.add_peer()))
+        return blocking.Broker(lambda: Broker(plant.SETTINGS, [Node("b0", 0)], peers=peers.add_peer()))
 
     def sees(broker: blocking.Broker, count: int) -> None:
         end = time.monotonic() + 3
@@ -210,7 +214,8 @@
 """
 
 
-def test_of_three_worker_processes_one_is_killed_and_its_place_is_taken_again() -> None:
+def test_of_three_worker_processes_one_is_killed_and_its_index_is_taken_again() -> None:
+    """A worker is killed without a word, and a new one is started."""
     port = 29_200 + os.getpid() % 200 * 8  # workers of other test runs have others
     command = [sys.executable, "-c", WORKER, str(port)]
 
@@ -243,6 +248,6 @@
 
 
 @pytest.mark.parametrize("host", ["10.0.0.1", "0.0.0.0"])
-def test_an_exchange_is_on_loopback_only(host: str) -> None:
+def test_peers_are_on_loopback_only(host: str) -> None:
     with pytest.raises(Exception, match="no loopback address"):
         LoopbackPeers(1, host=host)
