--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -17,7 +17,7 @@
 from harriertide.decide import api
 from harriertide.decide.settings import Names, SettingsError
 from harriertide.engine.clock import Clock, until
-from harriertide.engine.counts import fields
+from harriertide.engine.counters import counter_fields
 from harriertide.engine.log import adopt_libraries, log
 from harriertide.engine.runtime import Runtime
 from harriertide.http.clients import ConnectionTable, FrontServer
@@ -197,7 +197,7 @@
             parts |= self.objects.counts()
         if self.upkeep is not None:
             parts |= self.upkeep.broker.counters()
-        return fields(parts)
+        return counter_fields(parts)
 
     async def start(self) -> None:
         """Bring the sockets up."""
--- a/harriertide/engine/workload.py
+++ b/harriertide/engine/workload.py
@@ -1,4 +1,4 @@
-"""Recorded workloads: the requests and endpoint updates that a core was told, to be played again.
+"""Recorded workloads: the requests and endpoint updates that a core was given, to be played again.
 
 A recording is a file of JSON Lines: a header with format version, settings and seed, then one event a line,
 each with its time in microseconds since the header. A file that a crash cut off is good up to its last
@@ -155,7 +155,7 @@
 
 
 def save(path: str, workload: Workload) -> None:
-    """Write a recording that was made rather than heard."""
+    """Write a recording, as one that was generated rather than recorded."""
     lines = [_header_line(workload.header), *map(_event_line, workload.events)]
     Path(path).write_bytes(b"".join(lines))
 
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/parity.py
@@ -60,8 +60,8 @@
     """Write down what the reducer asks for."""
     step = core.step
 
-    def watched(now_us: int, happened: list[ev.Event]) -> list[ev.Effect]:
-        effects = step(now_us, happened)
+    def watched(now_us: int, events: list[ev.Event]) -> list[ev.Effect]:
+        effects = step(now_us, events)
         for effect in effects:
             at = now_us - start_us
             if isinstance(effect, ev.StartAttempt):
--- a/harriertide/library/errors.py
+++ b/harriertide/library/errors.py
@@ -20,31 +20,31 @@
 class NodeError(AttemptError):
     """The node answered with an error; the attempt may have executed."""
 
-    outcome = "error"
+    outcome: api.OutcomeKind = "error"
 
 
 class NodeOverloadedError(NodeError):
     """The node rejected the attempt; it never executed."""
 
-    outcome = "rejected"
+    outcome: api.OutcomeKind = "rejected"
 
 
 class NodeUnreachableError(NodeError):
     """There was no connection to the node, or nothing was written; the attempt never executed."""
 
-    outcome = "connect_failed"
+    outcome: api.OutcomeKind = "connect_failed"
 
 
 class NodeConnectionLostError(NodeError):
     """The connection to the node broke; the attempt may have executed."""
 
-    outcome = "reset"
+    outcome: api.OutcomeKind = "reset"
 
 
 class NodeTimeoutError(NodeError):
     """The node did not respond within the attempt's time; the attempt may have executed."""
 
-    outcome = "timeout"
+    outcome: api.OutcomeKind = "timeout"
 
 
 class NotWrittenError(AttemptError):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -45,8 +45,8 @@
 
 def test_the_fields_that_decisions_need_are_read() -> None:
     got = arrival("GET", "/api?a=1&key=7f3a9c21e0b4d655", GOOD)
-    assert (got.volume, got.units, got.shard, got.hosts) == ("00000003b4d60021", 2.0, 5, 3)
-    assert got.key == "7f3a9c21e0b4d655" and not got.repeated
+    assert (got.volume, got.units, got.shard, got.sharing_broker_count) == ("00000003b4d60021", 2.0, 5, 3)
+    assert got.key == "7f3a9c21e0b4d655" and not got.is_retry
     # the budget counts from when the client sent, which was before now
     assert 1_470_000 < got.deadline_at_us < 1_480_000
 
