--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -183,7 +183,7 @@
 
     async def watch(self, faulty: Faulty) -> Watch:
         watch = Watch(await self.serve(faulty), Directory({}), self.runtime.post)
-        self.runtime.watch = watch.open
+        self.runtime.watch_endpoints = watch.open
         self.runtime.post(ev.EndpointsUpdated(api.EndpointUpdate("cached", (api.NodeEntry("n1", 0),))))
         await until(self.loop.time() + 0.01)
         return watch
