--- a/harriertide/core/write_guard.py
+++ b/harriertide/core/write_guard.py
@@ -23,7 +23,7 @@
 RATE_LIMIT_WRITE_DELAY_MAX_US = 150_000
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)  # not frozen, which makes it slower to make: there is one for each attempt
 class PendingWrite:
     """An attempt that is about to be written, and all that the rules look at."""
 
@@ -135,4 +135,7 @@
 
 def find_broken_rule(write: PendingWrite) -> WriteRule | None:
     """The first rule that forbids this write; None: write now."""
-    return next((rule for rule in WRITE_RULES if rule.forbids(write)), None)
+    for rule in WRITE_RULES:
+        if rule.forbids(write):
+            return rule
+    return None
