--- a/harriertide/core/write_guard.py
+++ b/harriertide/core/write_guard.py
@@ -12,7 +12,7 @@
 
 from harriertide.core.requests import ActiveRequest, OpenAttempt
 from harriertide.decide import api
-from harriertide.decide.scheduler import MARGIN_US
+from harriertide.decide.retry import DEDUPLICATION_MARGIN_US
 
 # How long after its decision an attempt at a warming node may be written. The node's budget is kept per
 # window of decisions; a slow connection could carry units of one window into the next and make the node
@@ -77,14 +77,14 @@
     """Guards against a request that executes twice.
 
     A retry with an idempotency key was within the deduplication window when it was decided, but has waited
-    for a connection since. MARGIN_US is what a write may take to arrive.
+    for a connection since. DEDUPLICATION_MARGIN_US is what a write may take to arrive.
     """
     executed_at_us = write.request.first_executed_at_us
     if executed_at_us is None:
         return False
     kind = write.settings.classes[write.request.arrival.request_class]
     if kind.idempotency == "keyed":
-        return write.now_us + MARGIN_US > executed_at_us + kind.deduplication_window_us
+        return write.now_us + DEDUPLICATION_MARGIN_US > executed_at_us + kind.deduplication_window_us
     return kind.idempotency == "non_idempotent"
 
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -210,10 +210,10 @@
     core = Reducer(ALONE, 1)
     core.step(START_US, [NODES_LISTED])
     assert core.learned_capacity_by_node() == {}
-    cell = core.scheduler._cells[0]  # type: ignore[attr-defined]
-    cell.learned, cell.capacity = True, 30.0
+    shard = core.scheduler.endpoints.shards[0]  # type: ignore[attr-defined]
+    shard.is_capacity_known, shard.capacity = True, 30.0
     assert core.learned_capacity_by_node() == {}
-    cell.pressed = True
+    shard.is_overloaded = True
     assert core.learned_capacity_by_node() == {"n0": 30.0}
 
 
