--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/second_copy.py
@@ -39,11 +39,11 @@
 from docopt import docopt
 
 from harriertide.core import events as ev
-from harriertide.core import reducer
+from harriertide.core import requests
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
-from harriertide.engine.runtime import Attempt, Ending, Runtime
+from harriertide.engine.runtime import Attempt, AttemptResult, Runtime
 from harriertide.http.limits import Limits
 from harriertide.http.nodes import AttemptFailedError, NodeClient, outcome
 
@@ -230,23 +230,23 @@
     def __init__(self, client: NodeClient, request: str, done: asyncio.Semaphore) -> None:
         self._client, self._request, self._done = client, request, done
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         """As the platform's front; a quarter with bodies that pass through, as the object front has."""
         headers = {"X-Call-Id": self._request}
         if int(self._request, 16) % 4:
-            return await self._client.exchange(attempt, "GET", "/api", headers, b"")
+            return AttemptResult(*await self._client.exchange(attempt, "GET", "/api", headers, b""))
         headers["Content-Length"] = str(2 * len(PIECE))
         try:
             async with self._client.open(attempt, "PUT", "/api", headers, _pieces()) as answer:
                 await answer.read()
-                return outcome(answer), None
+                return AttemptResult(outcome(answer))
         except AttemptFailedError as end:
-            return end.kind, None
+            return AttemptResult(end.kind)
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         return False
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """Room for the next one."""
         self._done.release()
 
@@ -300,7 +300,7 @@
     """Print what was found; 1 where the broker itself made a second copy."""
     given = docopt(__doc__ or "", arguments)
     if given["--settle-ms"] is not None:
-        reducer.SETTLE_US = int(1000 * float(given["--settle-ms"]))
+        requests.CUT_OFF_GAP_US = int(1000 * float(given["--settle-ms"]))
     figures = look(
         int(given["--attempts"]), int(given["--width"]), float(given["--late-ms"]), int(given["--seed"])
     )
