--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -24,7 +24,7 @@
 from harriertide.decide import api
 from harriertide.decide.settings import Names, SettingsError
 from harriertide.engine.clock import Clock
-from harriertide.engine.counts import fields
+from harriertide.engine.counters import counter_fields
 from harriertide.engine.log import adopt_libraries, log
 from harriertide.engine.runtime import Runtime
 from harriertide.http.clients import ConnectionTable
@@ -100,15 +100,15 @@
         self.bodies = BodyBudget(limits.bodies)
         self.front = Front(self.runtime, self.client, names, self.bodies)
         self.probes = Probes(self.client, self.runtime.post)
-        self.runtime.probe = self.probes.start
+        self.runtime.start_probe = self.probes.start
         self.apply_lifecycle()
 
     def _compose_platform_side(self, config: Config, initial: InitialSettings) -> None:
         """The endpoint list from discovery, and messages between brokers."""
         self.watch = Watch(config.discovery, self.directory, self.runtime.post)
         self.peers = Peers(config.peers, config.settings.broker_index, self.runtime.post)
-        self.runtime.watch = self.watch.open
-        self.runtime.tell = self.peers.tell
+        self.runtime.watch_endpoints = self.watch.open
+        self.runtime.send_peer_message = self.peers.tell
         cached = self.directory.read(initial.endpoint_list, "cached")
         self.runtime.post(ev.EndpointsUpdated(cached))
 
@@ -189,7 +189,7 @@
             parts |= self.objects.counts()
         if self.maintenance is not None:
             parts |= self.maintenance.broker.counters()
-        return fields(parts)
+        return counter_fields(parts)
 
     # --- listening -----------------------------------------------------------------------------
 
@@ -254,7 +254,7 @@
         _resume_garbage_collection()
         await self.stopping.wait()
         await self.stop()
-        log.last("counters", **self.counters())
+        log.log_final("counters", **self.counters())
 
     def _log_counters(self) -> None:
         log("counters", **self.counters())
@@ -279,7 +279,7 @@
 
     with open(record_path, "wb") as file:
         now_us = daemon.runtime.clock.now_us()
-        daemon.runtime.record = Recorder(file, daemon.core.settings, daemon.seed, now_us).take
+        daemon.runtime.record_event = Recorder(file, daemon.core.settings, daemon.seed, now_us).take
         await daemon.serve(environment)
 
 
--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -97,7 +97,7 @@
             on_liveness=self._on_liveness,
         )
         self.lease = ActiveProcessLease(registry, hooks)
-        process.runtime.fence = self.lease.check_fence
+        process.runtime.check_fence = self.lease.check_fence
 
     def share(self, limits: Limits) -> Limits:
         """What this process may have of the broker's limits, as long as two share them."""
@@ -201,8 +201,12 @@
         self._is_alone = False
         self._own_share = self._limits().part(self._kept_client_count(), self._kept_node_connection_count())
         process.apply_limits()
-        process.runtime.at_once(ev.SettingsChanged(process.settings_in_force()))
-        log("superseded by a newer process", open=process.core.owed(), connections=len(process.clients))
+        process.runtime.handle_now(ev.SettingsChanged(process.settings_in_force()))
+        log(
+            "superseded by a newer process",
+            open=process.core.open_request_count(),
+            connections=len(process.clients),
+        )
 
     # --- going on again ------------------------------------------------------------------------
 
@@ -213,7 +217,7 @@
         process.lifecycle.mark_active_again()
         process.apply_lifecycle()
         process.apply_limits()
-        process.runtime.at_once(ev.SettingsChanged(process.settings_in_force()))
+        process.runtime.handle_now(ev.SettingsChanged(process.settings_in_force()))
         self._reopening = asyncio.get_running_loop().create_task(process.start_accepting())
 
     # --- limits that two processes share -------------------------------------------------------
--- a/harriertide/cli/shutdown.py
+++ b/harriertide/cli/shutdown.py
@@ -67,7 +67,7 @@
     _announce(process)
     grace_s = _grace_period_s(process.core.settings)
     deadline = asyncio.get_running_loop().time() + grace_s
-    log("stopping", open=process.core.owed(), connections=len(process.clients), grace_s=grace_s)
+    log("stopping", open=process.core.open_request_count(), connections=len(process.clients), grace_s=grace_s)
     await _accept_late_connections()
     process.listeners.stop_accepting()
     await _serve_until(process, deadline - FINAL_RESPONSES_S)
@@ -97,7 +97,7 @@
 
 
 def _is_busy(process: StoppingProcess) -> bool:
-    return process.core.owed() > 0 or len(process.clients) > 0
+    return process.core.open_request_count() > 0 or len(process.clients) > 0
 
 
 async def _serve_until(process: StoppingProcess, time_s: float) -> None:
--- a/harriertide/objects/jobs.py
+++ b/harriertide/objects/jobs.py
@@ -12,7 +12,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.log import log
-from harriertide.engine.runtime import Attempt, Ending
+from harriertide.engine.runtime import Attempt, AttemptResult
 from harriertide.http.clients import ASKER
 from harriertide.http.nodes import BODY_BYTES, AttemptFailedError, Body, Incoming, NodeClient, outcome
 from harriertide.http.quiet import ended
@@ -123,16 +123,16 @@
         self.final: asyncio.Future[ev.Respond] = asyncio.get_running_loop().create_future()
         self._asker = ASKER.get()
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Whether the client that this is asked for has closed its connection, or its side of it."""
         return self._asker is not None and ended(self._asker)
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """Hand the final answer to who waits for it."""
         if not self.final.done():
             self.final.set_result(answer)
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         """Perform one attempt; how it ended."""
         raise NotImplementedError
 
@@ -142,7 +142,7 @@
         if 400 <= response.status < 500 and response.status not in LATER:
             self.denied = True
             answer = said[:SAID_BYTES].decode("utf-8", "replace")
-            log("a box refused for good", box=attempt.node, status=response.status, answer=answer)
+            log("a box refused for good", box=attempt.node_id, status=response.status, answer=answer)
             return "not_sent"
         return outcome(response)
 
@@ -168,21 +168,21 @@
         self._source, self._begun = source, begun
         self.box, self.tag = "", ""
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         source = self._source
         if not source.ready():
-            return "not_sent", None  # refused: only the client still has the body
-        self._begun(attempt.node)
+            return AttemptResult("not_sent")  # refused: only the client still has the body
+        self._begun(attempt.node_id)
         headers = {**self.headers(attempt), "Content-Length": str(source.size)}
         try:
             async with self._client.open(attempt, "PUT", self._target, headers, source.body()) as response:
                 kind = await self.ended(attempt, response)
                 if kind == "ok":
-                    self.box, self.tag = attempt.node, response.headers.get("ETag", "")
-                return kind, None
+                    self.box, self.tag = attempt.node_id, response.headers.get("ETag", "")
+                return AttemptResult(kind)
         except AttemptFailedError as end:
             # a client that brings no body says nothing of the box's health
-            return ("cancelled" if source.broken or source.waiting else end.kind), None
+            return AttemptResult("cancelled" if source.broken or source.waiting else end.kind)
 
 
 class ReadBlob(ObjectJob):
@@ -203,7 +203,7 @@
         self._tag, self._next, self._last, self._sink = tag, first, last, sink
         self.missing = False
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         headers = {**self.headers(attempt), "Range": f"bytes={self._next}-{self._last}"}
         if self._tag:
             headers["If-Match"] = self._tag
@@ -213,11 +213,11 @@
             async with self._client.open(attempt, "GET", self._target, headers, most=most) as response:
                 if response.status in (404, 412, 416):
                     self.missing = True  # asking again would not bring it back
-                    return "not_sent", None
+                    return AttemptResult("not_sent")
                 if outcome(response) != "ok":
-                    return await self.ended(attempt, response), None
+                    return AttemptResult(await self.ended(attempt, response))
                 if not self._fits(response):
-                    return "error", None
+                    return AttemptResult("error")
                 async for chunk in response.content.iter_chunked(CHUNK_BYTES):
                     kept = chunk[: self._last + 1 - self._next]
                     # booked before it is written: guards against the same bytes twice after a break
@@ -226,13 +226,13 @@
                     try:
                         await self._sink(kept)
                     except (ConnectionError, asyncio.InvalidStateError):
-                        return "cancelled", None  # the client is gone
+                        return AttemptResult("cancelled")  # the client is gone
                     writing = False
-                return ("ok" if self._next > self._last else "reset"), None
+                return AttemptResult("ok" if self._next > self._last else "reset")
         except AttemptFailedError as end:
             # stopped while the client took its time: nothing against the box
             slow_client = writing and end.kind == "timeout"
-            return ("cancelled" if slow_client else end.kind), None
+            return AttemptResult("cancelled" if slow_client else end.kind)
 
     def _fits(self, response: Incoming) -> bool:
         """The box answers just the stretch that was asked for."""
@@ -244,11 +244,11 @@
 class DeleteBlob(ObjectJob):
     """Deletes a blob; one that is not there is deleted."""
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         try:
             async with self._client.open(attempt, "DELETE", self._target, self.headers(attempt)) as response:
                 if response.status == 404:
-                    return "ok", None
-                return await self.ended(attempt, response), None
+                    return AttemptResult("ok")
+                return AttemptResult(await self.ended(attempt, response))
         except AttemptFailedError as end:
-            return end.kind, None
+            return AttemptResult(end.kind)
