--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -20,11 +20,11 @@
 from harriertide.engine.counts import fields
 from harriertide.engine.log import adopt_libraries, log
 from harriertide.engine.runtime import Runtime
-from harriertide.http.clients import ConnectionTable, FrontServer
+from harriertide.http.body_stream import BodyBudget
+from harriertide.http.client_connections import ConnectionTable, FrontServer
 from harriertide.http.limits import read_limits
-from harriertide.http.listening import InheritError, inherit, listen, stop_listening
-from harriertide.http.nodes import NodeClient
-from harriertide.http.relay import BodyBudget
+from harriertide.http.listener import InheritError, inherit, listen, stop_listening
+from harriertide.http.node_client import NodeClient
 from harriertide.lifecycle.machine import Lifecycle
 from harriertide.platform.configuration import BadConfigError, Config, read_config
 from harriertide.platform.connection import PlatformServer
--- a/harriertide/cli/replacement.py
+++ b/harriertide/cli/replacement.py
@@ -15,7 +15,7 @@
 from harriertide.decide.scheduler import Scheduler
 from harriertide.engine.log import log
 from harriertide.http.limits import Limits
-from harriertide.http.listening import IN_FLIGHT
+from harriertide.http.listener import IN_FLIGHT
 from harriertide.lifecycle.record import Handover, RecordError, decode, encode
 from harriertide.lifecycle.succession import Succession
 from harriertide.lifecycle.upgrade import Hooks, Upgrade
--- a/harriertide/http/relay.py
+++ b/harriertide/http/body_stream.py
@@ -12,7 +12,7 @@
 from aiohttp.streams import StreamReader
 
 from harriertide.http.node_connection import NodeConnection
-from harriertide.http.pool import Pool
+from harriertide.http.node_pool import Pool
 
 IDLE_S = 10.0  # without a byte from the one that sends, or one taken by the one that reads, a body is over
 
--- a/harriertide/http/clients.py
+++ b/harriertide/http/client_connections.py
@@ -20,7 +20,7 @@
 from aiohttp.web_protocol import RequestHandler
 
 from harriertide.http.limits import Limits
-from harriertide.http.quiet import unread
+from harriertide.http.socket_state import unread
 
 # A request must have come whole this long after its connection was accepted, later ones after their first
 # byte: guards against connections that say nothing, and heads and bodies that never end.
--- a/harriertide/http/nodes.py
+++ b/harriertide/http/node_client.py
@@ -15,10 +15,10 @@
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.engine.runtime import Attempt
+from harriertide.http.body_stream import Remainder
 from harriertide.http.limits import Limits
 from harriertide.http.node_connection import RELAY_BYTES, NodeConnection
-from harriertide.http.pool import Pool
-from harriertide.http.relay import Remainder
+from harriertide.http.node_pool import Pool
 
 Body = bytes | AsyncIterator[bytes]
 Headers = Mapping[str, str] | Sequence[tuple[bytes, bytes]]
--- a/harriertide/http/node_connection.py
+++ b/harriertide/http/node_connection.py
@@ -20,7 +20,7 @@
 from aiohttp.streams import StreamReader
 
 if TYPE_CHECKING:
-    from harriertide.http.pool import Pool
+    from harriertide.http.node_pool import Pool
 
 HEAD_BYTES = 16 * 1024  # of all heads of one answer, those with 1xx in front included
 READ_BYTES = 64 * 1024  # of a body are read ahead of who takes it
--- a/harriertide/http/pool.py
+++ b/harriertide/http/node_pool.py
@@ -7,7 +7,7 @@
 
 from harriertide.http.limits import Limits
 from harriertide.http.node_connection import NodeConnection
-from harriertide.http.quiet import unread
+from harriertide.http.socket_state import unread
 
 REST_S = 0.01  # behind an answer, for what a node in trouble sends some milliseconds after it
 
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/bench_library.py
@@ -33,7 +33,7 @@
 from harriertide.decide.settings import Names
 from harriertide.engine.clock import Clock, until
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import NodeClient
+from harriertide.http.node_client import NodeClient
 from harriertide.lab import plant
 from harriertide.library import Ask, Attempt, Box, Broker, Fixed
 from harriertide.platform.configuration import Config
--- a/harriertide/lab/operator_thread.py
+++ b/harriertide/lab/operator_thread.py
@@ -11,7 +11,7 @@
 import threading
 
 from harriertide.cli import daemon
-from harriertide.http.listening import listen
+from harriertide.http.listener import listen
 from harriertide.lifecycle.operator_api import OperatorApi
 
 
--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/second_copy.py
@@ -45,7 +45,7 @@
 from harriertide.engine.clock import Clock
 from harriertide.engine.runtime import Attempt, Ending, Runtime
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import AttemptFailedError, NodeClient, outcome
+from harriertide.http.node_client import AttemptFailedError, NodeClient, outcome
 
 BOXES = 4
 PIECE = b"x" * 1000
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -23,7 +23,7 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.runtime import Ending, Runtime
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import NodeClient, Reply
+from harriertide.http.node_client import NodeClient, Reply
 from harriertide.library.exchange import Exchange
 from harriertide.library.places import View
 from harriertide.library.sources import Box, Fixed, OperatorFile, Source
--- a/harriertide/library/web.py
+++ b/harriertide/library/web.py
@@ -19,7 +19,7 @@
 
 from aiohttp import web
 
-from harriertide.http.quiet import ended
+from harriertide.http.socket_state import ended
 from harriertide.library.bodies import Holding
 from harriertide.library.broker import Broker
 from harriertide.library.types import Ask, Attempt, BoxError, FailedError, NotWrittenError, RefusedError
--- a/harriertide/objects/jobs.py
+++ b/harriertide/objects/jobs.py
@@ -13,9 +13,9 @@
 from harriertide.decide import api
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Attempt, Ending
-from harriertide.http.clients import ASKER
-from harriertide.http.nodes import BODY_BYTES, AttemptFailedError, Body, Incoming, NodeClient, outcome
-from harriertide.http.quiet import ended
+from harriertide.http.client_connections import ASKER
+from harriertide.http.node_client import BODY_BYTES, AttemptFailedError, Body, Incoming, NodeClient, outcome
+from harriertide.http.socket_state import ended
 
 CHUNK_BYTES = 64 * 1024
 LATER = frozenset((408, 425, 429))  # statuses of 4xx by which HTTP itself says to come again
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -11,8 +11,8 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.runtime import Runtime
-from harriertide.http.clients import ConnectionTable, FrontServer, server
-from harriertide.http.nodes import NodeClient
+from harriertide.http.client_connections import ConnectionTable, FrontServer, server
+from harriertide.http.node_client import NodeClient
 from harriertide.objects.catalogue import Catalogue
 from harriertide.objects.front import ObjectFront
 from harriertide.objects.store import Kinds, Store
--- a/harriertide/objects/store.py
+++ b/harriertide/objects/store.py
@@ -17,7 +17,7 @@
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Runtime
-from harriertide.http.nodes import NodeClient
+from harriertide.http.node_client import NodeClient
 from harriertide.objects.catalogue import Catalogue, Piece
 from harriertide.objects.jobs import (
     CHUNK_BYTES,
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -21,11 +21,11 @@
 
 from harriertide.core import events as ev
 from harriertide.engine.runtime import Attempt, Ending
-from harriertide.http.clients import ClientConnection, ConnectionTable, FrontServer
+from harriertide.http.body_stream import IDLE_S, Remainder
+from harriertide.http.client_connections import ClientConnection, ConnectionTable, FrontServer
+from harriertide.http.node_client import NodeClient, Reply
 from harriertide.http.node_connection import RELAY_READ, read_in_chunks
-from harriertide.http.nodes import NodeClient, Reply
-from harriertide.http.quiet import ended
-from harriertide.http.relay import IDLE_S, Remainder
+from harriertide.http.socket_state import ended
 from harriertide.platform.fields import Fields, MalformedError, passed_on, read_fields
 
 if TYPE_CHECKING:
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -9,8 +9,8 @@
 
 from harriertide.decide.settings import Names
 from harriertide.engine.runtime import Runtime
-from harriertide.http.nodes import NodeClient
-from harriertide.http.relay import BodyBudget
+from harriertide.http.body_stream import BodyBudget
+from harriertide.http.node_client import NodeClient
 from harriertide.platform.connection import ComingBody, PlatformConnection, PlatformJob
 from harriertide.platform.fields import MalformedError, read_arrival
 
--- a/harriertide/platform/probes.py
+++ b/harriertide/platform/probes.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from harriertide.core import events as ev
-from harriertide.http.nodes import NodeClient
+from harriertide.http.node_client import NodeClient
 
 LIVE = "/health/live"
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -36,7 +36,7 @@
 from fnmatch import fnmatchcase
 from typing import Any
 
-from harriertide.http.quiet import unread
+from harriertide.http.socket_state import unread
 
 Headers = dict[str, str]
 PATIENCE_S = 5.0
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -13,8 +13,8 @@
 from harriertide.engine.clock import Clock
 from harriertide.engine.runtime import Attempt, Ending, Runtime
 from harriertide.http.limits import read_limits
+from harriertide.http.node_client import NodeClient
 from harriertide.http.node_connection import NodeConnection
-from harriertide.http.nodes import NodeClient
 from harriertide.lab import second_copy
 from tests.helpers import SETTINGS
 from tests.scenario import Stand
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from harriertide.http import clients, nodes, relay
+from harriertide.http import body_stream, client_connections, node_client
+from harriertide.http.node_client import FIRST_BYTES
 from harriertide.http.node_connection import RELAY_HELD
-from harriertide.http.nodes import FIRST_BYTES
 from harriertide.platform import connection
 from harriertide.platform.connection import SMALL_BYTES
 from tests.scenario import Line
@@ -253,7 +253,7 @@
 def test_a_node_that_falls_silent_in_a_long_answer_holds_its_client_for_no_longer_than_it_must(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(relay, "IDLE_S", 0.1)
+    monkeypatch.setattr(body_stream, "IDLE_S", 0.1)
 
     async def play(house: House) -> None:
         client = house.client()
@@ -333,7 +333,7 @@
 @pytest.fixture
 def little(monkeypatch: pytest.MonkeyPatch) -> None:
     """No budget for bodies beyond the small ones."""
-    monkeypatch.setattr(relay.BodyBudget, "take", lambda self, size, at_any_rate=False: at_any_rate)
+    monkeypatch.setattr(body_stream.BodyBudget, "take", lambda self, size, at_any_rate=False: at_any_rate)
 
 
 def test_a_request_that_memory_has_no_room_for_passes_as_it_comes(little: None) -> None:
@@ -437,7 +437,7 @@
 
 
 def test_who_sends_slowly_is_given_time_by_what_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "READ_S", 0.3)
+    monkeypatch.setattr(client_connections, "READ_S", 0.3)
 
     async def play(house: House) -> None:
         body = LONG[:SMALL_BYTES]
@@ -455,12 +455,12 @@
 
 
 def test_bodies_count_against_one_budget() -> None:
-    budget = relay.BodyBudget(100)
+    budget = body_stream.BodyBudget(100)
     assert budget.take(60) and not budget.take(60) and budget.take(60, at_any_rate=True)
     budget.give_back(120)
     assert budget.used == 0
 
 
 def test_the_first_part_is_no_longer_than_it_must_be() -> None:
-    assert nodes.SOME_BYTES < FIRST_BYTES <= RELAY_HELD
+    assert node_client.SOME_BYTES < FIRST_BYTES <= RELAY_HELD
     assert RELAY_HELD <= 128 * 1024  # of each of many answers at once
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire, names_from_wire
-from harriertide.http import clients
+from harriertide.http import client_connections
 from harriertide.library.broker import Broker
 from harriertide.library.sources import Box
 from harriertide.library.types import Ask, Attempt, BoxError, FailedError
@@ -64,7 +64,7 @@
         async with asyncio.timeout(5):
             return (await self.box.asked.get())[3]
 
-    async def resting(self, path: str, state: clients.State) -> socket.socket:
+    async def resting(self, path: str, state: client_connections.State) -> socket.socket:
         """A client that was answered, its connection in this state."""
         client = self.client()
         client.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -316,7 +316,7 @@
             async with asyncio.timeout(2):
                 for _ in range(1000):
                     await loop.sock_sendall(client, FLOOD)
-        assert clients.LINGER_BYTES < mine.discarded <= clients.LINGER_BYTES + 262_144
+        assert client_connections.LINGER_BYTES < mine.discarded <= client_connections.LINGER_BYTES + 262_144
         assert len(house.daemon.clients) == 0
         client.close()
 
@@ -331,7 +331,7 @@
         house.daemon.clients.close_idle()
         while len(house.daemon.clients):
             await asyncio.sleep(0.01)
-        assert loop.time() - begun < clients.LINGER_S + 2 * clients.SWEEP_S + 0.2
+        assert loop.time() - begun < client_connections.LINGER_S + 2 * client_connections.SWEEP_S + 0.2
         client.close()
 
     inside(play)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,9 +15,9 @@
 from harriertide.cli.daemon import Daemon
 from harriertide.config import model
 from harriertide.decide.settings import from_wire, names_from_wire
-from harriertide.http import clients
+from harriertide.http import client_connections
 from harriertide.http.node_connection import NodeConnection
-from harriertide.http.pool import Pool
+from harriertide.http.node_pool import Pool
 from harriertide.objects.catalogue import Catalogue
 from harriertide.platform import connection, discovery
 from harriertide.platform.configuration import Config
@@ -1036,7 +1036,7 @@
     send: str, objects: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client that waits for its answer, meanwhile, is not held to it."""
-    monkeypatch.setattr(clients, "READ_S", 0.4)
+    monkeypatch.setattr(client_connections, "READ_S", 0.4)
     if objects:
         if "PUT" in send or "ready" in send:
             pytest.skip("bodies have the deadline of their call there; there is no such route")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from harriertide.http import clients
+from harriertide.http import client_connections
 from harriertide.http.limits import OPERATORS, Limits
-from harriertide.http.listening import listen
+from harriertide.http.listener import listen
 from harriertide.lifecycle import operator_api
 from harriertide.lifecycle.machine import Lifecycle, Stage
 from harriertide.lifecycle.operator_api import MOST_CALLERS, OperatorApi
@@ -194,7 +194,7 @@
 
 def drain(play: Callable[[House, int], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
     """Play on a daemon with an operators' address, whose drains are short."""
-    monkeypatch.setattr(clients, "RETIRE_S", 0.1)
+    monkeypatch.setattr(client_connections, "RETIRE_S", 0.1)
 
     async def main(house: House) -> None:
         await play(house, house.daemon.operator_port())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -18,8 +18,8 @@
 from harriertide.engine import counts, log
 from harriertide.engine.clock import Clock
 from harriertide.http.limits import OWN, OWN_MB, Limits, read_limits
-from harriertide.http.nodes import KEEP_PART, NodeClient
-from harriertide.http.pool import Pool
+from harriertide.http.node_client import KEEP_PART, NodeClient
+from harriertide.http.node_pool import Pool
 from harriertide.objects import s3
 from harriertide.platform.discovery import Directory
 from harriertide.platform.fields import MalformedError, read_arrival, read_fields
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 from harriertide.decide.settings import from_wire, names_from_wire
 from harriertide.decide.state import Store, Tally, Volume
 from harriertide.http.limits import Limits
-from harriertide.http.listening import IN_FLIGHT
+from harriertide.http.listener import IN_FLIGHT
 from harriertide.lifecycle import record, upgrade
 from harriertide.lifecycle.record import Handover, RecordError
 from harriertide.lifecycle.succession import LEASE_S, Succession
