--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -28,9 +28,9 @@
 from harriertide.lifecycle.machine import Lifecycle
 from harriertide.platform.configuration import BadConfigError, Config, read_config
 from harriertide.platform.connection import PlatformServer
-from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.discovery import EndpointDirectory, EndpointWatch
 from harriertide.platform.front import Front
-from harriertide.platform.peers import Peers, address
+from harriertide.platform.peers import Peers, parse_address
 from harriertide.platform.probes import Probes
 
 if TYPE_CHECKING:  # a broker of the platform does without the object front, and starts the sooner
@@ -70,7 +70,7 @@
         self.config = config
         if config is not None:
             settings, names, seed = config.settings, config.names, config.seed
-            known = config.known
+            known = config.cached_list
         elif operator is not None:
             from harriertide.config import model
 
@@ -80,23 +80,23 @@
             raise BadConfigError("nothing to serve")
         self.core, self.seed = Reducer(settings, seed), seed
         self.runtime = Runtime(self.core, Clock(loop))
-        self.directory = Directory(names.zones)
+        self.directory = EndpointDirectory(names.zones)
         limits = config.limits if config is not None else read_limits()
         self.clients = ConnectionTable(limits)
         self.client = NodeClient(self._find, names.connect_us, names.idle_us, limits)
-        self.bodies = BodyBudget(limits.bodies)
+        self.bodies = BodyBudget(limits.max_buffered_request_bytes)
         self.front = Front(self.runtime, self.client, names, self.bodies)
         self.apply_life()
-        self.watch: Watch | None = None
+        self.watch: EndpointWatch | None = None
         self.peers: Peers | None = None
         self.objects: ObjectService | None = None
         self.probes = Probes(self.client, self.runtime.post)
         self.runtime.probe = self.probes.start
         if config is not None:
-            self.watch = Watch(config.discovery, self.directory, self.runtime.post)
+            self.watch = EndpointWatch(config.discovery, self.directory, self.runtime.post)
             self.peers = Peers(config.peers, config.settings.broker_index, self.runtime.post)
-            self.runtime.watch, self.runtime.tell = self.watch.open, self.peers.tell
-            self.runtime.post(ev.EndpointsUpdated(self.directory.read(known, "cached")))
+            self.runtime.watch, self.runtime.tell = self.watch.open, self.peers.send
+            self.runtime.post(ev.EndpointsUpdated(self.directory.apply(known, "cached")))
         if operator is not None:
             from harriertide.objects.service import ObjectService
 
@@ -140,8 +140,8 @@
     def apply_life(self) -> None:
         """Have all parts go by the state of this process, in the same turn of the loop."""
         life, front = self.life, self.front
-        front.ready, front.last = life.healthy, life.ends_connections
-        self.clients.retire(life.drained)
+        front.ready, front.closes_connections = life.healthy, life.ends_connections
+        self.clients.set_retiring(life.drained)
 
     def reload(self, environment: Mapping[str, str]) -> None:
         """Go by the configuration file as it is now; by what was there before if it can't be used.
@@ -155,7 +155,7 @@
             return
         try:
             fresh = read_config(environment, held)
-            self.peers.relist(fresh.peers, fresh.settings.broker_index)
+            self.peers.set_peers(fresh.peers, fresh.settings.broker_index)
         except (BadConfigError, ValueError) as fault:
             log("reload refused, what was configured before stays in force", reason=str(fault))
             return
@@ -168,8 +168,8 @@
         if self.objects is not None:
             self.objects.replan(names.plans)
         if fresh.discovery != self.watch.address:
-            self.watch.move(fresh.discovery)
-        self.watch.follow(not fresh.settings.polls_endpoint_list)
+            self.watch.change_address(fresh.discovery)
+        self.watch.set_pushed(not fresh.settings.polls_endpoint_list)
         addresses = [(each.listen, each.peer_listen, each.operator) for each in (fresh, held)]
         if addresses[0] != addresses[1]:
             log("listen, peer_listen and operator take effect at the next start")
@@ -181,9 +181,9 @@
         limits = self.config.limits
         if self.replacement is not None:
             limits = self.replacement.share(limits)
-        self.client.pool.limit(limits)
-        self.clients.limit(limits)
-        self.bodies.most = limits.bodies
+        self.client.pool.apply_limits(limits)
+        self.clients.apply_limits(limits)
+        self.bodies.limit_bytes = limits.max_buffered_request_bytes
 
     def counters(self) -> dict[str, int]:
         """All counts, by part and name."""
@@ -210,13 +210,13 @@
             if self.watch is not None:
                 if not config.settings.polls_endpoint_list:
                     self._wait_for_list(self.watch)
-                self.watch.follow(not config.settings.polls_endpoint_list)
+                self.watch.set_pushed(not config.settings.polls_endpoint_list)
             if isinstance(self._door, socket.socket):
                 await self._take_over(config)
             await self.open_door()
         if self.objects is not None:
             for at, web_server in self.objects.servers(self.clients):
-                await self._listen(address(at), web_server)
+                await self._listen(parse_address(at), web_server)
             self.objects.start()
         if self.upkeep is not None:
             await self.upkeep.start()
@@ -232,7 +232,7 @@
     async def hear_peers(self) -> None:
         """Open the address for other brokers, if it is not open yet."""
         config, peers = self.config, self.peers
-        if config is None or config.peer_listen is None or peers is None or peers.listens:
+        if config is None or config.peer_listen is None or peers is None or peers.is_open:
             return
         await peers.listen(config.peer_listen, shared=config.inherited_descriptor is not None)
 
@@ -243,7 +243,7 @@
             self.servers.remove(self._door_server)
             self._door_server = None
         if self.peers is not None:
-            self.peers.release()
+            self.peers.drain_and_close()
 
     async def _take_over(self, config: Config) -> None:
         """Start beside the process that serves, and go on in its place once this one could."""
@@ -252,12 +252,12 @@
         self.replacement = Replacement(self, config)
         self.apply_limits()
         if self.peers is not None:
-            self.peers.hold()
+            self.peers.start_buffering()
         await self.hear_peers()  # before the process in charge lets go of it
         if await self.replacement.take_over():
             self.list_heard.set()  # the list of the process before is as new as an agent's
         if self.peers is not None:
-            self.peers.let_through()
+            self.peers.deliver_buffered()
 
     def _inherit(self, config: Config) -> socket.socket:
         """The clients' listening socket as the platform holds it."""
@@ -278,7 +278,7 @@
             raise BadConfigError(f"operator: cannot listen on {at[0]}:{at[1]}: {fault.strerror}") from None
         log("serves operators", on=f"{at[0]}:{at[1]}")
 
-    def _wait_for_list(self, watch: Watch) -> None:
+    def _wait_for_list(self, watch: EndpointWatch) -> None:
         """Ready with the first list, or LIST_S later.
 
         What an agent has counts as told from the first moment of a process, and the list in the configuration
@@ -288,12 +288,12 @@
 
         def ready() -> None:
             timer.cancel()
-            watch.heard = lambda: None
+            watch.on_list = lambda: None
             self.list_heard.set()
             self._can_serve()
 
         timer = asyncio.get_running_loop().call_later(LIST_S, ready)
-        watch.heard = ready
+        watch.on_list = ready
 
     def _can_serve(self) -> None:
         """All that it takes to serve is there, unless a list or a listener is still waited for."""
@@ -342,7 +342,7 @@
         while self._busy() and loop.time() < finish_by:
             self.clients.close_idle()  # also what was about to be read the last time
             await until(loop.time() + 0.02)
-        self.front.stopped = True  # what is still read is refused, never sent on
+        self.front.rejects_requests = True  # what is still read is refused, never sent on
         self.runtime.post(ev.ShutdownStarted())
         await until(loop.time() + 0.02)
         while len(self.clients) and loop.time() < finish_by + LINGER_S:
--- a/harriertide/cli/replacement.py
+++ b/harriertide/cli/replacement.py
@@ -15,7 +15,7 @@
 from harriertide.decide.scheduler import Scheduler
 from harriertide.engine.log import log
 from harriertide.http.limits import Limits
-from harriertide.http.listener import IN_FLIGHT
+from harriertide.http.listener import UNREPORTED_ACCEPT_COUNT
 from harriertide.lifecycle.record import Handover, RecordError, decode, encode
 from harriertide.lifecycle.succession import Succession
 from harriertide.lifecycle.upgrade import Hooks, Upgrade
@@ -131,20 +131,20 @@
 
         Guards against a bound that turns these away: they have sent their requests already.
         """
-        return len(self._daemon.clients) + IN_FLIGHT
+        return len(self._daemon.clients) + UNREPORTED_ACCEPT_COUNT
 
     def _nodes_kept(self) -> int:
         """Connections to nodes that a process finishes its requests with when another takes over."""
-        return max(len(self._daemon.client.pool), self._limits().boxes // NODES_KEPT)
+        return max(len(self._daemon.client.pool), self._limits().max_node_connections // NODES_KEPT)
 
     def _rest_of(self, clients: int, nodes: int) -> Limits:
         """What is left beside a process that keeps so many connections: a quarter at least."""
         limits = self._limits()
         left = (
-            max(limits.clients // 4, limits.clients - clients),
-            max(limits.boxes // 4, limits.boxes - nodes),
+            max(limits.max_client_connections // 4, limits.max_client_connections - clients),
+            max(limits.max_node_connections // 4, limits.max_node_connections - nodes),
         )
-        return limits.part(*left)
+        return limits.split(*left)
 
     def _supersede(self) -> None:
         """A newer process is in charge. What was taken is finished here."""
@@ -153,7 +153,7 @@
         daemon.life.supersede()
         daemon.apply_life()
         self.alone = False
-        self._part = self._limits().part(self._clients_kept(), self._nodes_kept())
+        self._part = self._limits().split(self._clients_kept(), self._nodes_kept())
         daemon.apply_limits()
         daemon.runtime.at_once(ev.SettingsChanged(daemon.settings_in_force()))
         log("superseded by a newer process", open=daemon.core.owed(), connections=len(daemon.clients))
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -40,7 +40,7 @@
     encode,
     read_answer,
 )
-from harriertide.platform.peers import address
+from harriertide.platform.peers import parse_address
 
 LOOK_US = 200_000
 CALL_S = 5.0
@@ -100,7 +100,7 @@
             1000 * settings.lease_ms, longest_us, 1_000_000 * settings.blind_s, float(settings.cold_s)
         )
         self.planner, self.facts = Planner(self.upkeep, self.rules), Facts()
-        addresses = {name: address(row["address"]) for name, row in settings.brokers.items()}
+        addresses = {name: parse_address(row["address"]) for name, row in settings.brokers.items()}
         voters = tuple(name for name, row in settings.brokers.items() if row["voter"] == "yes")
         self.events = Events(settings.events, time.monotonic)
         self.broker = Broker(
--- a/harriertide/http/listener.py
+++ b/harriertide/http/listener.py
@@ -8,7 +8,9 @@
 
 ACCEPTS = 4  # connections taken in one turn of the loop; more wait in the system's queue
 ACCEPT_TURNS = 3  # from when a connection is accepted until its protocol hears of it
-IN_FLIGHT = ACCEPTS * ACCEPT_TURNS  # connections at most that were accepted and are not heard of
+UNREPORTED_ACCEPT_COUNT = (
+    ACCEPTS * ACCEPT_TURNS
+)  # connections at most that were accepted and are not heard of
 BACKLOG = 512
 
 
--- a/harriertide/http/node_client.py
+++ b/harriertide/http/node_client.py
@@ -15,18 +15,18 @@
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.engine.runtime import Attempt
-from harriertide.http.body_stream import Remainder
+from harriertide.http.body_stream import ResponseRemainder
 from harriertide.http.limits import Limits
-from harriertide.http.node_connection import RELAY_BYTES, NodeConnection
-from harriertide.http.node_pool import Pool
+from harriertide.http.node_connection import MAX_FORWARDED_BYTES, NodeConnection
+from harriertide.http.node_pool import NodeConnectionPool
 
 Body = bytes | AsyncIterator[bytes]
 Headers = Mapping[str, str] | Sequence[tuple[bytes, bytes]]
-KEEP_PART = 0.5  # of the node's idle time: a request that crosses its close would end as a reset
+IDLE_KEEP_RATIO = 0.5  # of the node's idle time: a request that crosses its close would end as a reset
 BODY_BYTES = 64 * 1024  # of an answer, where no more is asked for
 # An attempt whose answer is passed on ends with so much of it, or so long behind its first bytes. What breaks
 # before that may be made good by another attempt.
-FIRST_BYTES, FIRST_S, SOME_BYTES = 64 * 1024, 0.05, 4096
+FIRST_PART_BYTES, FIRST_PART_WAIT_S, FIRST_PART_MIN_BYTES = 64 * 1024, 0.05, 4096
 
 
 class AttemptFailedError(Exception):
@@ -44,7 +44,7 @@
     status: int
     headers: Mapping[str, str]
     body: bytes
-    rest: Remainder | None = None  # behind that part of the body; None: it is whole
+    rest: ResponseRemainder | None = None  # behind that part of the body; None: it is whole
 
     def dispose(self) -> None:
         """Nobody wants it any more."""
@@ -52,7 +52,7 @@
             self.rest.dispose()
 
 
-class Incoming:
+class IncomingResponse:
     """A node's answer, its head read and its body on the way. The connection bounds how much may come."""
 
     __slots__ = ("status", "headers", "content", "connection", "detached")
@@ -68,16 +68,20 @@
         return await self.content.read()
 
     async def first(self) -> bytes:
-        """The first part of the body: FIRST_BYTES, or what has come FIRST_S after its first bytes.
+        """The first part: FIRST_PART_BYTES, or what has come FIRST_PART_WAIT_S after its first bytes.
 
-        Less only where more is sure to follow: the length says so, or SOME_BYTES have come and it goes on.
+        Less only where more is sure to follow: the length says so, or FIRST_PART_MIN_BYTES have come.
         """
         loop = asyncio.get_running_loop()
-        long = (self.content_length or 0) > FIRST_BYTES
+        long = (self.content_length or 0) > FIRST_PART_BYTES
         first = bytearray()
         enough_at: float | None = None
-        while len(first) < FIRST_BYTES and not self.content.at_eof():
-            if enough_at is not None and loop.time() >= enough_at and (long or len(first) >= SOME_BYTES):
+        while len(first) < FIRST_PART_BYTES and not self.content.at_eof():
+            if (
+                enough_at is not None
+                and loop.time() >= enough_at
+                and (long or len(first) >= FIRST_PART_MIN_BYTES)
+            ):
                 break
             limit = asyncio.timeout_at(enough_at if long else None)
             try:
@@ -88,7 +92,7 @@
                     raise
                 break
             if enough_at is None and first:
-                enough_at = loop.time() + FIRST_S
+                enough_at = loop.time() + FIRST_PART_WAIT_S
         return bytes(first)
 
     @property
@@ -98,7 +102,7 @@
         return int(text) if text is not None else None
 
 
-def outcome(answer: Incoming | Reply) -> api.OutcomeKind:
+def classify_response(answer: IncomingResponse | Reply) -> api.OutcomeKind:
     """What a whole answer of a node means, by its status."""
     if 200 <= answer.status < 300:
         return "ok"
@@ -132,7 +136,7 @@
         self, find: Callable[[str], str | None], connect_us: int, idle_us: int, limits: Limits
     ) -> None:
         self.counts: Counter[str] = Counter()
-        self.pool = Pool(limits, KEEP_PART * idle_us / 1_000_000)
+        self.pool = NodeConnectionPool(limits, IDLE_KEEP_RATIO * idle_us / 1_000_000)
         self.connect_us = connect_us
         self._find = find
 
@@ -149,9 +153,9 @@
         headers: Headers,
         body: Body = b"",
         most: int | None = BODY_BYTES,
-        relayed: bool = False,
-    ) -> AsyncIterator[Incoming]:
-        """Send the request; the answer as it comes. most, relayed: see NodeConnection.ask.
+        forwarded: bool = False,
+    ) -> AsyncIterator[IncomingResponse]:
+        """Send the request; the answer as it comes. most, forwarded: see NodeConnection.send_request.
 
         Raises AttemptFailedError as PROTOCOL's table has it.
         """
@@ -160,27 +164,27 @@
             raise AttemptFailedError("rejected")
         connection: NodeConnection | None = None
         asked = False
-        incoming: Incoming | None = None
+        incoming: IncomingResponse | None = None
         stream: asyncio.Task[None] | None = None
         try:
             async with asyncio.timeout_at(attempt.runtime.clock.loop_time(attempt.stop_at_us)) as limit:
                 first = body if isinstance(body, bytes) else await anext(body)
                 await self._alone(attempt)
-                connection = self.pool.take(address)
+                connection = self.pool.take_idle(address)
                 if connection is None:  # not "or": one without a message is an empty queue, and false
                     connection = await self._connect(address, attempt, limit)
                 kind = attempt.may_write()
                 if kind is not None:
-                    self.pool.rest(connection)
+                    self.pool.keep_idle(connection)
                     connection = None
                     raise AttemptFailedError(kind)
-                connection.ask(_head(method, target, _rows(headers)) + first, most, relayed)
-                self.pool.begin(connection, attempt.request)
+                connection.send_request(_head(method, target, _rows(headers)) + first, most, forwarded)
+                self.pool.mark_active(connection, attempt.request)
                 asked = True
                 if not isinstance(body, bytes):
                     stream = asyncio.get_running_loop().create_task(self._stream(connection, body, attempt))
                 message, content = await connection.read()
-                incoming = Incoming(message.code, message.headers, content, connection)
+                incoming = IncomingResponse(message.code, message.headers, content, connection)
                 yield incoming
         except TimeoutError:
             raise AttemptFailedError(self._end("timeout", connection, asked, stream)) from None
@@ -190,7 +194,7 @@
             if stream is not None and not self._let_go(stream) and connection is not None:
                 connection.force_close()  # an early answer: the rest of the body would be taken for a request
             if connection is not None and not (incoming is not None and incoming.detached):
-                self.pool.put(connection)
+                self.pool.release(connection)
 
     @staticmethod
     def _end(
@@ -203,7 +207,7 @@
 
         One that answered, if nothing of use, has shown that it lives and how fast it is.
         """
-        if connection is not None and connection.spoilt:
+        if connection is not None and connection.is_malformed:
             return "error"
         out = stream is None or (stream.done() and not stream.cancelled() and stream.exception() is None)
         if connection is None or not (asked and out) or connection.writing_paused:
@@ -222,7 +226,7 @@
         clock = attempt.runtime.clock
         stop_at = clock.loop_time(attempt.stop_at_us)
         limit.reschedule(min(stop_at, clock.loop_time(clock.now_us() + self.connect_us)))
-        connection = await self.pool.open(address)
+        connection = await self.pool.connect(address)
         if connection is None:
             # refused early: nothing is wrong with the node, so this must not count against its health
             self.counts["no_room"] += 1
@@ -239,7 +243,7 @@
         """
         if attempt.from_us > attempt.runtime.clock.now_us():
             await until(attempt.runtime.clock.loop_time(attempt.from_us))
-        while (other := self.pool.at_work(attempt.request)) is not None:
+        while (other := self.pool.active_connection(attempt.request)) is not None:
             self.counts["second_copy_held_back"] += 1
             if (closed := other.closed) is None:
                 return
@@ -249,8 +253,8 @@
         """The rest of a body that passes through."""
         try:
             async for chunk in body:
-                await connection.more(chunk)
-            await connection.drained()
+                await connection.send_more(chunk)
+            await connection.flush()
             attempt.written_us = attempt.runtime.clock.now_us()
         except BaseException:
             connection.abort()  # with its last byte missing the node does not start it
@@ -264,12 +268,12 @@
         connection: NodeConnection | None = None
         try:
             async with asyncio.timeout(self.connect_us / 1_000_000):
-                connection = self.pool.take(address)
+                connection = self.pool.take_idle(address)
                 if connection is None:  # not "or": one without a message is an empty queue, and false
-                    connection = await self.pool.open(address)
+                    connection = await self.pool.connect(address)
                 if connection is None:
                     return "rejected"
-                connection.ask(_head("GET", target, []), None)
+                connection.send_request(_head("GET", target, []), None)
                 message, content = await connection.read()
                 await content.read()
         except TimeoutError:
@@ -278,21 +282,23 @@
             return "reset" if connection is not None else "connect_failed"
         finally:
             if connection is not None:
-                self.pool.put(connection)
+                self.pool.release(connection)
         return "ok" if message.code == 200 else "error"
 
-    async def relay(
+    async def forward(
         self, attempt: Attempt, method: str, target: str, headers: Headers, body: Body
     ) -> tuple[api.OutcomeKind, Reply | None]:
         """An exchange whose answer is passed on: over with its first part, if it is a good one and longer."""
         try:
-            async with self.open(attempt, method, target, headers, body, RELAY_BYTES, relayed=True) as answer:
+            async with self.open(
+                attempt, method, target, headers, body, MAX_FORWARDED_BYTES, forwarded=True
+            ) as answer:
                 first = await answer.first()
-                kind = outcome(answer)
+                kind = classify_response(answer)
                 if kind != "ok" or answer.content.at_eof():
                     return kind, Reply(answer.status, answer.headers, first)
                 answer.detached = True
-                rest = Remainder(answer.connection, self.pool, answer.content, answer.content_length)
+                rest = ResponseRemainder(answer.connection, self.pool, answer.content, answer.content_length)
                 return kind, Reply(answer.status, answer.headers, first, rest)
         except AttemptFailedError as end:
             return end.kind, None
@@ -306,6 +312,6 @@
         try:
             async with self.open(attempt, method, target, headers, body, most=None) as answer:
                 reply = Reply(answer.status, answer.headers, await answer.read())
-                return outcome(reply), reply
+                return classify_response(reply), reply
         except AttemptFailedError as end:
             return end.kind, None
--- a/harriertide/http/node_connection.py
+++ b/harriertide/http/node_connection.py
@@ -20,14 +20,18 @@
 from aiohttp.streams import StreamReader
 
 if TYPE_CHECKING:
-    from harriertide.http.node_pool import Pool
+    from harriertide.http.node_pool import NodeConnectionPool
 
 HEAD_BYTES = 16 * 1024  # of all heads of one answer, those with 1xx in front included
 READ_BYTES = 64 * 1024  # of a body are read ahead of who takes it
 CHUNK_BYTES = 32 * 1024  # are read from a connection at a time: each chunk is in memory several times over
-RELAY_BYTES = 64 * 1024 * 1024  # of an answer that is passed on as it comes; the longest are half of that
-RELAY_READ = 32 * 1024  # of such an answer are read ahead
-RELAY_HELD = 4 * RELAY_READ  # and in memory at most, but for some moments, on both sides of the broker
+MAX_FORWARDED_BYTES = (
+    64 * 1024 * 1024
+)  # of an answer that is passed on as it comes; the longest are half of that
+FORWARD_READ_AHEAD_BYTES = 32 * 1024  # of such an answer are read ahead
+FORWARD_BUFFER_BYTES = (
+    4 * FORWARD_READ_AHEAD_BYTES
+)  # and in memory at most, but for some moments, on both sides of the broker
 STALL_S = 0.06
 _EOF_LINES = frozenset((204, 304))
 END_OF_CHUNKS = b"\r\n\r\n"  # the empty line behind the last chunk, or behind its trailers
@@ -57,13 +61,13 @@
     connection unfit for another request, and never reaches one.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: str, pool: Pool) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: str, pool: NodeConnectionPool) -> None:
         super().__init__(loop)
         self.address, self._pool = address, pool
         self.idle_since = 0.0
-        self.request = ""  # that it is at work for
-        self.held = 0  # bytes of its answer that count against the pool's bound
-        self.surplus = self.spoilt = False
+        self.request_id = ""  # that it is at work for
+        self.buffered_bytes = 0  # bytes of its answer that count against the pool's bound
+        self.has_surplus = self.is_malformed = False
         self._stall: asyncio.TimerHandle | None = None
         self._phase = Phase.NONE
         self._head = b""
@@ -92,14 +96,14 @@
             self._phase = Phase.NONE
         super().connection_lost(exc)
         self._watch(False)
-        self._pool.drop(self)
+        self._pool.remove(self)
 
     def eof_received(self) -> None:
         """The node has ended its side."""
         self._ended = True
         super().eof_received()
 
-    def ask(self, data: bytes, most: int | None, relayed: bool = False) -> None:
+    def send_request(self, data: bytes, most: int | None, relayed: bool = False) -> None:
         """Write a request, or the beginning of one.
 
         most: bytes that the answer's body may have; None where it will be held as a whole. relayed: its first
@@ -108,25 +112,28 @@
         if self.transport is None:
             raise aiohttp.ClientConnectionResetError("the connection is gone")
         self._phase, self._heads, self._message = Phase.HEAD, 0, None
-        self._whole, self._most = most is None or relayed, self._pool.answer if most is None else most
-        self._held_most = RELAY_HELD if relayed else self._most
-        ahead = RELAY_READ if relayed else READ_BYTES
+        self._whole, self._most = (
+            most is None or relayed,
+            self._pool.max_response_bytes if most is None else most,
+        )
+        self._held_most = FORWARD_BUFFER_BYTES if relayed else self._most
+        ahead = FORWARD_READ_AHEAD_BYTES if relayed else READ_BYTES
         self.set_response_params(read_until_eof=True, auto_decompress=False, read_bufsize=ahead)
         self.transport.write(data)
 
-    def pass_on(self) -> None:
+    def start_forwarding(self) -> None:
         """From here on the answer goes to its client as it comes: it may come slowly."""
         self._whole = False
         self._watch(False)
 
-    async def more(self, data: bytes) -> None:
+    async def send_more(self, data: bytes) -> None:
         """Write more of a request, when what was written before is out."""
         await self._drain_helper()
         if self.transport is None:
             raise aiohttp.ClientConnectionResetError("the connection is gone")
         self.transport.write(data)
 
-    async def drained(self) -> None:
+    async def flush(self) -> None:
         """Until all that was written is out."""
         await self._drain_helper()
 
@@ -143,15 +150,15 @@
         super().abort()
 
     @property
-    def fit(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether another request may go over it: the last answer came whole, and nothing beside it."""
         return (
             self._phase is Phase.WHOLE
-            and not (self.surplus or self.should_close or self.writing_paused)
+            and not (self.has_surplus or self.should_close or self.writing_paused)
             and self.is_connected()
         )
 
-    def rest(self) -> None:
+    def mark_idle(self) -> None:
         """Nothing is asked from now on."""
         self._phase, self._message = Phase.NONE, None
 
@@ -214,7 +221,7 @@
         if self._phase is not Phase.OPEN or not self._chunked or body is None or not body.is_eof():
             return
         if self._message is not None or self._last_bytes != END_OF_CHUNKS:
-            self.surplus = True
+            self.has_surplus = True
         self._phase = Phase.WHOLE
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
@@ -238,7 +245,7 @@
         super().data_received(head)
         message, self._message = self._message, None
         if self.exception() is not None:
-            self._phase, self.spoilt = Phase.NONE, True
+            self._phase, self.is_malformed = Phase.NONE, True
             return b""
         if message is None or message.code == 101:
             self._spoil("no answer in its head")
@@ -266,7 +273,7 @@
 
     def _hold(self, size: int) -> bool:
         """Whether there is room in memory for so much more of the answer, as far as it will be held."""
-        return self._pool.hold(self, max(0, min(size, self._held_most - self.held)))
+        return self._pool.reserve(self, max(0, min(size, self._held_most - self.buffered_bytes)))
 
     @staticmethod
     def _says_close(message: RawResponseMessage) -> bool:
@@ -274,7 +281,7 @@
 
     def _too_much(self) -> None:
         """Bytes that belong to no answer. One that is whole stays good."""
-        self.surplus = True
+        self.has_surplus = True
         if self._phase is Phase.NONE:
             self.abort()
 
@@ -284,5 +291,5 @@
         if self._payload is not None:
             self._payload.set_exception(fault)
         self.set_exception(fault)
-        self._phase, self.surplus, self.spoilt = Phase.NONE, True, True
+        self._phase, self.has_surplus, self.is_malformed = Phase.NONE, True, True
         self.abort()
--- a/harriertide/http/node_pool.py
+++ b/harriertide/http/node_pool.py
@@ -7,29 +7,33 @@
 
 from harriertide.http.limits import Limits
 from harriertide.http.node_connection import NodeConnection
-from harriertide.http.socket_state import unread
+from harriertide.http.socket_state import has_unread_input
 
-REST_S = 0.01  # behind an answer, for what a node in trouble sends some milliseconds after it
+REUSE_DELAY_S = 0.01  # behind an answer, for what a node in trouble sends some milliseconds after it
 
 
-class Pool:
+class NodeConnectionPool:
     """All connections to nodes, within a bound."""
 
-    def __init__(self, limits: Limits, keep_s: float) -> None:
-        self.keep_s = keep_s
-        self._held = 0
-        self.limit(limits)
+    def __init__(self, limits: Limits, idle_timeout_s: float) -> None:
+        self.idle_timeout_s = idle_timeout_s
+        self._buffered_bytes = 0
+        self.apply_limits(limits)
         self._loop = asyncio.get_running_loop()
         self._all: set[NodeConnection] = set()
         self._opening = 0
         self._idle: dict[NodeConnection, None] = {}  # longest idle first
         self._by_address: dict[str, list[NodeConnection]] = {}
-        self._at_work: dict[str, NodeConnection] = {}  # by request
+        self._active: dict[str, NodeConnection] = {}  # by request
         self._sweeper: asyncio.TimerHandle | None = None
 
-    def limit(self, limits: Limits) -> None:
+    def apply_limits(self, limits: Limits) -> None:
         """Go by these bounds from now on."""
-        self.most, self.answer, self.held_most = limits.boxes, limits.answer, limits.held
+        self.max_connections, self.max_response_bytes, self.max_buffered_bytes = (
+            limits.max_node_connections,
+            limits.max_response_bytes,
+            limits.max_buffered_response_bytes,
+        )
 
     def __len__(self) -> int:
         return len(self._all) + self._opening
@@ -38,19 +42,19 @@
         """All connections that are up."""
         return list(self._all)
 
-    def hold(self, connection: NodeConnection, size: int) -> bool:
+    def reserve(self, connection: NodeConnection, size: int) -> bool:
         """Whether there is room in memory for an answer; it is given back with its connection."""
-        if self._held + size > self.held_most:
+        if self._buffered_bytes + size > self.max_buffered_bytes:
             return False
-        connection.held += size
-        self._held += size
+        connection.buffered_bytes += size
+        self._buffered_bytes += size
         return True
 
-    def _let_go(self, connection: NodeConnection) -> None:
-        self._held -= connection.held
-        connection.held = 0
+    def _return_memory(self, connection: NodeConnection) -> None:
+        self._buffered_bytes -= connection.buffered_bytes
+        connection.buffered_bytes = 0
 
-    def take(self, address: str) -> NodeConnection | None:
+    def take_idle(self, address: str) -> NodeConnection | None:
         """An idle connection that is fit for a request: the one used last, so that spare ones run out.
 
         Guards against a request on one whose close, or whose stray bytes, lie there unread, or are still on
@@ -58,20 +62,23 @@
         """
         now = self._loop.time()
         for connection in reversed(self._by_address.get(address, [])[:]):
-            if now < connection.idle_since + REST_S:
+            if now < connection.idle_since + REUSE_DELAY_S:
                 continue
-            self._forget(connection)
-            if not unread(connection.transport, ends=True) and now < connection.idle_since + self.keep_s:
+            self._remove_idle(connection)
+            if (
+                not has_unread_input(connection.transport, ends=True)
+                and now < connection.idle_since + self.idle_timeout_s
+            ):
                 return connection
             connection.abort()
         return None
 
-    async def open(self, address: str) -> NodeConnection | None:
+    async def connect(self, address: str) -> NodeConnection | None:
         """A new connection; None where the bound has no room for it."""
-        if len(self) >= self.most:
+        if len(self) >= self.max_connections:
             if not self._idle:
                 return None
-            self._close(next(iter(self._idle)))
+            self._close_idle(next(iter(self._idle)))
         host, _, port = address.rpartition(":")
         self._opening += 1
         try:
@@ -85,38 +92,40 @@
         self._all.add(connection)
         return connection
 
-    def at_work(self, request: str) -> NodeConnection | None:
+    def active_connection(self, request: str) -> NodeConnection | None:
         """The connection that an attempt of a request was written to, until it is free or closed."""
-        return self._at_work.get(request)
+        return self._active.get(request)
 
-    def begin(self, connection: NodeConnection, request: str) -> None:
+    def mark_active(self, connection: NodeConnection, request: str) -> None:
         """An attempt is about to be written to it."""
-        connection.request = request
-        self._at_work[request] = connection
+        connection.request_id = request
+        self._active[request] = connection
 
-    def _done(self, connection: NodeConnection) -> None:
-        if self._at_work.get(connection.request) is connection:
-            del self._at_work[connection.request]
+    def _mark_inactive(self, connection: NodeConnection) -> None:
+        if self._active.get(connection.request_id) is connection:
+            del self._active[connection.request_id]
 
-    def put(self, connection: NodeConnection) -> None:
+    def release(self, connection: NodeConnection) -> None:
         """Back after an exchange: kept if it is fit, else closed."""
-        self._let_go(connection)
-        if not connection.fit or len(self) > self.most:
+        self._return_memory(connection)
+        if not connection.is_reusable or len(self) > self.max_connections:
             connection.abort()
             return
-        self._done(connection)
-        self.rest(connection)
+        self._mark_inactive(connection)
+        self.keep_idle(connection)
 
-    def rest(self, connection: NodeConnection) -> None:
+    def keep_idle(self, connection: NodeConnection) -> None:
         """Keep a connection on which nothing is asked."""
-        connection.rest()
+        connection.mark_idle()
         connection.idle_since = self._loop.time()
         self._idle[connection] = None
         self._by_address.setdefault(connection.address, []).append(connection)
         if self._sweeper is None:
-            self._sweeper = self._loop.call_at(connection.idle_since + self.keep_s, self._sweep)
+            self._sweeper = self._loop.call_at(
+                connection.idle_since + self.idle_timeout_s, self._close_expired
+            )
 
-    def _forget(self, connection: NodeConnection) -> None:
+    def _remove_idle(self, connection: NodeConnection) -> None:
         """No longer idle."""
         del self._idle[connection]
         connections = self._by_address[connection.address]
@@ -124,27 +133,29 @@
         if not connections:
             del self._by_address[connection.address]
 
-    def _close(self, connection: NodeConnection) -> None:
-        self._forget(connection)
+    def _close_idle(self, connection: NodeConnection) -> None:
+        self._remove_idle(connection)
         connection.abort()
 
-    def drop(self, connection: NodeConnection) -> None:
+    def remove(self, connection: NodeConnection) -> None:
         """It is gone."""
-        self._let_go(connection)
-        self._done(connection)
+        self._return_memory(connection)
+        self._mark_inactive(connection)
         self._all.discard(connection)
         if connection in self._idle:
-            self._forget(connection)
+            self._remove_idle(connection)
 
-    def _sweep(self) -> None:
+    def _close_expired(self) -> None:
         """Close what has been idle for too long."""
         self._sweeper = None
         while self._idle:
             connection = next(iter(self._idle))
-            if connection.idle_since + self.keep_s > self._loop.time():
-                self._sweeper = self._loop.call_at(connection.idle_since + self.keep_s, self._sweep)
+            if connection.idle_since + self.idle_timeout_s > self._loop.time():
+                self._sweeper = self._loop.call_at(
+                    connection.idle_since + self.idle_timeout_s, self._close_expired
+                )
                 return
-            self._close(connection)
+            self._close_idle(connection)
 
     async def close(self) -> None:
         """Drop all connections."""
--- a/harriertide/http/socket_state.py
+++ b/harriertide/http/socket_state.py
@@ -8,7 +8,7 @@
 _POLL = select.poll()
 
 
-def unread(transport: asyncio.BaseTransport | None, ends: bool = False) -> bool:
+def has_unread_input(transport: asyncio.BaseTransport | None, ends: bool = False) -> bool:
     """Bytes or an end that came and were not read; ends: also an end behind bytes. True where it is closed.
 
     The loop looks at sockets in its next turn only, so a decision on a connection that seems idle, to use it
@@ -22,7 +22,7 @@
     return _look(transport, select.POLLIN | (select.POLLRDHUP if ends else 0))
 
 
-def ended(transport: asyncio.BaseTransport | None) -> bool:
+def is_closed_by_peer(transport: asyncio.BaseTransport | None) -> bool:
     """Whether the other side has ended its sending or is gone, also behind bytes that were not read.
 
     A transport that is no socket's says so by its extra info 'ended'; one that can't is not known to have.
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/bench_library.py
@@ -162,7 +162,7 @@
 ) -> dict[str, Any]:
     """Figures by way: medians over the rounds."""
     clock = Clock(asyncio.get_running_loop())
-    limits = Limits.share(512, 128)
+    limits = Limits.from_resources(512, 128)
     box, front = (f"127.0.0.1:{port}" for port in ports)
     clients = [NodeClient({"box-0": at}.get, CONNECT_US, IDLE_US, limits) for at in (box, front)]
     rows: dict[str, list[dict[str, float]]] = {way: [] for way in WAYS}
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/parity.py
@@ -37,7 +37,7 @@
 from harriertide.library import Ask, Attempt, Box, Broker, FailedError, Fixed, RefusedError
 from harriertide.library.exchange import Exchange, Loopback
 from harriertide.platform.configuration import Config
-from harriertide.platform.fields import SENT_BEFORE_US
+from harriertide.platform.fields import DEADLINE_MARGIN_US
 
 LEAD_S = 0.5  # before the first row
 APART = 0.02  # that the scores on sockets may be
@@ -97,7 +97,7 @@
 
 
 def _budget_ms(arrival: api.Arrival, now_us: int) -> int:
-    return max(1, -(-(arrival.deadline_at_us - now_us + SENT_BEFORE_US) // 1000))
+    return max(1, -(-(arrival.deadline_at_us - now_us + DEADLINE_MARGIN_US) // 1000))
 
 
 async def _boxes(boxes: list[plant.Box], begin: float) -> dict[str, str]:
@@ -198,9 +198,9 @@
         broker = taking[next(turn) % len(taking)]
         method, body = ("PUT", b"x" * 16) if arrival.request_class else ("GET", b"")
         now_us = clock.now_us()
-        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - SENT_BEFORE_US
+        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - DEADLINE_MARGIN_US
         kind = broker.core.settings.classes[arrival.request_class]
-        last_us = min(last_us, now_us + kind.deadline_us - SENT_BEFORE_US)
+        last_us = min(last_us, now_us + kind.deadline_us - DEADLINE_MARGIN_US)
 
         async def perform(attempt: Attempt) -> bytes:
             headers = {"X-Call-Id": arrival.request_id}
--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/second_copy.py
@@ -45,7 +45,7 @@
 from harriertide.engine.clock import Clock
 from harriertide.engine.runtime import Attempt, Ending, Runtime
 from harriertide.http.limits import Limits
-from harriertide.http.node_client import AttemptFailedError, NodeClient, outcome
+from harriertide.http.node_client import AttemptFailedError, NodeClient, classify_response
 
 BOXES = 4
 PIECE = b"x" * 1000
@@ -239,7 +239,7 @@
         try:
             async with self._client.open(attempt, "PUT", "/api", headers, _pieces()) as answer:
                 await answer.read()
-                return outcome(answer), None
+                return classify_response(answer), None
         except AttemptFailedError as end:
             return end.kind, None
 
@@ -259,7 +259,13 @@
     )
     core = Reducer(settings, seed, Eager)
     runtime = Runtime(core, Clock(asyncio.get_running_loop()))
-    limits = Limits(clients=1, boxes=4 * width, answer=65536, held=1 << 24, bodies=1 << 24)
+    limits = Limits(
+        max_client_connections=1,
+        max_node_connections=4 * width,
+        max_response_bytes=65536,
+        max_buffered_response_bytes=1 << 24,
+        max_buffered_request_bytes=1 << 24,
+    )
     dial = {f"n{place}": f"127.0.0.1:{port}" for place, port in enumerate(ports)}
     client = NodeClient(dial.get, 500_000, 5_000_000, limits)
     runtime.post(
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -150,7 +150,7 @@
         self.core = Reducer(settings, self._seed)
         self.exchange, self._settings, self._view = exchange, settings, View((0,), 0)
         self._record, self._file = record, ExitStack()
-        self._limits = Limits.share(sockets, memory_mb)
+        self._limits = Limits.from_resources(sockets, memory_mb)
         self._runtime: Runtime | None = None
         self._client: NodeClient | None = None
         self._probes: Probes | None = None
--- a/harriertide/library/sources.py
+++ b/harriertide/library/sources.py
@@ -15,7 +15,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
-from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.discovery import EndpointDirectory, EndpointWatch
 
 Post = Callable[[ev.Event], None]
 
@@ -158,14 +158,14 @@
 
     def __init__(self, address: str, known: dict[str, object] | None = None, pushed: bool = False) -> None:
         self._address, self._pushed = address, pushed
-        self._directory = Directory({})
+        self._directory = EndpointDirectory({})
         self._known = known or {"seq": 0, "whole": True, "hosts": []}
-        self._watch: Watch | None = None
+        self._watch: EndpointWatch | None = None
 
     def start(self, post: Post) -> None:
-        self._watch = Watch(self._address, self._directory, post)
-        post(ev.EndpointsUpdated(self._directory.read(self._known, "cached")))
-        self._watch.follow(self._pushed)
+        self._watch = EndpointWatch(self._address, self._directory, post)
+        post(ev.EndpointsUpdated(self._directory.apply(self._known, "cached")))
+        self._watch.set_pushed(self._pushed)
 
     def find(self, box: str) -> str | None:
         return self._directory.find(box)
--- a/harriertide/library/web.py
+++ b/harriertide/library/web.py
@@ -19,7 +19,7 @@
 
 from aiohttp import web
 
-from harriertide.http.socket_state import ended
+from harriertide.http.socket_state import is_closed_by_peer
 from harriertide.library.bodies import Holding
 from harriertide.library.broker import Broker
 from harriertide.library.types import Ask, Attempt, BoxError, FailedError, NotWrittenError, RefusedError
@@ -91,7 +91,7 @@
 
         try:
             # aiohttp lets a handler run on when its client has gone
-            return await self.broker.call(ask, perform, lambda: ended(request.transport))
+            return await self.broker.call(ask, perform, lambda: is_closed_by_peer(request.transport))
         except (RefusedError, FailedError, BoxError):
             if last and last[-1].begun:
                 _break_off(request)
--- a/harriertide/objects/jobs.py
+++ b/harriertide/objects/jobs.py
@@ -13,9 +13,16 @@
 from harriertide.decide import api
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Attempt, Ending
-from harriertide.http.client_connections import ASKER
-from harriertide.http.node_client import BODY_BYTES, AttemptFailedError, Body, Incoming, NodeClient, outcome
-from harriertide.http.socket_state import ended
+from harriertide.http.client_connections import CLIENT_TRANSPORT
+from harriertide.http.node_client import (
+    BODY_BYTES,
+    AttemptFailedError,
+    Body,
+    IncomingResponse,
+    NodeClient,
+    classify_response,
+)
+from harriertide.http.socket_state import is_closed_by_peer
 
 CHUNK_BYTES = 64 * 1024
 LATER = frozenset((408, 425, 429))  # statuses of 4xx by which HTTP itself says to come again
@@ -121,11 +128,11 @@
         self._target = f"/{bucket}/{blob}"
         self.denied = False  # a box has refused for good: asking again would not help
         self.final: asyncio.Future[ev.Respond] = asyncio.get_running_loop().create_future()
-        self._asker = ASKER.get()
+        self._asker = CLIENT_TRANSPORT.get()
 
     def gone(self) -> bool:
         """Whether the client that this is asked for has closed its connection, or its side of it."""
-        return self._asker is not None and ended(self._asker)
+        return self._asker is not None and is_closed_by_peer(self._asker)
 
     def answer(self, answer: ev.Respond) -> None:
         """Hand the final answer to who waits for it."""
@@ -136,7 +143,7 @@
         """Perform one attempt; how it ended."""
         raise NotImplementedError
 
-    async def ended(self, attempt: Attempt, response: Incoming) -> api.OutcomeKind:
+    async def ended(self, attempt: Attempt, response: IncomingResponse) -> api.OutcomeKind:
         """What a box's answer means; one of 4xx is no reason for a client to come again."""
         said = await response.read()
         if 400 <= response.status < 500 and response.status not in LATER:
@@ -144,7 +151,7 @@
             answer = said[:SAID_BYTES].decode("utf-8", "replace")
             log("a box refused for good", box=attempt.node, status=response.status, answer=answer)
             return "not_sent"
-        return outcome(response)
+        return classify_response(response)
 
     def headers(self, attempt: Attempt) -> dict[str, str]:
         """How long the broker waits, and the call's id, as towards disk nodes."""
@@ -214,7 +221,7 @@
                 if response.status in (404, 412, 416):
                     self.missing = True  # asking again would not bring it back
                     return "not_sent", None
-                if outcome(response) != "ok":
+                if classify_response(response) != "ok":
                     return await self.ended(attempt, response), None
                 if not self._fits(response):
                     return "error", None
@@ -234,7 +241,7 @@
             slow_client = writing and end.kind == "timeout"
             return ("cancelled" if slow_client else end.kind), None
 
-    def _fits(self, response: Incoming) -> bool:
+    def _fits(self, response: IncomingResponse) -> bool:
         """The box answers just the stretch that was asked for."""
         if response.status == 206:
             return response.headers.get("Content-Range", "").startswith(f"bytes {self._next}-{self._last}/")
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -11,7 +11,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.runtime import Runtime
-from harriertide.http.client_connections import ConnectionTable, FrontServer, server
+from harriertide.http.client_connections import ConnectionTable, FrontServer, make_server
 from harriertide.http.node_client import NodeClient
 from harriertide.objects.catalogue import Catalogue
 from harriertide.objects.front import ObjectFront
@@ -82,8 +82,8 @@
 
     def servers(self, table: ConnectionTable) -> list[tuple[str, FrontServer]]:
         """Listeners: the front's and the admin's."""
-        front = server(table, self.front.handle)
-        admin = server(table, self.admin.handle, STATE_BYTES)
+        front = make_server(table, self.front.handle)
+        admin = make_server(table, self.admin.handle, STATE_BYTES)
         return [(self._operator.listen, front), (self._operator.admin, admin)]
 
     def start(self) -> None:
--- a/harriertide/platform/configuration.py
+++ b/harriertide/platform/configuration.py
@@ -12,9 +12,9 @@
 
 from harriertide.decide import api
 from harriertide.decide.settings import Names, Part, SettingsError, from_wire, in_places, names_from_wire
-from harriertide.http.limits import OPERATORS, Limits, read_limits
-from harriertide.platform.discovery import Directory
-from harriertide.platform.peers import address
+from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT, Limits, read_limits
+from harriertide.platform.discovery import EndpointDirectory
+from harriertide.platform.peers import parse_address
 
 
 class BadConfigError(SettingsError):
@@ -33,7 +33,7 @@
     names: Names
     peer_listen: tuple[str, int] | None
     peers: list[str]
-    known: dict[str, Any]
+    cached_list: dict[str, Any]
     writes: tuple[bool, ...] = ()
     raw_settings: dict[str, Any] = field(default_factory=dict)
     operator: tuple[str, int] | None = None  # the operators' address; None: there is none
@@ -91,24 +91,26 @@
             names = names_from_wire(settings, raw["settings"])
         known = raw.get("known") or {"seq": 0, "whole": True, "hosts": []}
         try:
-            Directory(names.zones).read(known, "cached")
+            EndpointDirectory(names.zones).apply(known, "cached")
         except Exception as fault:
             raise ValueError(f"known: is no list of nodes: {type(fault).__name__} {fault}") from None
         domain = Part(settings, "settings").part("domain")
         return Config(
             name=stated["name"],
-            listen=address(stated["listen"]),
+            listen=parse_address(stated["listen"]),
             discovery=stated["discovery"],
             seed=int(seed, 16),
             settings=from_wire(settings),
             names=names,
-            peer_listen=address(listens) if listens else None,
+            peer_listen=parse_address(listens) if listens else None,
             peers=peers,
-            known=known,
+            cached_list=known,
             writes=domain.flags("writes"),
             raw_settings=settings,
-            limits=read_limits(limits, OPERATORS if operator or (held and held.operator) else 0),
-            operator=address(operator) if operator else None,
+            limits=read_limits(
+                limits, OPERATOR_DESCRIPTOR_COUNT if operator or (held and held.operator) else 0
+            ),
+            operator=parse_address(operator) if operator else None,
             inherited_descriptor=int(inherited) if inherited else None,
         )
     except KeyError as gap:
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -21,18 +21,18 @@
 
 from harriertide.core import events as ev
 from harriertide.engine.runtime import Attempt, Ending
-from harriertide.http.body_stream import IDLE_S, Remainder
+from harriertide.http.body_stream import STREAM_IDLE_TIMEOUT_S, ResponseRemainder
 from harriertide.http.client_connections import ClientConnection, ConnectionTable, FrontServer
 from harriertide.http.node_client import NodeClient, Reply
-from harriertide.http.node_connection import RELAY_READ, read_in_chunks
-from harriertide.http.socket_state import ended
-from harriertide.platform.fields import Fields, MalformedError, passed_on, read_fields
+from harriertide.http.node_connection import FORWARD_READ_AHEAD_BYTES, read_in_chunks
+from harriertide.http.socket_state import is_closed_by_peer
+from harriertide.platform.fields import Fields, MalformedRequestError, forwarded_headers, read_fields
 
 if TYPE_CHECKING:
     from harriertide.platform.front import Front
 
 BODY_BYTES = 32 * 1024 * 1024  # of a request
-SMALL_BYTES = 64 * 1024  # a body up to so much is kept at any rate
+ALWAYS_BUFFERED_BYTES = 64 * 1024  # a body up to so much is kept at any rate
 SLOWEST_BYTES_S = 32_000  # of a body that is still taken: half of what the slowest clients send
 LAST_CHUNK = b"0\r\n\r\n"
 RESET = struct.pack("ii", 1, 0)  # of a socket's linger option: the connection is reset as it is closed
@@ -57,7 +57,7 @@
     ) -> None:
         self._client, self._line, self._body = client, line, body
         self._method, self._target = message.method, message.path
-        self._rows = passed_on(message.raw_headers)
+        self._rows = forwarded_headers(message.raw_headers)
 
     async def attempt(self, attempt: Attempt) -> Ending:
         """Pass the request on as it came, with the time that this broker will wait."""
@@ -65,16 +65,16 @@
         rows = [*self._rows, (b"X-Budget-Ms", b"%d" % wait_ms)]
         if isinstance(self._body, ComingBody):
             rows.append(self._body.framing)
-            return await self._client.relay(
+            return await self._client.forward(
                 attempt, self._method, self._target, rows, self._body.chunks(attempt)
             )
         if self._body or self._method != "GET":
             rows.append((b"Content-Length", b"%d" % len(self._body)))
-        return await self._client.relay(attempt, self._method, self._target, rows, self._body)
+        return await self._client.forward(attempt, self._method, self._target, rows, self._body)
 
     def gone(self) -> bool:
         """Whether the client has closed its connection, or its side of it."""
-        return ended(self._line.transport)
+        return is_closed_by_peer(self._line.transport)
 
     def answer(self, answer: ev.Respond) -> None:
         """Write the final answer to the connection that waits for it."""
@@ -115,13 +115,13 @@
         BaseProtocol.connection_made(self, transport)  # and none of the handler's task and timer
         assert self._manager is not None and isinstance(transport, asyncio.Transport)
         self._manager.connection_made(self, transport)
-        transport.set_write_buffer_limits(RELAY_READ)
+        transport.set_write_buffer_limits(FORWARD_READ_AHEAD_BYTES)
         read_in_chunks(transport)
         self.table.admit(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if self.request:
-            self._front.left(self)
+            self._front.on_client_disconnected(self)
         if self._sending is not None:
             self._sending.cancel()
         if self._body is not None and not self._body.is_eof():
@@ -130,15 +130,15 @@
         super().connection_lost(exc)
 
     def _give_back(self) -> None:
-        self._front.bodies.give_back(self._kept_bytes)
+        self._front.bodies.release(self._kept_bytes)
         self._kept_bytes, self._kept, self._come = 0, [], 0
 
     # --- what comes ----------------------------------------------------------------------------
 
     @property
-    def reading_s(self) -> float:
+    def request_timeout_s(self) -> float:
         """Time for the rest of a request to come: more, the more of its body has come."""
-        return super().reading_s + self._come / SLOWEST_BYTES_S
+        return super().request_timeout_s + self._come / SLOWEST_BYTES_S
 
     def data_received(self, data: bytes) -> None:
         """Take a request as soon as it is whole.
@@ -156,7 +156,7 @@
         if (self._closing and not streams) or self._force_close:
             return
         if self.state != "reading" and not streams:
-            self.table.move(self, "reading")
+            self.table.set_state(self, "reading")
         assert self._parser is not None
         try:
             messages, upgraded, _ = self._parser.feed_data(data)
@@ -183,7 +183,7 @@
         self._message = message
         try:
             self.fields = read_fields(message.raw_headers)
-        except MalformedError as reason:
+        except MalformedRequestError as reason:
             self.refuse(400, str(reason))
             return
         size = self.fields.get(b"content-length", b"0")
@@ -199,7 +199,7 @@
     def _keep(self, size: int) -> bool:
         """Whether there is room to keep so many bytes of the body in all."""
         more = size - self._kept_bytes
-        if more > 0 and self._front.bodies.take(more, at_any_rate=size <= SMALL_BYTES):
+        if more > 0 and self._front.bodies.reserve(more, may_exceed=size <= ALWAYS_BUFFERED_BYTES):
             self._kept_bytes = size
         return self._kept_bytes >= size
 
@@ -217,13 +217,16 @@
         assert message is not None
         if body.is_eof():
             self.body_taken()
-            self.table.move(self, "busy")
-            self._front.take(self, message, self._joined())
+            self.table.set_state(self, "busy")
+            self._front.handle_request(self, message, self._joined())
         elif come > BODY_BYTES:
             self.refuse(413, "the body is too long")
-        elif not self._keep(max(come, int(self.fields.get(b"content-length", b"0")))) and come >= SMALL_BYTES:
-            self.table.move(self, "busy")
-            self._front.take(self, message, ComingBody(self, body, self._joined()))
+        elif (
+            not self._keep(max(come, int(self.fields.get(b"content-length", b"0"))))
+            and come >= ALWAYS_BUFFERED_BYTES
+        ):
+            self.table.set_state(self, "busy")
+            self._front.handle_request(self, message, ComingBody(self, body, self._joined()))
 
     def _joined(self) -> bytes:
         """What has come of the body, in one piece, which is the only one: a second would count nowhere."""
@@ -233,7 +236,7 @@
 
     def too_long(self) -> None:
         """A body that was sent on as it came goes beyond the bound: no answer of a node counts any more."""
-        self._front.left(self)
+        self._front.on_client_disconnected(self)
         self.refuse(413, "the body is too long")
 
     def body_taken(self) -> None:
@@ -260,7 +263,9 @@
 
     # --- what goes -----------------------------------------------------------------------------
 
-    def respond(self, status: int, body: bytes, fields: str = "", rest: Remainder | None = None) -> None:
+    def respond(
+        self, status: int, body: bytes, fields: str = "", rest: ResponseRemainder | None = None
+    ) -> None:
         """The one answer to the request that was read. rest: behind that part of its body."""
         message, self._message, self.request = self._message, None, ""
         self._give_back()
@@ -274,7 +279,7 @@
             self._closing, self._body = True, None
         old = message is not None and message.version < HttpVersion11
         unsized = rest is not None and rest.length is None
-        closes = self._closing or self._front.last or message is None or message.should_close
+        closes = self._closing or self._front.closes_connections or message is None or message.should_close
         closes = closes or (old and unsized)
         if closes:
             fields += "Connection: close\r\n"
@@ -299,16 +304,16 @@
         if closes or self._closing:
             self.linger()
         else:
-            self.table.move(self, "idle")
+            self.table.set_state(self, "idle")
 
-    async def _send(self, rest: Remainder, chunked: bool, closes: bool, cut: bool) -> None:
+    async def _send(self, rest: ResponseRemainder, chunked: bool, closes: bool, cut: bool) -> None:
         """The rest of an answer, as fast as the client reads it. cut: only the connection's end ends it."""
         transport = self.transport
         assert transport is not None
         try:
             async for chunk in rest.chunks():
                 transport.write(_chunk(chunk) if chunked else chunk)
-                async with asyncio.timeout(IDLE_S):
+                async with asyncio.timeout(STREAM_IDLE_TIMEOUT_S):
                     await self._drain_helper()
             if chunked:
                 transport.write(LAST_CHUNK)
@@ -356,12 +361,12 @@
         attempt.runtime.began(attempt)
         come, self._begun = len(self._begun), b""
         while not self._reader.at_eof():
-            async with asyncio.timeout(IDLE_S):
+            async with asyncio.timeout(STREAM_IDLE_TIMEOUT_S):
                 chunk = await self._reader.readany()
             come += len(chunk)
             if come > BODY_BYTES:
                 self._line.too_long()
-                raise MalformedError("the body is too long")
+                raise MalformedRequestError("the body is too long")
             if chunk:
                 yield self._framed(chunk)
         if self._chunked:
--- a/harriertide/platform/discovery.py
+++ b/harriertide/platform/discovery.py
@@ -16,20 +16,20 @@
 from harriertide.decide import api
 from harriertide.engine.log import log
 
-# A change counts as told TOLD_S after discovery had it and could be reached, whatever failed before. The
-# longest ways to hear of one end before that: a watch that falls silent behind its last word, a call that is
-# never answered and one more that is; or a call that is never answered behind the decision module's longest
+# A change counts as told NOTIFICATION_DEADLINE_S after discovery had it and could be reached, whatever failed
+# before. The longest ways to hear of one end before that: a watch that falls silent behind its last word,
+# a call that is never answered and one more that is; or a call that is never answered behind the decision module's longest
 # wait (ASK_MOST_US) and one more. tests/test_silence.py adds them up and plays them.
-TOLD_S = 6.0
-CONNECT_S = 0.8
+NOTIFICATION_DEADLINE_S = 6.0
+CONNECT_TIMEOUT_S = 0.8
 # An empty line is due every 2 s, so a watch this quiet is over. Discovery answers a call or turns it away
 # within two seconds, so one without a word by then gets none.
-QUIET_S, HEAD_S = 2.5, 2.2
+WATCH_SILENCE_S, HEAD_TIMEOUT_S = 2.5, 2.2
 # Lists that an agent pushes count as told as soon as it has them, and asking it costs nothing: there a watch
 # that ends is opened again by itself, at once and then this often, and one that is late is given up sooner.
-AGAIN_S, PUSH_HEAD_S = 0.1, 1.0
-LINE_BYTES = 4 * 1024 * 1024
-GONE_MOST = 512  # ids of nodes that were removed are remembered, against lists that are older
+REOPEN_INTERVAL_S, PUSHED_HEAD_TIMEOUT_S = 0.1, 1.0
+MAX_OBJECT_BYTES = 4 * 1024 * 1024
+MAX_REMOVED_NODE_COUNT = 512  # ids of nodes that were removed are remembered, against lists that are older
 _MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # of JSON: strings, which may hold brackets, and brackets
 _STATES = {"up": "live", "draining": "draining", "removed": "gone"}
 
@@ -38,7 +38,7 @@
     """Changes of a version before the one that is held: late ones, or discovery counts anew."""
 
 
-class Objects:
+class JsonObjectStream:
     """JSON objects out of the lines of a watch, each on one line or indented over several."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
             if self._depth <= 0:
                 found.append(b"\n".join(self._held))
                 self._held, self._depth, self._size = [], 0, 0
-        if len(self._rest) + self._size > LINE_BYTES:
+        if len(self._rest) + self._size > MAX_OBJECT_BYTES:
             raise ValueError("a list without an end")
         return found, word or bool(found)
 
@@ -80,7 +80,7 @@
     gone: list[str]
 
 
-class Directory:
+class EndpointDirectory:
     """The list in discovery's form: its version, its entries, and the addresses of nodes."""
 
     def __init__(self, zones: dict[str, int]) -> None:
@@ -94,11 +94,11 @@
         """Where to dial a node."""
         return self._dial.get(node)
 
-    def known(self) -> int:
+    def address_count(self) -> int:
         """How many nodes have an address."""
         return len(self._dial)
 
-    def read(self, page: dict[str, Any], kind: str | None = None) -> api.EndpointUpdate:
+    def apply(self, page: dict[str, Any], kind: str | None = None) -> api.EndpointUpdate:
         """One object of discovery as news; ValueError, KeyError or TypeError on what it is not.
 
         kind: what it is taken for, whatever its version. What is older than what is held, or comes from a
@@ -162,7 +162,7 @@
 
     def _bury(self, nodes: Iterable[str]) -> None:
         self._gone.update(dict.fromkeys(nodes))
-        while len(self._gone) > GONE_MOST:
+        while len(self._gone) > MAX_REMOVED_NODE_COUNT:
             del self._gone[next(iter(self._gone))]
 
     def _entry(self, raw: dict[str, Any]) -> api.NodeEntry:
@@ -175,7 +175,7 @@
         )
 
 
-class Watch:
+class EndpointWatch:
     """One watch at a time; the core decides when the next one opens, as each call costs discovery.
 
     Where an agent on this machine has the list, nobody asks for it: the watch is kept up from here (follow).
@@ -183,23 +183,23 @@
     When discovery moves, the watch on its old address goes on until the one on the new has told its list.
     """
 
-    def __init__(self, address: str, directory: Directory, post: Callable[[ev.Event], None]) -> None:
+    def __init__(self, address: str, directory: EndpointDirectory, post: Callable[[ev.Event], None]) -> None:
         self.counts: Counter[str] = Counter()
         self._pushed = self._closed = self._said = False
         self._again: asyncio.TimerHandle | None = None
-        self._head_s = HEAD_S
+        self._head_s = HEAD_TIMEOUT_S
         self.address = address
         self._directory, self._post = directory, post
         self._task: asyncio.Task[None] | None = None
         self._old: asyncio.Task[None] | None = None
-        self.heard: Callable[[], None] = lambda: None  # called with each list that was read
+        self.on_list: Callable[[], None] = lambda: None  # called with each list that was read
         self._anew = False  # nothing was heard yet of the discovery at this address
         self._pressing = False  # what is open was opened at once, behind one that fell silent
 
-    def follow(self, pushed: bool) -> None:
+    def set_pushed(self, pushed: bool) -> None:
         """Whether the list is pushed, from now on; then the watch is kept up from here."""
         self._pushed = pushed
-        self._head_s = PUSH_HEAD_S if pushed else HEAD_S
+        self._head_s = PUSHED_HEAD_TIMEOUT_S if pushed else HEAD_TIMEOUT_S
         if pushed:
             self.open()
 
@@ -208,7 +208,7 @@
         if not self._closed and (self._task is None or self._task.done()):
             self._task = asyncio.get_running_loop().create_task(self._follow(self.address))
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Discovery is at another address from now on."""
         self.address, self._anew = address, True
         self.counts["moved"] += 1
@@ -262,13 +262,13 @@
             if (self._pushed or silent) and not self._closed:
                 # at once, but for those that end as soon as they begin
                 loop = asyncio.get_running_loop()
-                self._again = loop.call_at(max(loop.time(), begun + AGAIN_S), self.open)
+                self._again = loop.call_at(max(loop.time(), begun + REOPEN_INTERVAL_S), self.open)
 
     async def _read(self, address: str) -> None:
         loop = asyncio.get_running_loop()
         url = f"http://{address}/registry/instances"
         trace = aiohttp.TraceConfig()
-        limit = asyncio.timeout_at(loop.time() + CONNECT_S)
+        limit = asyncio.timeout_at(loop.time() + CONNECT_TIMEOUT_S)
 
         async def connected(session: object, context: object, params: object) -> None:
             limit.reschedule(loop.time() + self._head_s)
@@ -290,7 +290,7 @@
                     page = b""
                     async for chunk in response.content.iter_any():
                         page += chunk
-                        if len(page) > LINE_BYTES:
+                        if len(page) > MAX_OBJECT_BYTES:
                             raise ValueError("a list without an end")
                     self._take(page, "full")
                 limit.reschedule(loop.time() + self._head_s)
@@ -306,13 +306,13 @@
 
     async def _lines(self, response: aiohttp.ClientResponse, limit: asyncio.Timeout) -> None:
         loop = asyncio.get_running_loop()
-        objects = Objects()
-        limit.reschedule(loop.time() + QUIET_S)
+        objects = JsonObjectStream()
+        limit.reschedule(loop.time() + WATCH_SILENCE_S)
         async for chunk in response.content.iter_any():
             found, word = objects.feed(chunk)
             if word:
                 self._said = self._pressing = False
-                limit.reschedule(loop.time() + QUIET_S)
+                limit.reschedule(loop.time() + WATCH_SILENCE_S)
             for page in found:
                 self.counts["lines"] += 1
                 self._take(page)
@@ -324,8 +324,8 @@
         if not current:
             page["seq"] = self._directory.seq
         older = kind is None and not page.get("whole") and int(page["seq"]) < self._directory.seq
-        self._post(ev.EndpointsUpdated(self._directory.read(page, kind)))
-        self.heard()
+        self._post(ev.EndpointsUpdated(self._directory.apply(page, kind)))
+        self.on_list()
         if older:  # its whole list tells which of the two holds
             raise OlderError(f"version {page['seq']} after {self._directory.seq}")
         if current:
--- a/harriertide/platform/fields.py
+++ b/harriertide/platform/fields.py
@@ -9,7 +9,7 @@
 from harriertide.decide.settings import Names
 
 # The client counts from when it sent; the broker reads a little later. Kept to its end for that.
-SENT_BEFORE_US = 3_000
+DEADLINE_MARGIN_US = 3_000
 _HEX = frozenset("0123456789abcdefABCDEF")
 # Fields on which something is decided, here or at the box: with two of one kind, each side might go by
 # another of them.
@@ -31,25 +31,25 @@
 Rows = Sequence[tuple[bytes, bytes]]
 
 
-class MalformedError(Exception):
+class MalformedRequestError(Exception):
     """A request that breaks the protocol, in plain words."""
 
 
 def read_fields(raw: Iterable[tuple[bytes, bytes]]) -> Fields:
-    """Header fields by their names in lower case; MalformedError on what must be there once."""
+    """Header fields by their names in lower case; MalformedRequestError on what must be there once."""
     fields: Fields = {}
     for name, value in raw:
         name = name.lower()
         if name in fields and name in _ONCE:
-            raise MalformedError(f"{name.decode('latin-1')} is there twice")
+            raise MalformedRequestError(f"{name.decode('latin-1')} is there twice")
         fields[name] = value
     if b"transfer-encoding" in fields and b"content-length" in fields:
         # guards against a second request hidden in the body, which the box might read as one
-        raise MalformedError("content-length and transfer-encoding exclude each other")
+        raise MalformedRequestError("content-length and transfer-encoding exclude each other")
     return fields
 
 
-def passed_on(raw: Rows) -> list[tuple[bytes, bytes]]:
+def forwarded_headers(raw: Rows) -> list[tuple[bytes, bytes]]:
     """The header fields that go on to a box: all that came, as the bytes that came, less those of one hop.
 
     Guards against a list of fields that happened to be enough: a box may act on any of them. What the field
@@ -66,14 +66,14 @@
 
 def _hex16(text: str, field: str) -> str:
     if len(text) != 16 or not _HEX.issuperset(text):
-        raise MalformedError(f"{field} must be 16 hex digits")
+        raise MalformedRequestError(f"{field} must be 16 hex digits")
     return text
 
 
 def _whole(text: str, field: str, least: int) -> int:
     digits = text[1:] if text[:1] == "-" else text
     if not (digits.isascii() and digits.isdigit()) or len(digits) > 12 or int(text) < least:
-        raise MalformedError(f"{field} must be a whole number of at least {least}")
+        raise MalformedRequestError(f"{field} must be a whole number of at least {least}")
     return int(text)
 
 
@@ -83,7 +83,7 @@
     except ValueError:
         value = 0.0
     if not isfinite(value) or not 0 < value <= most:
-        raise MalformedError(f"{field} must be a number above 0 and up to {most:g}")
+        raise MalformedRequestError(f"{field} must be a number above 0 and up to {most:g}")
     return value
 
 
@@ -92,7 +92,7 @@
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name in extent:
-            raise MalformedError(f"X-Extent: {name} is there twice")
+            raise MalformedRequestError(f"X-Extent: {name} is there twice")
         extent[name] = value
     return extent
 
@@ -111,22 +111,22 @@
     coming: the body is not whole. Then its client waits as it says, as the class counts from the last byte.
     """
     if method not in ("GET", "PUT"):
-        raise MalformedError("the method must be GET or PUT")
+        raise MalformedRequestError("the method must be GET or PUT")
     request = _text(fields, b"x-call-id")
     if not request or len(request) > 200:
-        raise MalformedError("X-Call-Id is missing or too long")
+        raise MalformedRequestError("X-Call-Id is missing or too long")
     kind = names.classes.get(_text(fields, b"x-call-class"))
     plan = names.plans.get(_text(fields, b"x-storage-class"))
     if kind is None:
-        raise MalformedError("X-Call-Class is missing or unknown")
+        raise MalformedRequestError("X-Call-Class is missing or unknown")
     if plan is None:
-        raise MalformedError("X-Storage-Class is missing or unknown")
+        raise MalformedRequestError("X-Storage-Class is missing or unknown")
     budget_us = 1000 * _whole(_text(fields, b"x-budget-ms"), "X-Budget-Ms", 1)
     extent = _extent(_text(fields, b"x-extent"))
     query = target.partition("?")[2].partition("#")[0]
     keys = [part[4:] for part in query.split("&") if part.startswith("key=")]
     if len(keys) > 1:
-        raise MalformedError("key is there twice")
+        raise MalformedRequestError("key is there twice")
     wait_us = budget_us if coming else min(budget_us, settings.classes[kind].deadline_us)
     return api.Arrival(
         request_id=request,
@@ -134,7 +134,7 @@
         plan=plan,
         volume=_hex16(extent.get("volume", ""), "X-Extent: volume"),
         shard=_whole(extent.get("shard", ""), "X-Extent: shard", -1),
-        deadline_at_us=now_us + wait_us - SENT_BEFORE_US,
+        deadline_at_us=now_us + wait_us - DEADLINE_MARGIN_US,
         units=_number(extent.get("units", ""), "X-Extent: units", settings.max_request_units),
         key=_hex16(keys[0], "key") if keys else "",
         sharing_broker_count=_whole(extent.get("hosts", "1"), "X-Extent: hosts", 1),
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -12,7 +12,7 @@
 from harriertide.http.body_stream import BodyBudget
 from harriertide.http.node_client import NodeClient
 from harriertide.platform.connection import ComingBody, PlatformConnection, PlatformJob
-from harriertide.platform.fields import MalformedError, read_arrival
+from harriertide.platform.fields import MalformedRequestError, read_arrival
 
 READY, SERVICE = "/health/ready", "/api"
 
@@ -24,8 +24,8 @@
         self.counts: Counter[str] = Counter()
         self.bodies = bodies
         self.ready, self.names = True, names
-        self.last = False  # each answer is the last on its connection
-        self.stopped = False  # nothing is sent on any more
+        self.closes_connections = False  # each answer is the last on its connection
+        self.rejects_requests = False  # nothing is sent on any more
         self._runtime, self._client = runtime, client
         self._second, self._date = 0, ""
 
@@ -36,7 +36,9 @@
             self._second, self._date = second, formatdate(second, usegmt=True)
         return self._date
 
-    def take(self, line: PlatformConnection, message: RawRequestMessage, body: bytes | ComingBody) -> None:
+    def handle_request(
+        self, line: PlatformConnection, message: RawRequestMessage, body: bytes | ComingBody
+    ) -> None:
         """A request, whole or as far as it is kept: answer it, or give it to the core."""
         path = message.path.partition("?")[0]
         if path == READY:
@@ -48,18 +50,18 @@
         if path != SERVICE:
             line.refuse(404, "no such route")
             return
-        if self.stopped:
+        if self.rejects_requests:
             line.respond(503, b"refused: trying again is harmless\n")
             return
         runtime = self._runtime
         try:
             if body and message.method == "GET":
-                raise MalformedError("a GET has no body")
+                raise MalformedRequestError("a GET has no body")
             arrival = read_arrival(
                 message.method, message.path, line.fields, runtime.clock.now_us(), self.names,
                 runtime.core.settings, isinstance(body, ComingBody),
             )  # fmt: skip
-        except MalformedError as reason:
+        except MalformedRequestError as reason:
             line.refuse(400, str(reason))
             return
         line.request = arrival.request_id
@@ -67,6 +69,6 @@
         if not runtime.submit(arrival, job, streams=isinstance(body, ComingBody)):
             line.refuse(400, "X-Call-Id is in use")
 
-    def left(self, line: PlatformConnection) -> None:
+    def on_client_disconnected(self, line: PlatformConnection) -> None:
         """The client closed its connection while its request was open."""
         self._runtime.left(line.request)
--- a/harriertide/platform/peers.py
+++ b/harriertide/platform/peers.py
@@ -16,7 +16,7 @@
 DATAGRAM_BYTES = 256  # a longer one is not allowed on the wire
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """host:port as the socket calls want it."""
     host, _, port = text.rpartition(":")
     return host, int(port)
@@ -30,14 +30,14 @@
         self._post = post
         self._transport: asyncio.DatagramTransport | None = None
         self._socket: socket.socket | None = None
-        self._held: list[ev.PeerMessageReceived] | None = (
+        self._buffered: list[ev.PeerMessageReceived] | None = (
             None  # what came before it may be told; None: it may
         )
-        self.relist(peers, own)
+        self.set_peers(peers, own)
 
-    def relist(self, peers: list[str], own: int) -> None:
+    def set_peers(self, peers: list[str], own: int) -> None:
         """These are the peers from now on, in the order of their numbers."""
-        self._peers = [address(peer) for peer in peers]
+        self._peers = [parse_address(peer) for peer in peers]
         self._numbers = {peer: number for number, peer in enumerate(self._peers) if number != own}
 
     async def listen(self, at: tuple[str, int], shared: bool) -> None:
@@ -58,21 +58,21 @@
         self._socket = door
 
     @property
-    def listens(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the address is open."""
         return self._transport is not None
 
-    def hold(self) -> None:
+    def start_buffering(self) -> None:
         """Keep what comes: another process of this broker is still in charge."""
-        self._held = []
+        self._buffered = []
 
-    def let_through(self) -> None:
+    def deliver_buffered(self) -> None:
         """Tell the core what was kept, and all that comes from now on."""
-        held, self._held = self._held or [], None
-        for message in held:
+        buffered, self._buffered = self._buffered or [], None
+        for message in buffered:
             self._post(message)
 
-    def release(self) -> None:
+    def drain_and_close(self) -> None:
         """Let go of the address, once all that has come to it is read.
 
         Connected to a port from which nothing comes, the socket gets no more: the system gives what comes
@@ -94,15 +94,15 @@
         if number is None or len(data) > DATAGRAM_BYTES:
             self.counts["junk"] += 1
             return
-        if self._held is None:
+        if self._buffered is None:
             self._post(ev.PeerMessageReceived(number, data))
-        elif len(self._held) < HELD_MOST:
-            self._held.append(ev.PeerMessageReceived(number, data))
+        elif len(self._buffered) < HELD_MOST:
+            self._buffered.append(ev.PeerMessageReceived(number, data))
 
     def error_received(self, exc: Exception) -> None:
         self.counts["errors"] += 1
 
-    def tell(self, head: int, body: bytes) -> None:
+    def send(self, head: int, body: bytes) -> None:
         """Send one message; it may be lost."""
         if self._transport is None or not 0 <= head < len(self._peers) or len(body) > DATAGRAM_BYTES:
             self.counts["unsent"] += 1
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -36,7 +36,7 @@
 from fnmatch import fnmatchcase
 from typing import Any
 
-from harriertide.http.socket_state import unread
+from harriertide.http.socket_state import has_unread_input
 
 Headers = dict[str, str]
 PATIENCE_S = 5.0
@@ -269,7 +269,7 @@
         assert last is not None
         transport = last.writer.transport
         while transport.get_write_buffer_size() or any(
-            unread(each.transport) for each in self.daemon.client.pool.connections()
+            has_unread_input(each.transport) for each in self.daemon.client.pool.connections()
         ):
             await asyncio.sleep(0)
         end = transport.get_extra_info("socket")
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -75,9 +75,9 @@
     """asyncio closes the descriptor a turn later; what is written meanwhile must not overtake it."""
 
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
-        line = await client.pool.open(client._find("n0") or "")
+        line = await client.pool.connect(client._find("n0") or "")
         assert isinstance(line, NodeConnection)
-        line.ask(GET, None)
+        line.send_request(GET, None)
         await box.asked.get()
         end = box.lines[0].writer.transport.get_extra_info("socket")
         line.abort()  # and no turn of the loop
@@ -92,10 +92,10 @@
 
     async def play(runtime: Runtime, client: NodeClient, box: Stand) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(arrival(runtime))])
-        line = await client.pool.open(client._find("n0") or "")
+        line = await client.pool.connect(client._find("n0") or "")
         assert isinstance(line, NodeConnection)
-        line.ask(GET, None)
-        client.pool.begin(line, "r")
+        line.send_request(GET, None)
+        client.pool.mark_active(line, "r")
         await box.asked.get()
         second = asyncio.create_task(client.exchange(attempt(runtime), "GET", "/api", {}, b""))
         await asyncio.sleep(0.05)
@@ -105,7 +105,7 @@
         asked[3].writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         kind, reply = await second
         assert kind == "ok" and reply is not None and reply.body == b"ok"
-        assert client.pool.at_work("r") is None
+        assert client.pool.active_connection("r") is None
 
     beside_a_box(play, [api.StartAttempt("r", "n0", 0)])
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,10 +9,10 @@
 import pytest
 
 from harriertide.http import body_stream, client_connections, node_client
-from harriertide.http.node_client import FIRST_BYTES
-from harriertide.http.node_connection import RELAY_HELD
+from harriertide.http.node_client import FIRST_PART_BYTES
+from harriertide.http.node_connection import FORWARD_BUFFER_BYTES
 from harriertide.platform import connection
-from harriertide.platform.connection import SMALL_BYTES
+from harriertide.platform.connection import ALWAYS_BUFFERED_BYTES
 from tests.scenario import Line
 from tests.test_crossings import House, inside
 from tests.test_crossings import answer as reply
@@ -84,7 +84,7 @@
         got = await all_of(client)
         assert body_of(got) == LONG
         assert version == "1.1" or b"chunked" not in got.partition(b"\r\n\r\n")[0]
-        assert house.daemon.client.pool._held == 0
+        assert house.daemon.client.pool._buffered_bytes == 0
 
     inside(play)
 
@@ -98,12 +98,12 @@
         async with asyncio.timeout(2):
             while not house.daemon.core.counts["served"]:
                 await asyncio.sleep(0.005)
-        assert house.daemon.core.owed() == 0 and len(house.daemon.clients.lines("busy")) == 1
+        assert house.daemon.core.owed() == 0 and len(house.daemon.clients.in_state("busy")) == 1
         await asyncio.sleep(0.15)  # more than an answer may stop short that is held
         line.writer.write(LONG[1000:])
         assert body_of(await all_of(client, LONG[-2000:])) == LONG
         async with asyncio.timeout(2):
-            while not house.daemon.clients.lines("idle"):
+            while not house.daemon.clients.in_state("idle"):
                 await asyncio.sleep(0.005)
         await asyncio.sleep(0.02)
         client.sendall(ask(house))
@@ -120,11 +120,11 @@
         client.sendall(ask(house, "Connection: close\r\n"))
         line = await house.asked()
         line.writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG))
-        line.writer.write(LONG[:FIRST_BYTES])
-        for byte in LONG[FIRST_BYTES : FIRST_BYTES + 40]:
+        line.writer.write(LONG[:FIRST_PART_BYTES])
+        for byte in LONG[FIRST_PART_BYTES : FIRST_PART_BYTES + 40]:
             line.writer.write(bytes([byte]))
             await asyncio.sleep(0.005)
-        line.writer.write(LONG[FIRST_BYTES + 40 :])
+        line.writer.write(LONG[FIRST_PART_BYTES + 40 :])
         assert body_of(await all_of(client)) == LONG
 
     inside(play)
@@ -150,7 +150,7 @@
         else:
             assert len(body) < len(LONG)
         await house.settle()
-        assert house.box.asked.empty() and house.daemon.client.pool._held == 0
+        assert house.box.asked.empty() and house.daemon.client.pool._buffered_bytes == 0
 
     inside(play)
 
@@ -196,11 +196,11 @@
         written = asyncio.create_task(_write(line, size))
         await asyncio.sleep(0.3)
         assert not written.done()  # what the sockets hold is not all of it
-        (mine,) = house.daemon.clients.lines("busy")
+        (mine,) = house.daemon.clients.in_state("busy")
         held = mine.unsent() + sum(
             each._payload._size for each in house.daemon.client.pool._all if each._payload is not None
         )
-        assert held <= RELAY_HELD + FIRST_BYTES
+        assert held <= FORWARD_BUFFER_BYTES + FIRST_PART_BYTES
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         assert len(body_of(await all_of(client))) == size
         await written
@@ -225,7 +225,7 @@
             await asyncio.sleep(0.005)
         client.close()
         async with asyncio.timeout(2):
-            while len(house.daemon.client.pool) or house.daemon.client.pool._held:
+            while len(house.daemon.client.pool) or house.daemon.client.pool._buffered_bytes:
                 await asyncio.sleep(0.005)
 
     inside(play)
@@ -244,7 +244,7 @@
             line.writer.write(ANSWERS["a length"])
             await line.writer.drain()
         async with asyncio.timeout(2):
-            while len(house.daemon.client.pool) or house.daemon.client.pool._held:
+            while len(house.daemon.client.pool) or house.daemon.client.pool._buffered_bytes:
                 await asyncio.sleep(0.005)
 
     inside(play)
@@ -253,7 +253,7 @@
 def test_a_node_that_falls_silent_in_a_long_answer_holds_its_client_for_no_longer_than_it_must(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(body_stream, "IDLE_S", 0.1)
+    monkeypatch.setattr(body_stream, "STREAM_IDLE_TIMEOUT_S", 0.1)
 
     async def play(house: House) -> None:
         client = house.client()
@@ -280,7 +280,7 @@
         assert body == LONG and headers["Content-Length"] == str(len(LONG))
         reply(line)
         assert (await all_of(client)).endswith(b"ok")
-        assert house.daemon.bodies.used == 0
+        assert house.daemon.bodies.reserved_bytes == 0
 
     inside(play)
 
@@ -289,11 +289,11 @@
     """Whole, or as far as it had come when it was sent on: the connection keeps no copy of it."""
 
     async def play(house: House) -> None:
-        for size in (SMALL_BYTES, len(LONG)):
+        for size in (ALWAYS_BUFFERED_BYTES, len(LONG)):
             client = house.client()
             client.sendall(ask(house, f"Content-Length: {size}\r\n", "PUT") + LONG[:size])
             _, _, body, line = await house.box.asked.get()
-            (mine,) = house.daemon.clients.lines("busy")
+            (mine,) = house.daemon.clients.in_state("busy")
             assert body == LONG[:size] and mine._kept == []  # type: ignore[attr-defined]
             reply(line)
             assert (await all_of(client, b"ok")).endswith(b"ok")
@@ -333,7 +333,7 @@
 @pytest.fixture
 def little(monkeypatch: pytest.MonkeyPatch) -> None:
     """No budget for bodies beyond the small ones."""
-    monkeypatch.setattr(body_stream.BodyBudget, "take", lambda self, size, at_any_rate=False: at_any_rate)
+    monkeypatch.setattr(body_stream.BodyBudget, "reserve", lambda self, size, may_exceed=False: may_exceed)
 
 
 def test_a_request_that_memory_has_no_room_for_passes_as_it_comes(little: None) -> None:
@@ -401,7 +401,7 @@
             while not house.box.partial or len(house.daemon.client.pool):
                 await asyncio.sleep(0.005)
         await house.settle()
-        assert house.box.asked.empty() and house.daemon.bodies.used == 0
+        assert house.box.asked.empty() and house.daemon.bodies.reserved_bytes == 0
 
     inside(play)
 
@@ -437,10 +437,10 @@
 
 
 def test_who_sends_slowly_is_given_time_by_what_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "READ_S", 0.3)
+    monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.3)
 
     async def play(house: House) -> None:
-        body = LONG[:SMALL_BYTES]
+        body = LONG[:ALWAYS_BUFFERED_BYTES]
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(body)}\r\n", "PUT"))
         for at in range(0, len(body), 8_192):
@@ -462,5 +462,5 @@
 
 
 def test_the_first_part_is_no_longer_than_it_must_be() -> None:
-    assert node_client.SOME_BYTES < FIRST_BYTES <= RELAY_HELD
-    assert RELAY_HELD <= 128 * 1024  # of each of many answers at once
+    assert node_client.FIRST_PART_MIN_BYTES < FIRST_PART_BYTES <= FORWARD_BUFFER_BYTES
+    assert FORWARD_BUFFER_BYTES <= 128 * 1024  # of each of many answers at once
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -28,7 +28,7 @@
 from harriertide.library.types import Ask, Attempt, BoxError, FailedError
 from harriertide.library.web import Guard
 from harriertide.platform.configuration import Config
-from harriertide.platform.peers import address
+from harriertide.platform.peers import parse_address
 from tests.scenario import Line, Stand, World
 from tests.test_net import OPERATOR, WIRE
 
@@ -68,7 +68,7 @@
         """A client that was answered, its connection in this state."""
         client = self.client()
         client.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-        while not self.daemon.clients.lines(state):
+        while not self.daemon.clients.in_state(state):
             await asyncio.sleep(0)
         return client
 
@@ -108,9 +108,9 @@
         else:
             host = World({}, ports, None).host("b1", "up")
             config = Config(
-                name="n", listen=address("127.0.0.1:0"), discovery=f"127.0.0.1:{ports['s']}", seed=1,
+                name="n", listen=parse_address("127.0.0.1:0"), discovery=f"127.0.0.1:{ports['s']}", seed=1,
                 settings=from_wire(wire), names=names_from_wire(wire), peer_listen=None, peers=[],
-                known={"seq": 7, "whole": True, "hosts": [host]}, raw_settings=wire,
+                cached_list={"seq": 7, "whole": True, "hosts": [host]}, raw_settings=wire,
             )  # fmt: skip
             daemon = Daemon(replace(config, **stated), None)  # type: ignore[arg-type]
         await daemon.start()
@@ -143,7 +143,7 @@
         client = house.client()
         client.sendall(house.request())
         line = await house.asked()
-        (mine,) = house.daemon.clients.lines("busy")
+        (mine,) = house.daemon.clients.in_state("busy")
         assert isinstance(mine.transport, asyncio.Transport)
         mine.transport.pause_reading()
         client.sendall(FLOOD)
@@ -184,7 +184,7 @@
         client = house.client()
         client.sendall(b"PUT /v/key HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab")
         line = await house.asked()
-        (mine,) = house.daemon.clients.lines("busy")
+        (mine,) = house.daemon.clients.in_state("busy")
         assert isinstance(mine.transport, asyncio.Transport)
         mine.transport.pause_reading()
         client.sendall(FLOOD)
@@ -282,7 +282,7 @@
         client = await house.resting("/health/ready", "idle")
         client.setblocking(False)
         assert client.recv(65536).endswith(b"ready\n")
-        assert house.daemon.clients._make_room(False)
+        assert house.daemon.clients._evict(False)
         assert client.recv(65536) == b""  # no turn of the loop has passed; without its end this would block
         client.sendall(house.request())
         await house.settle()
@@ -309,7 +309,7 @@
 def test_a_flood_behind_the_last_answer_is_read_no_further_than_its_bound() -> None:
     async def play(house: House) -> None:
         client = await house.resting("/nowhere", "lingering")
-        (mine,) = house.daemon.clients.lines("lingering")
+        (mine,) = house.daemon.clients.in_state("lingering")
         client.setblocking(False)
         loop = asyncio.get_running_loop()
         with suppress(ConnectionError):
@@ -331,7 +331,10 @@
         house.daemon.clients.close_idle()
         while len(house.daemon.clients):
             await asyncio.sleep(0.01)
-        assert loop.time() - begun < client_connections.LINGER_S + 2 * client_connections.SWEEP_S + 0.2
+        assert (
+            loop.time() - begun
+            < client_connections.LINGER_TIMEOUT_S + 2 * client_connections.SWEEP_INTERVAL_S + 0.2
+        )
         client.close()
 
     inside(play)
@@ -347,7 +350,7 @@
         daemon, client = house.daemon, house.client()
         whole = house.request("PUT", b"body")
         client.sendall(whole[:-2])
-        while not daemon.clients.lines("reading"):
+        while not daemon.clients.in_state("reading"):
             await asyncio.sleep(0)
         post = daemon.runtime.post
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,7 +17,7 @@
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
 from harriertide.platform.configuration import BadConfigError, read_config
-from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.discovery import EndpointDirectory, EndpointWatch
 from tests.test_net import OK, WIRE, play
 
 PUSHED: dict[str, Any] = {**WIRE, "membershipMode": "push"}
@@ -190,8 +190,8 @@
 ) -> None:
     from harriertide.platform import discovery
 
-    monkeypatch.setattr(discovery, "PUSH_HEAD_S", 0.15)
-    monkeypatch.setattr(discovery, "QUIET_S", 0.3)
+    monkeypatch.setattr(discovery, "PUSHED_HEAD_TIMEOUT_S", 0.15)
+    monkeypatch.setattr(discovery, "WATCH_SILENCE_S", 0.3)
     script = f"""{WATCHED}
         s expect GET /registry/instances?watch=1&after=7
         s expect GET /registry/instances?watch=1&after=7
@@ -463,17 +463,17 @@
         if event.update.entries:
             told.append((loop.time(), event.update))
 
-    directory = Directory({})
+    directory = EndpointDirectory({})
     hosts = [{"host": n, "dial": "127.0.0.1:1", "block": 0, "health": "up"} for n in ("b1", "b2")]
-    directory.read({"seq": 7, "whole": True, "hosts": hosts}, "cached")
+    directory.apply({"seq": 7, "whole": True, "hosts": hosts}, "cached")
     address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
-    watch = Watch(address, directory, post)
-    watch.follow(pushed=True)
+    watch = EndpointWatch(address, directory, post)
+    watch.set_pushed(True)
     await until(loop.time() + 10.0)
     assert agent.watches == 1 and not told
     agent.silent = True
     await until(loop.time() + 30.0)
-    assert directory.known() == 2 and not told  # silence is no news
+    assert directory.address_count() == 2 and not told  # silence is no news
     assert 10 <= agent.watches <= 31
     agent.silent, agent.lines = False, [json.dumps({"seq": 9, "whole": False, "hosts": [
         {**hosts[0], "health": "draining"}]})]  # fmt: skip
--- a/tests/test_less_room.py
+++ b/tests/test_less_room.py
@@ -12,7 +12,7 @@
 from tests.test_bodies import all_of, ask
 from tests.test_crossings import House, answer, inside
 
-LIMITS = Limits.share(96, 40)  # some 40 connections of clients
+LIMITS = Limits.from_resources(96, 40)  # some 40 connections of clients
 BATCHES, BATCH, HONEST = 10, 60, 5
 HALF_A_HEAD = b"GET /api HTTP/1.1\r\nHost: "
 
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -19,7 +19,10 @@
 HEADS, SHARDS, SECOND = 200, 119, 1_000_000
 WITHIN_US = 8 * SECOND
 # between two calls: one may last CONNECT_S and HEAD_S before it fails, the next is answered within a second
-LONGEST_US = int((discovery.TOLD_S - discovery.CONNECT_S - discovery.HEAD_S - 1.0) * SECOND)
+LONGEST_US = int(
+    (discovery.NOTIFICATION_DEADLINE_S - discovery.CONNECT_TIMEOUT_S - discovery.HEAD_TIMEOUT_S - 1.0)
+    * SECOND
+)
 MASS = replace(SETTINGS, broker_count=HEADS, shard_count=SHARDS)
 SHAPES = {
     "first": MASS,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,11 +17,11 @@
 from harriertide.decide.settings import from_wire, names_from_wire
 from harriertide.http import client_connections
 from harriertide.http.node_connection import NodeConnection
-from harriertide.http.node_pool import Pool
+from harriertide.http.node_pool import NodeConnectionPool
 from harriertide.objects.catalogue import Catalogue
 from harriertide.platform import connection, discovery
 from harriertide.platform.configuration import Config
-from harriertide.platform.peers import address
+from harriertide.platform.peers import parse_address
 from tests.scenario import Stand, World
 from tests.test_wire import SETTINGS
 
@@ -750,14 +750,14 @@
     else:
         config = Config(
             name="n",
-            listen=address("127.0.0.1:0"),
+            listen=parse_address("127.0.0.1:0"),
             discovery=f"127.0.0.1:{ports['s']}",
             seed=1,
             settings=from_wire(wire),
             names=names_from_wire(wire),
             peer_listen=None,
             peers=[],
-            known={"seq": 7, "whole": True, "hosts": [world.host("b1", "up"), world.host("b2", "up")]},
+            cached_list={"seq": 7, "whole": True, "hosts": [world.host("b1", "up"), world.host("b2", "up")]},
             raw_settings=wire,
         )
 
@@ -852,7 +852,7 @@
 def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(answer: str, tmp_path: Path) -> None:
     """Guards against answers without bounds, and against passing on what no box made."""
     script = f"""
-        d set boxes.answer=65536
+        d set boxes.max_response_bytes=65536
         c send GET /api @0
         b1 expect GET /api
         b1 send bytes '{answer}'
@@ -889,7 +889,7 @@
         b2 expect GET /api
         b2 send 200 body=400000*x
         c3 expect 200 body=400000*x
-        d set boxes.held_most=1000
+        d set boxes.max_buffered_bytes=1000
         c send GET /api @0
         b1 expect GET /api
         b1 send 200 body=800*x
@@ -912,7 +912,7 @@
 
 def test_answers_that_nobody_reads_do_not_use_up_the_memory(tmp_path: Path) -> None:
     script = """
-        d set clients.held_most=10000
+        d set clients.max_unsent_bytes=10000
         c send GET /api @0
         b1 expect GET /api
         b1 send 200 body=8000000*x
@@ -924,7 +924,7 @@
 def test_connections_to_boxes_stay_within_their_bound_and_idle_ones_make_room(tmp_path: Path) -> None:
     """Guards against the pool using up the descriptors: past its bound a request is turned away early."""
     script = f"""
-        d set boxes.most=1
+        d set boxes.max_connections=1
         c send GET /api @0
         b1 expect GET /api
         c2 send GET /api @1
@@ -956,7 +956,7 @@
 
 
 def test_a_watch_that_falls_silent_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "QUIET_S", 0.4)
+    monkeypatch.setattr(discovery, "WATCH_SILENCE_S", 0.4)
     script = f"""{WATCH}
         wait 0.3
         s send raw ''
@@ -970,14 +970,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Decided before the drain was told, written after it: what the look at the moment of writing is for."""
-    connect = Pool.open
+    connect = NodeConnectionPool.connect
 
-    async def slow(pool: Pool, address: str) -> NodeConnection | None:
+    async def slow(pool: NodeConnectionPool, address: str) -> NodeConnection | None:
         line = await connect(pool, address)
         await asyncio.sleep(0.15)
         return line
 
-    monkeypatch.setattr(Pool, "open", slow)
+    monkeypatch.setattr(NodeConnectionPool, "connect", slow)
     script = f"""{WATCH}
         wait 0.3
         c send GET /api @0
@@ -994,7 +994,7 @@
 ) -> None:
     """Guards against kept or silent connections using up the descriptors."""
     script = f"""
-        d set clients.most=2
+        d set clients.max_connections=2
         c send GET /api @0
         b1 expect GET /api
         c2 send GET /health/ready
@@ -1009,7 +1009,7 @@
 
 def test_with_all_connections_at_work_a_new_one_is_turned_away(tmp_path: Path) -> None:
     script = f"""
-        d set clients.most=1
+        d set clients.max_connections=1
         c send GET /api @0
         b1 expect GET /api
         c2 send
@@ -1036,7 +1036,7 @@
     send: str, objects: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client that waits for its answer, meanwhile, is not held to it."""
-    monkeypatch.setattr(client_connections, "READ_S", 0.4)
+    monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.4)
     if objects:
         if "PUT" in send or "ready" in send:
             pytest.skip("bodies have the deadline of their call there; there is no such route")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,7 +10,7 @@
 import pytest
 
 from harriertide.http import client_connections
-from harriertide.http.limits import OPERATORS, Limits
+from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT, Limits
 from harriertide.http.listener import listen
 from harriertide.lifecycle import operator_api
 from harriertide.lifecycle.machine import Lifecycle, Stage
@@ -180,9 +180,17 @@
 
 
 def test_descriptors_of_callers_are_kept_from_clients() -> None:
-    without, with_callers = Limits.share(384, 80), Limits.share(384, 80, OPERATORS)
-    taken = without.clients + without.boxes - with_callers.clients - with_callers.boxes
-    assert taken >= 0.9 * OPERATORS - 1
+    without, with_callers = (
+        Limits.from_resources(384, 80),
+        Limits.from_resources(384, 80, OPERATOR_DESCRIPTOR_COUNT),
+    )
+    taken = (
+        without.max_client_connections
+        + without.max_node_connections
+        - with_callers.max_client_connections
+        - with_callers.max_node_connections
+    )
+    assert taken >= 0.9 * OPERATOR_DESCRIPTOR_COUNT - 1
 
 
 # --- the drain -----------------------------------------------------------------------------------
@@ -194,7 +202,7 @@
 
 def drain(play: Callable[[House, int], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
     """Play on a daemon with an operators' address, whose drains are short."""
-    monkeypatch.setattr(client_connections, "RETIRE_S", 0.1)
+    monkeypatch.setattr(client_connections, "RETIRE_DELAY_S", 0.1)
 
     async def main(house: House) -> None:
         await play(house, house.daemon.operator_port())
@@ -249,7 +257,11 @@
         assert b"200 OK" in await house.read(late)
         for client in resting:
             assert (await house.read(client)).endswith(b"ready\n")  # to an end in order, no reset
-        assert [len(house.daemon.clients.lines(state)) for state in ("silent", "idle", "busy")] == [0, 0, 1]
+        assert [len(house.daemon.clients.in_state(state)) for state in ("silent", "idle", "busy")] == [
+            0,
+            0,
+            1,
+        ]
         reply(line)
         assert b"200 OK" in await house.read(busy)
 
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -57,7 +57,7 @@
 
 def test_a_difference_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The comparison must be able to fail: a library that keeps 1 ms less of the client's time."""
-    monkeypatch.setattr(parity, "SENT_BEFORE_US", parity.SENT_BEFORE_US + 1_000)
+    monkeypatch.setattr(parity, "DEADLINE_MARGIN_US", parity.DEADLINE_MARGIN_US + 1_000)
     workload, _ = plant.draw("calm", 7, 1.0)
     daemon, library = parity.play(workload, lambda: plant.draw("calm", 7, 1.0)[1])
     matched, differ = parity.compare(daemon, library)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -17,17 +17,17 @@
 from harriertide.decide.settings import Part, from_wire, names_from_wire
 from harriertide.engine import counts, log
 from harriertide.engine.clock import Clock
-from harriertide.http.limits import OWN, OWN_MB, Limits, read_limits
-from harriertide.http.node_client import KEEP_PART, NodeClient
-from harriertide.http.node_pool import Pool
+from harriertide.http.limits import OWN_DESCRIPTOR_COUNT, OWN_MEMORY_MB, Limits, read_limits
+from harriertide.http.node_client import IDLE_KEEP_RATIO, NodeClient
+from harriertide.http.node_pool import NodeConnectionPool
 from harriertide.objects import s3
-from harriertide.platform.discovery import Directory
-from harriertide.platform.fields import MalformedError, read_arrival, read_fields
+from harriertide.platform.discovery import EndpointDirectory
+from harriertide.platform.fields import MalformedRequestError, read_arrival, read_fields
 from harriertide.platform.peers import Peers
 from tests.helpers import SETTINGS
 from tests.test_net import WIRE
 
-LIMITS = Limits.share(256, 64)
+LIMITS = Limits.from_resources(256, 64)
 GOOD = {
     "X-Call-Id": "i",
     "X-Call-Class": "page-read",
@@ -56,7 +56,7 @@
 def test_any_header_is_read_or_said_to_be_malformed(name: str, value: str, target: str) -> None:
     try:
         arrival("GET", f"/api?{target}", {**GOOD, name: value})
-    except MalformedError as reason:
+    except MalformedRequestError as reason:
         assert str(reason)
 
 
@@ -75,7 +75,7 @@
     ],
 )
 def test_figures_that_cannot_be_are_malformed(name: str, value: str) -> None:
-    with pytest.raises(MalformedError, match=name):
+    with pytest.raises(MalformedRequestError, match=name):
         arrival("GET", "/api", {**GOOD, name: value})
 
 
@@ -117,9 +117,9 @@
         at = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
         peers = Peers(["127.0.0.1:1", at], 0, lambda event: None)
         await loop.create_datagram_endpoint(lambda: peers, local_addr=("127.0.0.1", 0))
-        peers.tell(1, b"x" * 257)
-        peers.tell(5, b"nobody")
-        peers.tell(1, b"x" * 256)
+        peers.send(1, b"x" * 257)
+        peers.send(5, b"nobody")
+        peers.send(1, b"x" * 256)
         async with asyncio.timeout_at(loop.time() + 5):
             assert len(await got.get()) == 256
         assert peers.counts["unsent"] == 2
@@ -142,8 +142,12 @@
 def test_idle_connections_are_dropped_before_the_node_would() -> None:
     async def main() -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
-        pool = Pool(LIMITS, 0.05)
-        assert NodeClient(lambda node: None, 250_000, 10_000_000, LIMITS).pool.keep_s == KEEP_PART * 10 < 10
+        pool = NodeConnectionPool(LIMITS, 0.05)
+        assert (
+            NodeClient(lambda node: None, 250_000, 10_000_000, LIMITS).pool.idle_timeout_s
+            == IDLE_KEEP_RATIO * 10
+            < 10
+        )
         line = await pool.open(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         assert line is not None and len(pool) == 1
         pool.rest(line)
@@ -157,24 +161,34 @@
 
 def test_the_stated_descriptors_are_shared_out_with_some_left_over() -> None:
     for sockets in (64, 256, 384, 1024):
-        limits = Limits.share(sockets, 64)
-        assert limits.clients + limits.boxes + OWN < sockets or sockets == 64
+        limits = Limits.from_resources(sockets, 64)
+        assert (
+            limits.max_client_connections + limits.max_node_connections + OWN_DESCRIPTOR_COUNT < sockets
+            or sockets == 64
+        )
         # clients hold up to a third of them for requests
-        assert sockets == 64 or limits.clients >= sockets / 3 and limits.boxes >= sockets / 4
-        assert limits.held + limits.answer < (64 - OWN_MB) << 20 and limits.answer >= 1 << 20
-    assert read_limits(Part({"sockets": 300, "memory_mb": 80}, "limits")) == Limits.share(300, 80)
+        assert (
+            sockets == 64
+            or limits.max_client_connections >= sockets / 3
+            and limits.max_node_connections >= sockets / 4
+        )
+        assert (
+            limits.max_buffered_response_bytes + limits.max_response_bytes < (64 - OWN_MEMORY_MB) << 20
+            and limits.max_response_bytes >= 1 << 20
+        )
+    assert read_limits(Part({"sockets": 300, "memory_mb": 80}, "limits")) == Limits.from_resources(300, 80)
     with pytest.raises(ValueError, match="limits.sockets"):
         read_limits(Part({"sockets": 10}, "limits"))
 
 
 def test_the_address_of_a_node_that_is_gone_goes_too() -> None:
     """Guards against growth where nodes are replaced all day."""
-    directory = Directory({})
+    directory = EndpointDirectory({})
     for number in range(50):
         host = {"host": f"h{number}", "dial": f"127.0.0.1:{number + 1}", "block": 0, "health": "up"}
-        directory.read({"seq": number, "hosts": [host]})
-        directory.read({"seq": number, "hosts": [{**host, "health": "removed"}]})
-    assert directory.known() == 0
+        directory.apply({"seq": number, "hosts": [host]})
+        directory.apply({"seq": number, "hosts": [{**host, "health": "removed"}]})
+    assert directory.address_count() == 0
 
 
 def test_the_module_books_cold_sends_in_a_window_longer_by_what_writing_may_take() -> None:
@@ -191,8 +205,8 @@
     host = {"host": "h", "dial": "127.0.0.1:1", "site": "a", "block": 3, "health": "up", "born_ms": 1_700_000}
     gone = {**host, "host": "g", "born_ms": 0, "health": "removed"}
     page = {"seq": 5, "whole": False, "hosts": [host, gone]}
-    directory = Directory({"a": 0})
-    first, second = directory.read(page).entries
+    directory = EndpointDirectory({"a": 0})
+    first, second = directory.apply(page).entries
     assert (first.started_us, first.shard, first.state) == (1_700_000_000, 3, "live")
     assert (second.started_us, second.state) == (0, "gone")
     assert directory.seq == 5 and directory.find("h") == "127.0.0.1:1" and directory.find("g") is None
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from harriertide.platform.discovery import TOLD_S
+from harriertide.platform.discovery import NOTIFICATION_DEADLINE_S
 from tests.test_net import WIRE
 
 ROOT = Path(__file__).parent.parent
@@ -123,11 +123,11 @@
         try:
             assert ready(port).startswith(b"HTTP/1.1 200")
             discovery.listen()
-            discovery.settimeout(TOLD_S)
+            discovery.settimeout(NOTIFICATION_DEADLINE_S)
             begun = time.monotonic()
             call, _ = discovery.accept()
             assert call.recv(65536).startswith(b"GET /registry/instances?watch=1")
-            assert time.monotonic() - begun < TOLD_S
+            assert time.monotonic() - begun < NOTIFICATION_DEADLINE_S
             call.close()
             assert ready(port).startswith(b"HTTP/1.1 200")
         finally:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -16,7 +16,15 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.runtime import Runtime
 from harriertide.lab import virtual
-from harriertide.platform.discovery import CONNECT_S, HEAD_S, QUIET_S, TOLD_S, Directory, Objects, Watch
+from harriertide.platform.discovery import (
+    CONNECT_TIMEOUT_S,
+    HEAD_TIMEOUT_S,
+    NOTIFICATION_DEADLINE_S,
+    WATCH_SILENCE_S,
+    EndpointDirectory,
+    EndpointWatch,
+    JsonObjectStream,
+)
 from tests.helpers import SETTINGS
 
 LIST = b'{"seq":7,"whole":true,"hosts":[]}\n'
@@ -51,7 +59,7 @@
         silent = Silent(answers)
         server = await asyncio.start_server(silent.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        watch = Watch(f"127.0.0.1:{port}", Directory({}), post)
+        watch = EndpointWatch(f"127.0.0.1:{port}", EndpointDirectory({}), post)
         watch.open()
         await until(asyncio.get_running_loop().time() + seconds)
         await watch.close()
@@ -63,14 +71,18 @@
 
 def test_a_watch_that_falls_silent_is_opened_anew_in_time_and_without_the_core() -> None:
     asked, told = course([True, True, True], 7.0)
-    assert len(asked) == 3 and asked[1] - asked[0] < TOLD_S - 1.0 and asked[2] - asked[1] < TOLD_S - 1.0
+    assert (
+        len(asked) == 3
+        and asked[1] - asked[0] < NOTIFICATION_DEADLINE_S - 1.0
+        and asked[2] - asked[1] < NOTIFICATION_DEADLINE_S - 1.0
+    )
     assert told == ["full"] * 3
 
 
 def test_a_call_without_an_answer_is_made_again_once_and_then_the_core_says_when() -> None:
     """Guards against hundreds of brokers that press a discovery which answers nobody."""
     asked, told = course([False, False], 60.0)
-    assert len(asked) == 2 and asked[1] - asked[0] < TOLD_S - 1.0
+    assert len(asked) == 2 and asked[1] - asked[0] < NOTIFICATION_DEADLINE_S - 1.0
     assert told == ["failed"]
     asked, told = course([False, True, False], 60.0)
     assert len(asked) == 3 and told == ["full", "failed"]  # what has spoken again may fall silent again
@@ -181,8 +193,8 @@
         self.servers.append(server)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def watch(self, faulty: Faulty) -> Watch:
-        watch = Watch(await self.serve(faulty), Directory({}), self.runtime.post)
+    async def watch(self, faulty: Faulty) -> EndpointWatch:
+        watch = EndpointWatch(await self.serve(faulty), EndpointDirectory({}), self.runtime.post)
         self.runtime.watch = watch.open
         self.runtime.post(ev.EndpointsUpdated(api.EndpointUpdate("cached", (api.NodeEntry("n1", 0),))))
         await until(self.loop.time() + 0.01)
@@ -194,7 +206,7 @@
             await until(self.loop.time() + 0.05)
         return self.loop.time()
 
-    async def close(self, watch: Watch) -> None:
+    async def close(self, watch: EndpointWatch) -> None:
         await watch.close()
         await self.runtime.close(self.loop.time())
         for server in self.servers:
@@ -211,11 +223,11 @@
         faulty = Faulty(way, DRAIN_S + seed * 0.37)
         watch = await place.watch(faulty)
         due = faulty.begun + faulty.until
-        told = await place.told(due + 2 * TOLD_S)
+        told = await place.told(due + 2 * NOTIFICATION_DEADLINE_S)
         await place.close(watch)
         return told - due
 
-    assert max(virtual.run(play(seed)) for seed in range(12)) < TOLD_S
+    assert max(virtual.run(play(seed)) for seed in range(12)) < NOTIFICATION_DEADLINE_S
 
 
 @pytest.mark.parametrize("heads", [4, 200])
@@ -232,8 +244,8 @@
         fresh = Faulty(way, 0.5)
         fresh.calls = 1  # the first is to fail as well
         place.runtime.post(ev.SettingsChanged(place.settings))
-        watch.move(await place.serve(fresh))
-        told = await place.told(moved + 2 * TOLD_S)
+        watch.change_address(await place.serve(fresh))
+        told = await place.told(moved + 2 * NOTIFICATION_DEADLINE_S)
         await place.close(watch)
         return told - moved
 
@@ -241,10 +253,10 @@
 
 
 def test_the_longest_ways_to_hear_of_a_change_end_in_time() -> None:
-    call, answer = CONNECT_S + HEAD_S, 0.5
-    assert QUIET_S + call + answer <= TOLD_S
+    call, answer = CONNECT_TIMEOUT_S + HEAD_TIMEOUT_S, 0.5
+    assert WATCH_SILENCE_S + call + answer <= NOTIFICATION_DEADLINE_S
     assert (
-        scheduler_module.ASK_MOST_US / 1e6 + call + answer <= TOLD_S
+        scheduler_module.ASK_MOST_US / 1e6 + call + answer <= NOTIFICATION_DEADLINE_S
     )  # it came back right behind a call that failed
 
 
@@ -252,23 +264,23 @@
     one = {"a": '}]"{\\', "b": [{"c": 1}, {}]}
     text = orjson.dumps(one, option=orjson.OPT_INDENT_2) + b"\n\n" + b'{"d":2}\n'
     for size in (1, 7, len(text)):
-        objects, found = Objects(), []
+        objects, found = JsonObjectStream(), []
         for at in range(0, len(text), size):
             found += objects.feed(text[at : at + size])[0]
         assert [orjson.loads(each) for each in found] == [one, {"d": 2}]
-    assert Objects().feed(b"\n") == ([], True)
-    objects = Objects()
+    assert JsonObjectStream().feed(b"\n") == ([], True)
+    objects = JsonObjectStream()
     assert objects.feed(b'{"a":\n\n') == ([], False) and objects.feed(b"\n1}\n") == ([b'{"a":\n\n\n1}'], True)
 
 
 def test_an_older_list_brings_nothing_back_that_was_told_to_leave_or_has_started_since() -> None:
-    directory = Directory({})
+    directory = EndpointDirectory({})
 
     def read(
         seq: int, health: str, whole: bool, kind: str | None = None, born_ms: int = 0
     ) -> list[tuple[str, int]]:
         host = {**HOST, "health": health, "born_ms": born_ms}
-        news = directory.read({"seq": seq, "whole": whole, "hosts": [host]}, kind)
+        news = directory.apply({"seq": seq, "whole": whole, "hosts": [host]}, kind)
         return [(entry.state, entry.started_us) for entry in news.entries]
 
     assert read(7, "up", True, "cached") == [("live", 0)]
@@ -280,15 +292,15 @@
     assert read(3, "up", True) == [("live", 4000)]  # and is cold, whatever an older list says
     assert read(4, "removed", False) == [("gone", 0)]
     assert read(1, "up", True, "full") == [("gone", 0)] and directory.find("n1") is None
-    absent = Directory({})
-    absent.read({"seq": 7, "whole": True, "hosts": [HOST]})
-    absent.read({"seq": 8, "whole": True, "hosts": []})
-    assert absent.read({"seq": 6, "whole": True, "hosts": [HOST]}).entries[0].state == "gone"
+    absent = EndpointDirectory({})
+    absent.apply({"seq": 7, "whole": True, "hosts": [HOST]})
+    absent.apply({"seq": 8, "whole": True, "hosts": []})
+    assert absent.apply({"seq": 6, "whole": True, "hosts": [HOST]}).entries[0].state == "gone"
 
 
 def test_a_node_that_one_list_left_out_is_not_held_for_gone_once_a_newer_one_names_it() -> None:
-    directory = Directory({})
+    directory = EndpointDirectory({})
     for seq, hosts in ((7, [HOST]), (8, []), (9, [HOST])):
-        directory.read({"seq": seq, "whole": True, "hosts": hosts})
-    moved = directory.read({"seq": 2, "whole": True, "hosts": [HOST]}, "whole")  # discovery is elsewhere now
+        directory.apply({"seq": seq, "whole": True, "hosts": hosts})
+    moved = directory.apply({"seq": 2, "whole": True, "hosts": [HOST]}, "whole")  # discovery is elsewhere now
     assert [entry.state for entry in moved.entries] == ["live"] and directory.find("n1") == HOST["dial"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,13 +18,13 @@
 from harriertide.decide.settings import from_wire, names_from_wire
 from harriertide.decide.state import Store, Tally, Volume
 from harriertide.http.limits import Limits
-from harriertide.http.listener import IN_FLIGHT
+from harriertide.http.listener import UNREPORTED_ACCEPT_COUNT
 from harriertide.lifecycle import record, upgrade
 from harriertide.lifecycle.record import Handover, RecordError
 from harriertide.lifecycle.succession import LEASE_S, Succession
 from harriertide.lifecycle.upgrade import Hooks, Upgrade
 from harriertide.platform.configuration import BadConfigError, Config
-from harriertide.platform.discovery import Directory, DirectoryState
+from harriertide.platform.discovery import DirectoryState, EndpointDirectory
 from tests.helpers import START_US, BrokerUnderTest, sends
 from tests.scenario import Stand, World
 from tests.test_crossings import answer
@@ -249,9 +249,9 @@
 
 
 def test_the_newer_list_holds_and_drains_that_either_was_told() -> None:
-    old, new = Directory({}), Directory({})
-    old.read(page(9, "a", "b", "c", b="draining"))
-    new.read(page(5, "a", "b", "d"), "cached")
+    old, new = EndpointDirectory({}), EndpointDirectory({})
+    old.apply(page(9, "a", "b", "c", b="draining"))
+    new.apply(page(5, "a", "b", "d"), "cached")
     told = new.import_state(old.export_state())
     assert {entry.node_id: entry.state for entry in told.entries} == {
         "a": "live",
@@ -259,8 +259,8 @@
         "c": "live",
     }
     assert new.seq == 9 and new.find("c") == "c:1" and new.find("d") is None
-    newer = Directory({})
-    newer.read(page(12, "a", "b", "d"))
+    newer = EndpointDirectory({})
+    newer.apply(page(12, "a", "b", "d"))
     told = newer.import_state(old.export_state())
     assert {entry.node_id: entry.state for entry in told.entries} == {
         "a": "live",
@@ -425,7 +425,7 @@
         await platform.served(*kept)
         request = platform.request()
         half[1].write(request[:40])
-        while not old.clients.lines("reading"):
+        while not old.clients.in_state("reading"):
             await asyncio.sleep(0)
         await platform.process()
         stopping = asyncio.create_task(old.stop())
@@ -533,7 +533,7 @@
         old = await platform.process()
         old.life.evacuate()
         old.core.scheduler._cells[0].capacity = 42.0  # type: ignore[attr-defined]
-        old.directory.read(
+        old.directory.apply(
             {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
         )
         new = await platform.process()
@@ -577,18 +577,22 @@
 
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        clients, nodes = old.clients.most, old.client.pool.most
+        clients, nodes = old.clients.max_connections, old.client.pool.max_connections
         kept = [await platform.client() for _ in range(5)]
         for each in kept:
             await platform.served(*each)
         new = await platform.process()
-        assert len(old.clients) == 5 and new.clients.most == clients - 5 - IN_FLIGHT
-        assert old.client.pool.most >= len(old.client.pool)
-        assert old.client.pool.most + new.client.pool.most <= nodes
-        assert old.bodies.most == new.bodies.most == new.config.limits.bodies // 2
+        assert len(old.clients) == 5 and new.clients.max_connections == clients - 5 - UNREPORTED_ACCEPT_COUNT
+        assert old.client.pool.max_connections >= len(old.client.pool)
+        assert old.client.pool.max_connections + new.client.pool.max_connections <= nodes
+        assert (
+            old.bodies.limit_bytes
+            == new.bodies.limit_bytes
+            == new.config.limits.max_buffered_request_bytes // 2
+        )
         await old.stop()
         async with asyncio.timeout(PATIENCE_S):
-            while (new.clients.most, new.client.pool.most) != (clients, nodes):
+            while (new.clients.max_connections, new.client.pool.max_connections) != (clients, nodes):
                 await asyncio.sleep(0.01)
 
     on_platform(course, tmp_path, monkeypatch)
@@ -601,7 +605,9 @@
     async def course(platform: Platform) -> None:
         old = await platform.process()
         assert old.replacement is not None
-        clients = [socket.create_connection(platform.door.getsockname()) for _ in range(2 * IN_FLIGHT)]
+        clients = [
+            socket.create_connection(platform.door.getsockname()) for _ in range(2 * UNREPORTED_ACCEPT_COUNT)
+        ]
         for client in clients:
             client.sendall(platform.request())
         for _ in range(turns):
@@ -609,7 +615,7 @@
         old.replacement._supersede()
         await asyncio.sleep(0.05)
         assert old.clients.counts["turned_away"] == 0
-        assert len(old.clients) <= old.clients.most
+        assert len(old.clients) <= old.clients.max_connections
         for client in clients:
             client.close()
 
@@ -617,10 +623,16 @@
 
 
 def test_a_process_that_knows_nothing_of_the_other_goes_by_half(tmp_path: Path) -> None:
-    limits = Limits.share(384, 80)
+    limits = Limits.from_resources(384, 80)
     half = limits.half()
-    assert 2 * half.clients <= limits.clients and 2 * half.boxes <= limits.boxes
-    assert 2 * half.held <= limits.held and 2 * half.bodies <= limits.bodies
+    assert (
+        2 * half.max_client_connections <= limits.max_client_connections
+        and 2 * half.max_node_connections <= limits.max_node_connections
+    )
+    assert (
+        2 * half.max_buffered_response_bytes <= limits.max_buffered_response_bytes
+        and 2 * half.max_buffered_request_bytes <= limits.max_buffered_request_bytes
+    )
 
 
 def test_no_message_of_a_peer_is_lost_where_the_address_changes_hands(
