--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -28,7 +28,9 @@
 from harriertide.lifecycle.machine import Lifecycle
 from harriertide.platform.configuration import BadConfigError, Config, read_config
 from harriertide.platform.connection import PlatformServer
-from harriertide.platform.discovery import EndpointDirectory, EndpointWatch
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_page import EMPTY_PAGE
+from harriertide.platform.endpoint_watch import EndpointWatch
 from harriertide.platform.front import Front
 from harriertide.platform.peers import Peers, parse_address
 from harriertide.platform.probes import Probes
@@ -75,7 +77,7 @@
             from harriertide.config import model
 
             settings, names = model.settings(operator.state, list(operator.state["grades"])), _LOCAL
-            seed, known = time.time_ns(), {"seq": 0, "whole": True, "hosts": []}
+            seed, known = time.time_ns(), EMPTY_PAGE
         else:
             raise BadConfigError("nothing to serve")
         self.core, self.seed = Reducer(settings, seed), seed
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/bench_library.py
@@ -37,6 +37,7 @@
 from harriertide.lab import plant
 from harriertide.library import Ask, Attempt, Box, Broker, Fixed
 from harriertide.platform.configuration import Config
+from harriertide.platform.endpoint_page import parse_page
 
 WAYS = ("direct", "library", "daemon")
 FIGURES = ("p50", "p99", "p99.9", "cpu")
@@ -65,7 +66,9 @@
         known = {"seq": 0, "whole": True, "hosts": [
             {"host": "box-0", "dial": box, "site": "a", "block": 0, "health": "up", "born_ms": 0},
         ]}  # fmt: skip
-        config = Config("d", ("127.0.0.1", 0), "127.0.0.1:1", 1, SETTINGS, names, None, [], known)
+        config = Config(
+            "d", ("127.0.0.1", 0), "127.0.0.1:1", 1, SETTINGS, names, None, [], parse_page(known, {})
+        )
         daemon = Daemon(config, None)
         await daemon.start()
         gc.collect()
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/parity.py
@@ -37,6 +37,7 @@
 from harriertide.library import Ask, Attempt, Box, Broker, FailedError, Fixed, RefusedError
 from harriertide.library.exchange import Exchange, Loopback
 from harriertide.platform.configuration import Config
+from harriertide.platform.endpoint_page import EMPTY_PAGE
 from harriertide.platform.fields import DEADLINE_MARGIN_US
 
 LEAD_S = 0.5  # before the first row
@@ -128,7 +129,7 @@
         config = Config(
             "parity", ("127.0.0.1", 0), "127.0.0.1:1", workload.header.seed + place, own, names,
             ("127.0.0.1", FIRST_PORT + place) if brokers > 1 else None, peers,
-            {"seq": 0, "whole": True, "hosts": []},
+            EMPTY_PAGE,
         )  # fmt: skip
         daemon = Daemon(config, None)
         daemon.directory.find = places.get  # type: ignore[assignment]
--- a/harriertide/library/sources.py
+++ b/harriertide/library/sources.py
@@ -15,7 +15,8 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
-from harriertide.platform.discovery import EndpointDirectory, EndpointWatch
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_watch import EndpointWatch
 
 Post = Callable[[ev.Event], None]
 
@@ -164,7 +165,7 @@
 
     def start(self, post: Post) -> None:
         self._watch = EndpointWatch(self._address, self._directory, post)
-        post(ev.EndpointsUpdated(self._directory.apply(self._known, "cached")))
+        post(ev.EndpointsUpdated(self._directory.apply(self._directory.parse_page(self._known), "cached")))
         self._watch.set_pushed(self._pushed)
 
     def find(self, box: str) -> str | None:
--- a/harriertide/lifecycle/record.py
+++ b/harriertide/lifecycle/record.py
@@ -11,7 +11,7 @@
 from xxhash import xxh3_64_digest
 
 from harriertide.decide.handover import DecisionState
-from harriertide.platform.discovery import DirectoryState
+from harriertide.platform.endpoint_directory import DirectoryState
 
 VERSION = 2  # of the body's form: another one is set aside
 MAGIC = b"harriertide state %d\n" % VERSION
--- a/harriertide/platform/__init__.py
+++ b/harriertide/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: its front, its fields, discovery and the other brokers."""
+"""The platform's side of a broker: clients' protocol, discovery's endpoint list, other brokers."""
--- a/harriertide/platform/configuration.py
+++ b/harriertide/platform/configuration.py
@@ -1,4 +1,7 @@
-"""The configuration of a broker of the platform: LB_CONFIG, with the other LB_ variables over it."""
+"""The configuration of a broker of the platform: the file that LB_CONFIG names, below other LB_ variables.
+
+The words of the file and of the environment are mapped here and in `decide.settings`, and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -13,107 +16,177 @@
 from harriertide.decide import api
 from harriertide.decide.settings import Names, Part, SettingsError, from_wire, in_places, names_from_wire
 from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT, Limits, read_limits
-from harriertide.platform.discovery import EndpointDirectory
+from harriertide.platform.endpoint_page import EMPTY_PAGE, EndpointPage, EndpointPageError, parse_page
 from harriertide.platform.peers import parse_address
 
+MAX_PORT = 65535
+MAX_DESCRIPTOR_DIGITS = 7  # the system's own bound on descriptors has no more
+
+Address = tuple[str, int]
+
 
 class BadConfigError(SettingsError):
-    """The configuration cannot be used, in one plain line."""
+    """The configuration cannot be used; one plain line for the operator, who has to change it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a broker is told at its start."""
+    """What a broker is started with.
+
+    :param name: of the broker
+    :param listen: where clients of the platform connect
+    :param discovery: host:port of discovery, or of the agent that pushes its list
+    :param seed: of the decision module's random numbers
+    :param settings: of the decision module
+    :param names: of classes, plans and zones, and the figures that only sockets need
+    :param peer_listen: where other brokers' datagrams come in; None: they are not listened to
+    :param peers: host:port of each broker, in the order of their numbers
+    :param cached_list: the endpoint list as the platform last had it
+    :param writes: for each class, whether its requests change data
+    :param raw_settings: the settings as the file has them
+    :param operator: the address for operators' calls; None: there is none
+    :param inherited_descriptor: of the clients' listening socket, where the platform holds it
+    :param limits: on connections and memory
+    """
 
     name: str
-    listen: tuple[str, int]
+    listen: Address
     discovery: str
     seed: int
     settings: api.Settings
     names: Names
-    peer_listen: tuple[str, int] | None
+    peer_listen: Address | None
     peers: list[str]
-    cached_list: dict[str, Any]
+    cached_list: EndpointPage
     writes: tuple[bool, ...] = ()
     raw_settings: dict[str, Any] = field(default_factory=dict)
-    operator: tuple[str, int] | None = None  # the operators' address; None: there is none
-    inherited_descriptor: int | None = None  # of the clients' listening socket, where the platform holds it
+    operator: Address | None = None
+    inherited_descriptor: int | None = None
     limits: Limits = field(default_factory=read_limits)
 
 
-def _check_address(key: str, text: str) -> None:
-    """ValueError where it should be host:port and is not."""
-    if key == "name" or (key in ("peer_listen", "operator") and not text):
-        return
-    host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"{key}: must be host:port")
+@dataclass(frozen=True, slots=True)
+class _Addresses:
+    """The name of the broker and the addresses that it uses, as text."""
+
+    name: str
+    listen: str
+    discovery: str
+    peer_listen: str
+    operator: str
+    peers: list[str]
 
 
-def read_config(environment: Mapping[str, str], held: Config | None = None) -> Config:
-    """LB_CONFIG, with LB_NAME, LB_LISTEN and LB_DISCOVERY over it where they are set.
+def read_config(environment: Mapping[str, str], running: Config | None = None) -> Config:
+    """Read the file that LB_CONFIG names; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_OPERATOR go before it.
 
-    held: what a running daemon goes by. Then only the file counts, as the environment can't follow it, and
-    classes and plans keep their places.
+    :param running: the configuration that a running broker goes by. The file alone counts then, as a running
+        process cannot be given another environment, and classes and plans keep their numbers.
+    :raises BadConfigError: the configuration cannot be used
     """
-    path = environment.get("LB_CONFIG", "")
+    raw = _load_file(environment.get("LB_CONFIG", ""))
+    try:
+        return _parse_config(raw, {} if running is not None else environment, running)
+    except KeyError as gap:
+        raise BadConfigError(f"LB_CONFIG: {gap.args[0]} is missing or unknown") from None
+    except (TypeError, ValueError, AttributeError) as fault:
+        raise BadConfigError(f"LB_CONFIG: {fault}") from None
+
+
+def _load_file(path: str) -> Any:
     if not path:
         raise BadConfigError("LB_CONFIG is not set: it names the configuration file")
     try:
-        raw = orjson.loads(Path(path).read_bytes())
+        return orjson.loads(Path(path).read_bytes())
     except OSError as fault:
         raise BadConfigError(f"LB_CONFIG cannot be read: {fault.strerror}") from None
     except orjson.JSONDecodeError as fault:
         raise BadConfigError(f"LB_CONFIG is not JSON: {fault}") from None
+
+
+def _parse_config(raw: Any, environment: Mapping[str, str], running: Config | None) -> Config:
+    top = Part(raw, "")
+    addresses = _parse_addresses(top, environment)
+    inherited_descriptor = _parse_descriptor(environment.get("LB_INHERITED_FD", ""))
+    limits = top.part("limits") if raw.get("limits") else Part({}, "limits")
+    seed = _parse_seed(raw)
+    settings, names = _parse_settings(raw["settings"], running)
+    cached_list = _parse_cached_list(raw, names)
+    domain = Part(settings, "settings").part("domain")
+    serves_operators = bool(addresses.operator or (running and running.operator))
+    return Config(
+        name=addresses.name,
+        listen=parse_address(addresses.listen),
+        discovery=addresses.discovery,
+        seed=seed,
+        settings=from_wire(settings),
+        names=names,
+        peer_listen=parse_address(addresses.peer_listen) if addresses.peer_listen else None,
+        peers=addresses.peers,
+        cached_list=cached_list,
+        writes=domain.flags("writes"),
+        raw_settings=settings,
+        limits=read_limits(limits, OPERATOR_DESCRIPTOR_COUNT if serves_operators else 0),
+        operator=parse_address(addresses.operator) if addresses.operator else None,
+        inherited_descriptor=inherited_descriptor,
+    )
+
+
+def _parse_addresses(top: Part, environment: Mapping[str, str]) -> _Addresses:
+    addresses = _Addresses(
+        name=environment.get("LB_NAME") or top.text("name"),
+        listen=environment.get("LB_LISTEN") or top.text("listen"),
+        discovery=environment.get("LB_DISCOVERY") or top.text("discovery"),
+        peer_listen=top.text("peer_listen", ""),
+        peers=top.texts("peers"),
+        operator=environment.get("LB_OPERATOR") or top.text("operator", ""),
+    )
+    _check_address("listen", addresses.listen)
+    _check_address("discovery", addresses.discovery)
+    if addresses.peer_listen:
+        _check_address("peer_listen", addresses.peer_listen)
+    if addresses.operator:
+        _check_address("operator", addresses.operator)
+    for peer in addresses.peers:
+        _check_address("peers", peer)
+    return addresses
+
+
+def _check_address(key: str, text: str) -> None:
+    host, _, port = text.rpartition(":")
+    if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
+        raise ValueError(f"{key}: must be host:port")
+
+
+def _parse_descriptor(text: str) -> int | None:
+    if not text:
+        return None
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
+        raise ValueError("LB_INHERITED_FD: must be the number of a descriptor")
+    return int(text)
+
+
+def _parse_seed(raw: Mapping[str, Any]) -> int:
+    digits = str(raw.get("seed") or "0")
+    if not set(digits) <= set(hexdigits):
+        raise ValueError("seed: must be hex digits")
+    return int(digits, 16)
+
+
+def _parse_settings(stated: dict[str, Any], running: Config | None) -> tuple[dict[str, Any], Names]:
+    """The settings, with each class and plan in the place it has in the running broker, and their names."""
+    from_wire(stated)  # they must be good by themselves, before they are put in the running broker's places
+    if running is None:
+        return stated, names_from_wire(stated)
+    settings = in_places(stated, running.raw_settings)
+    return settings, names_from_wire(settings, stated)
+
+
+def _parse_cached_list(raw: Mapping[str, Any], names: Names) -> EndpointPage:
+    stated = raw.get("known")
+    if not stated:
+        return EMPTY_PAGE
     try:
-        top = Part(raw, "")
-        if held is not None:
-            environment = {}
-        keys = ("name", "listen", "discovery")
-        stated = {key: environment.get(f"LB_{key.upper()}") or top.text(key) for key in keys}
-        listens, peers = top.text("peer_listen", ""), top.texts("peers")
-        operator = environment.get("LB_OPERATOR") or top.text("operator", "")
-        stated_once = [*stated.items(), ("peer_listen", listens), ("operator", operator)]
-        for key, text in [*stated_once, *(("peers", peer) for peer in peers)]:
-            _check_address(key, text)
-        inherited = environment.get("LB_INHERITED_FD", "")
-        if inherited and not (inherited.isascii() and inherited.isdigit() and len(inherited) < 8):
-            raise ValueError("LB_INHERITED_FD: must be the number of a descriptor")
-        limits = top.part("limits") if raw.get("limits") else Part({}, "limits")
-        seed = str(raw.get("seed") or "0")
-        if not set(seed) <= set(hexdigits):
-            raise ValueError("seed: must be hex digits")
-        settings = raw["settings"]
-        from_wire(settings)  # good by itself, before it is put in the places of those held
-        names = names_from_wire(settings)
-        if held is not None:
-            settings = in_places(settings, held.raw_settings)
-            names = names_from_wire(settings, raw["settings"])
-        known = raw.get("known") or {"seq": 0, "whole": True, "hosts": []}
-        try:
-            EndpointDirectory(names.zones).apply(known, "cached")
-        except Exception as fault:
-            raise ValueError(f"known: is no list of nodes: {type(fault).__name__} {fault}") from None
-        domain = Part(settings, "settings").part("domain")
-        return Config(
-            name=stated["name"],
-            listen=parse_address(stated["listen"]),
-            discovery=stated["discovery"],
-            seed=int(seed, 16),
-            settings=from_wire(settings),
-            names=names,
-            peer_listen=parse_address(listens) if listens else None,
-            peers=peers,
-            cached_list=known,
-            writes=domain.flags("writes"),
-            raw_settings=settings,
-            limits=read_limits(
-                limits, OPERATOR_DESCRIPTOR_COUNT if operator or (held and held.operator) else 0
-            ),
-            operator=parse_address(operator) if operator else None,
-            inherited_descriptor=int(inherited) if inherited else None,
-        )
-    except KeyError as gap:
-        raise BadConfigError(f"LB_CONFIG: {gap.args[0]} is missing or unknown") from None
-    except (TypeError, ValueError, AttributeError) as fault:
-        raise BadConfigError(f"LB_CONFIG: {fault}") from None
+        return parse_page(stated, names.zones)
+    except EndpointPageError as fault:
+        raise ValueError(f"known: is no list of nodes: {fault}") from None
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -1,7 +1,7 @@
-"""Connections of the platform's clients: a request is read, given on, and answered as its node answers.
+"""Connections of the platform's clients: a request is read, handed to the front, and its response written.
 
-They are aiohttp's, but each request is taken in the same turn of the loop in which its last byte was read,
-and answered in the one in which the core decides, with no task of its own.
+They are aiohttp's connections, but a request is handled in the same turn of the event loop in which its last
+byte was read, and answered in the turn in which the core decides, with no task of its own.
 """
 
 from __future__ import annotations
@@ -9,110 +9,81 @@
 import asyncio
 import socket
 import struct
-from collections.abc import AsyncIterator
-from typing import TYPE_CHECKING, Any
+from collections import Counter
+from typing import Any, Protocol
 
-import aiohttp
 from aiohttp import HttpVersion11
 from aiohttp.base_protocol import BaseProtocol
 from aiohttp.http_exceptions import HttpProcessingError
 from aiohttp.http_parser import HttpRequestParser, RawRequestMessage
 from aiohttp.streams import StreamReader
 
-from harriertide.core import events as ev
-from harriertide.engine.runtime import Attempt, Ending
-from harriertide.http.body_stream import STREAM_IDLE_TIMEOUT_S, ResponseRemainder
+from harriertide.http.body_stream import BodyBudget, ResponseRemainder
 from harriertide.http.client_connections import ClientConnection, ConnectionTable, FrontServer
-from harriertide.http.node_client import NodeClient, Reply
 from harriertide.http.node_connection import FORWARD_READ_AHEAD_BYTES, read_in_chunks
-from harriertide.http.socket_state import is_closed_by_peer
-from harriertide.platform.fields import Fields, MalformedRequestError, forwarded_headers, read_fields
-
-if TYPE_CHECKING:
-    from harriertide.platform.front import Front
-
-BODY_BYTES = 32 * 1024 * 1024  # of a request
-ALWAYS_BUFFERED_BYTES = 64 * 1024  # a body up to so much is kept at any rate
-SLOWEST_BYTES_S = 32_000  # of a body that is still taken: half of what the slowest clients send
-LAST_CHUNK = b"0\r\n\r\n"
-RESET = struct.pack("ii", 1, 0)  # of a socket's linger option: the connection is reset as it is closed
-_REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 413: "Content Too Large", 502: "Bad Gateway",
-    503: "Service Unavailable",
-}  # fmt: skip
-
-
-class PlatformJob:
-    """One request of the platform on its way."""
-
-    context = None
-    __slots__ = ("_client", "_line", "_method", "_target", "_rows", "_body")
-
-    def __init__(
-        self,
-        client: NodeClient,
-        line: PlatformConnection,
-        message: RawRequestMessage,
-        body: bytes | ComingBody,
+from harriertide.platform.fields import HeaderFields, MalformedRequestError, read_fields
+from harriertide.platform.request_body import (
+    ALWAYS_BUFFERED_BYTES,
+    BodyTooLongError,
+    RequestBodyBuffer,
+    StreamedRequestBody,
+    declared_length,
+)
+from harriertide.platform.response_writer import (
+    Framing,
+    choose_framing,
+    encode_chunk,
+    encode_head,
+    send_remainder,
+)
+
+MAX_START_LINE_BYTES = 16_384  # of a request: its target carries keys and queries of the platform
+MIN_UPLOAD_BYTES_PER_S = 32_000  # of a body that is still read: half of what the slowest clients send
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a socket's linger option: closing resets the connection
+
+
+class RequestFront(Protocol):
+    """What handles the requests of platform connections."""
+
+    counts: Counter[str]
+    bodies: BodyBudget
+    closes_connections: bool
+
+    def date(self) -> str:
+        """Now, as HTTP writes it."""
+
+    def handle_request(
+        self, connection: PlatformConnection, message: RawRequestMessage, body: bytes | StreamedRequestBody
     ) -> None:
-        self._client, self._line, self._body = client, line, body
-        self._method, self._target = message.method, message.path
-        self._rows = forwarded_headers(message.raw_headers)
-
-    async def attempt(self, attempt: Attempt) -> Ending:
-        """Pass the request on as it came, with the time that this broker will wait."""
-        wait_ms = max(1, (attempt.stop_at_us - attempt.runtime.clock.now_us()) // 1000)
-        rows = [*self._rows, (b"X-Budget-Ms", b"%d" % wait_ms)]
-        if isinstance(self._body, ComingBody):
-            rows.append(self._body.framing)
-            return await self._client.forward(
-                attempt, self._method, self._target, rows, self._body.chunks(attempt)
-            )
-        if self._body or self._method != "GET":
-            rows.append((b"Content-Length", b"%d" % len(self._body)))
-        return await self._client.forward(attempt, self._method, self._target, rows, self._body)
-
-    def gone(self) -> bool:
-        """Whether the client has closed its connection, or its side of it."""
-        return is_closed_by_peer(self._line.transport)
-
-    def answer(self, answer: ev.Respond) -> None:
-        """Write the final answer to the connection that waits for it."""
-        if answer.kind == "served" and isinstance(answer.reply, Reply):
-            reply = answer.reply
-            kind = reply.headers.get("Content-Type", "application/octet-stream")
-            self._line.respond(200, reply.body, f"Content-Type: {kind}\r\n", reply.rest)
-        elif answer.kind == "rejected":
-            wait = f"Retry-After: {answer.retry_after_us / 1e6:.3f}\r\n" if answer.retry_after_us > 0 else ""
-            self._line.respond(503, b"refused: trying again is harmless\n", wait)
-        else:
-            self._line.respond(502, b"failed\n")
+        """Answer a request, or hand it to the core."""
+
+    def on_client_disconnected(self, connection: PlatformConnection) -> None:
+        """The client of a request that the core has is gone."""
 
 
 class PlatformConnection(ClientConnection):
     """One connection of a client of the platform: one request at a time."""
 
     __slots__ = (
-        "_front", "_body", "_closing", "_message", "_kept", "_come", "_looking", "_kept_bytes",
-        "_sending", "request", "fields",
+        "_front", "_buffer", "_body", "_is_closing", "_message", "_is_reading_body", "_sending",
+        "request_id", "fields",
     )  # fmt: skip
 
-    def __init__(self, server: PlatformServer, **named: Any) -> None:
-        super().__init__(server, max_line_size=16_384, auto_decompress=False, **named)
+    def __init__(self, server: PlatformServer, **options: Any) -> None:
+        super().__init__(server, max_line_size=MAX_START_LINE_BYTES, auto_decompress=False, **options)
         self._front = server.front
-        self._message: RawRequestMessage | None = None  # read, its body or its answer on the way
-        self._body: StreamReader | None = None
-        self._kept: list[bytes] = []  # of the body, while it comes
-        self._come = 0  # bytes of it
-        self._looking = False  # its reader is being read
-        self._kept_bytes = 0  # that count against the budget of bodies, until the request is answered
-        self._closing = False
-        self._sending: asyncio.Task[None] | None = None  # the rest of an answer
-        self.request = ""  # its id while the core has it
-        self.fields: Fields = {}
+        self._buffer = RequestBodyBuffer(server.front.bodies)
+        self._message: RawRequestMessage | None = None  # whose body is read, or whose response is awaited
+        self._body: StreamReader | None = None  # of that request, until its end was read
+        self._is_reading_body = False
+        self._is_closing = False  # the next response is the last one
+        self._sending: asyncio.Task[None] | None = None  # the remainder of a response
+        self.request_id = ""  # while the core has the request
+        self.fields: HeaderFields = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        BaseProtocol.connection_made(self, transport)  # and none of the handler's task and timer
+        """Start as aiohttp's connections do, but without its handler's task and timer."""
+        BaseProtocol.connection_made(self, transport)
         assert self._manager is not None and isinstance(transport, asyncio.Transport)
         self._manager.connection_made(self, transport)
         transport.set_write_buffer_limits(FORWARD_READ_AHEAD_BYTES)
@@ -120,127 +91,129 @@
         self.table.admit(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        if self.request:
+        """Let go of the request; what runs for it stops."""
+        if self.request_id:
             self._front.on_client_disconnected(self)
         if self._sending is not None:
             self._sending.cancel()
         if self._body is not None and not self._body.is_eof():
             self._body.set_exception(ConnectionResetError("the client has gone"))
-        self._give_back()
+        self._buffer.clear()
         super().connection_lost(exc)
 
-    def _give_back(self) -> None:
-        self._front.bodies.release(self._kept_bytes)
-        self._kept_bytes, self._kept, self._come = 0, [], 0
-
-    # --- what comes ----------------------------------------------------------------------------
+    # --- requests ------------------------------------------------------------------------------
 
     @property
     def request_timeout_s(self) -> float:
         """Time for the rest of a request to come: more, the more of its body has come."""
-        return super().request_timeout_s + self._come / SLOWEST_BYTES_S
+        return super().request_timeout_s + self._buffer.received_bytes / MIN_UPLOAD_BYTES_PER_S
 
     def data_received(self, data: bytes) -> None:
-        """Take a request as soon as it is whole.
+        """Handle a request as soon as it is complete.
 
         Clients send one at a time. One that does not is answered the first, and closed: what it sent ahead is
         not read, so that it costs the others nothing.
         """
-        if not data and self._body is None:  # the reader of a body has caught up, and it is over
+        if not data and self._body is None:  # the reader of a body has caught up, and the body is over
             return
         if self.state == "lingering":
             self.discard(data)
             return
-        streams = self._body is not None and self.state == "busy"
-        self._closing = self._closing or (self.state == "busy" and not streams)
-        if (self._closing and not streams) or self._force_close:
+        if self.state == "busy" and self._body is None:  # sent ahead of the response
+            self._is_closing = True
             return
-        if self.state != "reading" and not streams:
-            self.table.set_state(self, "reading")
+        if self._force_close:
+            return
+        if self.state == "busy":
+            self._feed_streamed_body(data)
+        elif not self._is_closing:
+            self._feed_request(data)
+
+    def _feed_streamed_body(self, data: bytes) -> None:
+        """Bytes of a body that is sent on as it comes. One that breaks its framing fails at its reader."""
         assert self._parser is not None
         try:
             messages, upgraded, _ = self._parser.feed_data(data)
         except (HttpProcessingError, ValueError):
-            if not streams:  # else its reader hears of it
-                self.refuse(400, "the request can't be read")
             return
         if upgraded:
             self.refuse(400, "no other protocol is spoken here")
+        elif messages:  # sent ahead, behind the end of the body
+            self._is_closing = True
+
+    def _feed_request(self, data: bytes) -> None:
+        """Bytes of a head, or of a body that is buffered."""
+        if self.state != "reading":
+            self.table.set_state(self, "reading")
+        assert self._parser is not None
+        try:
+            messages, upgraded, _ = self._parser.feed_data(data)
+        except (HttpProcessingError, ValueError):
+            self.refuse(400, "the request can't be read")
             return
-        if streams:
-            self._closing = self._closing or bool(messages)
+        if upgraded:
+            self.refuse(400, "no other protocol is spoken here")
             return
         if messages and self._message is not None:  # sent ahead, in one piece with the end of a body
-            self._closing = True
+            self._is_closing = True
         elif messages:
-            self._closing = len(messages) > 1
-            self._begin(*messages[0])
-        if self._body is not None and not self._looking:
-            self._look_at_body(self._body)
+            self._is_closing = len(messages) > 1
+            self._begin_request(*messages[0])
+        if self._body is not None and not self._is_reading_body:
+            self._read_body(self._body)
 
-    def _begin(self, message: RawRequestMessage, body: StreamReader) -> None:
+    def _begin_request(self, message: RawRequestMessage, body: StreamReader) -> None:
         """A head has come."""
         self._message = message
         try:
             self.fields = read_fields(message.raw_headers)
+            length = declared_length(self.fields)
         except MalformedRequestError as reason:
             self.refuse(400, str(reason))
             return
-        size = self.fields.get(b"content-length", b"0")
-        if len(size) > 9 or not size.isdigit() or int(size) > BODY_BYTES:
-            self.refuse(413, "the body is too long")  # unread
+        except BodyTooLongError as reason:
+            self.refuse(413, str(reason))  # the body stays unread
             return
         if self.fields.get(b"expect", b"").lower() == b"100-continue" and not body.is_eof():
             assert self.transport is not None
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self._body = body
-        self._keep(int(size))
-
-    def _keep(self, size: int) -> bool:
-        """Whether there is room to keep so many bytes of the body in all."""
-        more = size - self._kept_bytes
-        if more > 0 and self._front.bodies.reserve(more, may_exceed=size <= ALWAYS_BUFFERED_BYTES):
-            self._kept_bytes = size
-        return self._kept_bytes >= size
+        self._buffer.reserve(length)
 
-    def _look_at_body(self, body: StreamReader) -> None:
-        """Keep what has come. What there is no room for is sent on as it comes."""
+    def _read_body(self, body: StreamReader) -> None:
+        """Buffer what has come. Where there is no room for the body, it is streamed from here on."""
         if body.exception() is not None:
             self.refuse(400, "the body can't be read")
             return
-        self._looking = True  # a reader that has room again has the parser go on, within the call
+        buffer = self._buffer
+        self._is_reading_body = True  # a reader that has room again has the parser go on, within the call
         while part := body.read_nowait(-1):
-            self._kept.append(part)
-            self._come += len(part)
-        self._looking = False
-        message, come = self._message, self._come
-        assert message is not None
+            buffer.append(part)
+        self._is_reading_body = False
+        assert self._message is not None
         if body.is_eof():
-            self.body_taken()
+            self.on_body_end()
             self.table.set_state(self, "busy")
-            self._front.handle_request(self, message, self._joined())
-        elif come > BODY_BYTES:
+            self._front.handle_request(self, self._message, buffer.take())
+        elif buffer.is_too_long():
             self.refuse(413, "the body is too long")
-        elif (
-            not self._keep(max(come, int(self.fields.get(b"content-length", b"0"))))
-            and come >= ALWAYS_BUFFERED_BYTES
-        ):
+        elif not self._has_room_for_body() and buffer.received_bytes >= ALWAYS_BUFFERED_BYTES:
             self.table.set_state(self, "busy")
-            self._front.handle_request(self, message, ComingBody(self, body, self._joined()))
+            streamed = StreamedRequestBody(self, body, buffer.take())
+            self._front.handle_request(self, self._message, streamed)
 
-    def _joined(self) -> bytes:
-        """What has come of the body, in one piece, which is the only one: a second would count nowhere."""
-        joined = b"".join(self._kept)
-        self._kept = []
-        return joined
+    def _has_room_for_body(self) -> bool:
+        """Whether the budget has room for as much of the body as is known of."""
+        declared = int(self.fields.get(b"content-length", b"0"))
+        return self._buffer.reserve(max(self._buffer.received_bytes, declared))
 
-    def too_long(self) -> None:
-        """A body that was sent on as it came goes beyond the bound: no answer of a node counts any more."""
+    def on_body_too_long(self) -> None:
+        """A body that was sent on as it came goes beyond the bound: no node's response counts any more."""
         self._front.on_client_disconnected(self)
         self.refuse(413, "the body is too long")
 
-    def body_taken(self) -> None:
-        """The body has come to its end."""
+    def on_body_end(self) -> None:
+        """The last byte of the body was read: the parser goes on with the next request."""
         self._body = None
         if self._parser is None:
             return
@@ -261,129 +234,101 @@
             max_msg_queue_size=self._max_msg_queue_size,
         )
 
-    # --- what goes -----------------------------------------------------------------------------
+    # --- responses -----------------------------------------------------------------------------
 
     def respond(
         self, status: int, body: bytes, fields: str = "", rest: ResponseRemainder | None = None
     ) -> None:
-        """The one answer to the request that was read. rest: behind that part of its body."""
-        message, self._message, self.request = self._message, None, ""
-        self._give_back()
+        """Write the one response to the request that was read.
+
+        :param body: all of it, or its first part
+        :param fields: header lines, each with its line end
+        :param rest: what follows the first part; this connection disposes of it
+        """
+        message = self._message
+        self._message = None
+        self.request_id = ""
+        self._buffer.clear()
         transport = self.transport
         if transport is None or transport.is_closing():
             if rest is not None:
                 rest.dispose()
             return
         self._front.counts[f"answers_{status}"] += 1
-        if self._body is not None:  # it is not whole, and will not be read on
-            self._closing, self._body = True, None
-        old = message is not None and message.version < HttpVersion11
-        unsized = rest is not None and rest.length is None
-        closes = self._closing or self._front.closes_connections or message is None or message.should_close
-        closes = closes or (old and unsized)
-        if closes:
-            fields += "Connection: close\r\n"
-        if not unsized:
-            fields += f"Content-Length: {len(body) if rest is None else rest.length}\r\n"
-        elif not old:
-            fields += "Transfer-Encoding: chunked\r\n"
-        head = f"HTTP/1.1 {status} {_REASONS[status]}\r\n{fields}Date: {self._front.date()}\r\n\r\n"
+        if self._body is not None:  # it has not come to its end, and is not read on
+            self._is_closing = True
+            self._body = None
+        length = len(body) if rest is None else rest.length
+        framing = choose_framing(length, message is not None and message.version < HttpVersion11)
+        closes = self._is_last_response(message, framing)
+        head = encode_head(status, fields, length, framing, closes, self._front.date())
         shown = b"" if message is not None and message.method == "HEAD" else body
         if rest is None or not shown:
-            transport.write(head.encode("utf-8", "surrogateescape") + shown)
+            transport.write(head + shown)
             if rest is not None:
                 rest.dispose()
-            self._answered(closes)
+            self._on_response_sent(closes)
             return
-        chunked = unsized and not old
-        transport.write(head.encode("utf-8", "surrogateescape") + (_chunk(shown) if chunked else shown))
-        sending = self._send(rest, chunked, closes, cut=unsized and old)
+        transport.write(head + (encode_chunk(shown) if framing is Framing.CHUNKED else shown))
+        sending = self._send_rest(rest, framing, closes)
         self._sending = asyncio.get_running_loop().create_task(sending)
 
-    def _answered(self, closes: bool) -> None:
-        if closes or self._closing:
+    def refuse(self, status: int, reason: str) -> None:
+        """Respond to what can't be served, for the last time on this connection."""
+        self._is_closing = True
+        self._body = None
+        self.respond(status, f"{reason}\n".encode())
+
+    def _is_last_response(self, message: RawRequestMessage | None, framing: Framing) -> bool:
+        """Whether the connection ends behind the response to this request."""
+        return (
+            self._is_closing
+            or self._front.closes_connections
+            or message is None
+            or message.should_close
+            or framing is Framing.UNTIL_CLOSE
+        )
+
+    def _on_response_sent(self, closes: bool) -> None:
+        if closes or self._is_closing:
             self.linger()
         else:
             self.table.set_state(self, "idle")
 
-    async def _send(self, rest: ResponseRemainder, chunked: bool, closes: bool, cut: bool) -> None:
-        """The rest of an answer, as fast as the client reads it. cut: only the connection's end ends it."""
+    async def _send_rest(self, rest: ResponseRemainder, framing: Framing, closes: bool) -> None:
+        """Send the remainder of a response; where it breaks off, the connection's end tells the client."""
         transport = self.transport
         assert transport is not None
-        try:
-            async for chunk in rest.chunks():
-                transport.write(_chunk(chunk) if chunked else chunk)
-                async with asyncio.timeout(STREAM_IDLE_TIMEOUT_S):
-                    await self._drain_helper()
-            if chunked:
-                transport.write(LAST_CHUNK)
+        if await send_remainder(transport, self._drain_helper, rest, framing):
             self._sending = None
-            self._answered(closes)
-        except (OSError, TimeoutError, aiohttp.ClientError, HttpProcessingError):
-            self._front.counts["answers_broken"] += 1
-            if cut:
-                self._reset(transport)
-            else:
-                self.drop()
-        finally:
-            rest.dispose()
+            self._on_response_sent(closes)
+            return
+        self._front.counts["answers_broken"] += 1
+        if framing is Framing.UNTIL_CLOSE:
+            self._reset(transport)
+        else:
+            self.drop()
 
     def _reset(self, transport: asyncio.Transport) -> None:
-        """End the connection with a reset: an end in order would pass for the answer's own."""
-        end = transport.get_extra_info("socket")
-        if end is not None:
-            end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        """End the connection with a reset.
+
+        Guards against half a response that passes for complete: where the connection's end ends the body, an
+        orderly close would say so.
+        """
+        client_socket = transport.get_extra_info("socket")
+        if client_socket is not None:
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.force_close()
         transport.abort()
 
-    def refuse(self, status: int, reason: str) -> None:
-        """An answer to what can't be served, the last one on this connection."""
-        self._closing, self._body = True, None
-        self.respond(status, f"{reason}\n".encode())
-
-
-def _chunk(data: bytes) -> bytes:
-    return b"%x\r\n%b\r\n" % (len(data), data)
-
-
-class ComingBody:
-    """The body of a request that is sent on as it comes: what has come so far, and the rest once."""
-
-    def __init__(self, line: PlatformConnection, reader: StreamReader, begun: bytes) -> None:
-        self._line, self._reader, self._begun = line, reader, begun
-        size = line.fields.get(b"content-length")
-        self._chunked = size is None
-        self.framing = (b"Content-Length", size) if size is not None else (b"Transfer-Encoding", b"chunked")
-
-    async def chunks(self, attempt: Attempt) -> AsyncIterator[bytes]:
-        """All of it, in its framing. From its second part on no other attempt can be made."""
-        yield self._framed(self._begun)
-        attempt.runtime.began(attempt)
-        come, self._begun = len(self._begun), b""
-        while not self._reader.at_eof():
-            async with asyncio.timeout(STREAM_IDLE_TIMEOUT_S):
-                chunk = await self._reader.readany()
-            come += len(chunk)
-            if come > BODY_BYTES:
-                self._line.too_long()
-                raise MalformedRequestError("the body is too long")
-            if chunk:
-                yield self._framed(chunk)
-        if self._chunked:
-            yield LAST_CHUNK
-        self._line.body_taken()
-
-    def _framed(self, data: bytes) -> bytes:
-        return _chunk(data) if self._chunked else data
-
 
 class PlatformServer(FrontServer):
-    """aiohttp's low-level server for the platform's front."""
+    """Makes the connections of the platform's listener."""
 
-    def __init__(self, front: Front, table: ConnectionTable) -> None:
+    def __init__(self, front: RequestFront, table: ConnectionTable) -> None:
         super().__init__(table, PlatformConnection, _unused, access_log=None)
         self.front = front
 
 
 async def _unused(request: object) -> Any:
-    raise NotImplementedError("the platform's connections take their requests themselves")
+    raise NotImplementedError("the platform's connections handle their requests themselves")
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -1,4 +1,4 @@
-"""The platform's front: reads the fields that the decisions need; the rest passes as it came."""
+"""The platform's front: routes requests, reads what the decision module needs of them, and submits them."""
 
 from __future__ import annotations
 
@@ -11,64 +11,90 @@
 from harriertide.engine.runtime import Runtime
 from harriertide.http.body_stream import BodyBudget
 from harriertide.http.node_client import NodeClient
-from harriertide.platform.connection import ComingBody, PlatformConnection, PlatformJob
+from harriertide.platform.connection import PlatformConnection
 from harriertide.platform.fields import MalformedRequestError, read_arrival
+from harriertide.platform.job import REJECTED_BODY, PlatformJob
+from harriertide.platform.request_body import StreamedRequestBody
 
-READY, SERVICE = "/health/ready", "/api"
+READINESS_PATH = "/health/ready"
+SERVICE_PATH = "/api"
 
 
 class Front:
-    """Handles requests of the platform's protocol."""
+    """Handles requests of the platform's protocol.
+
+    :param runtime: of the core that decides on them
+    :param client: of the storage nodes
+    :param names: of classes, plans and zones; a reload replaces them
+    :param bodies: memory for request bodies
+    """
 
     def __init__(self, runtime: Runtime, client: NodeClient, names: Names, bodies: BodyBudget) -> None:
         self.counts: Counter[str] = Counter()
+        self.names = names
         self.bodies = bodies
-        self.ready, self.names = True, names
-        self.closes_connections = False  # each answer is the last on its connection
-        self.rejects_requests = False  # nothing is sent on any more
-        self._runtime, self._client = runtime, client
-        self._second, self._date = 0, ""
+        self.ready = True  # what health checks of this broker are answered
+        self.closes_connections = False  # each response is the last on its connection
+        self.rejects_requests = False  # shutdown is near: nothing is forwarded any more
+        self._runtime = runtime
+        self._client = client
+        self._date_second = 0
+        self._date = ""
 
     def date(self) -> str:
         """Now, as HTTP writes it."""
         second = self._runtime.clock.now_us() // 1_000_000
-        if second != self._second:
-            self._second, self._date = second, formatdate(second, usegmt=True)
+        if second != self._date_second:
+            self._date_second = second
+            self._date = formatdate(second, usegmt=True)
         return self._date
 
     def handle_request(
-        self, line: PlatformConnection, message: RawRequestMessage, body: bytes | ComingBody
+        self, connection: PlatformConnection, message: RawRequestMessage, body: bytes | StreamedRequestBody
     ) -> None:
-        """A request, whole or as far as it is kept: answer it, or give it to the core."""
+        """Answer a request, or hand it to the core.
+
+        :param connection: on which it came
+        :param message: its head
+        :param body: all of it, or as much as was buffered with the rest to come
+        """
         path = message.path.partition("?")[0]
-        if path == READY:
-            if self.ready:
-                line.respond(200, b"ready\n")
-            else:
-                line.respond(503, b"stopping\n")
-            return
-        if path != SERVICE:
-            line.refuse(404, "no such route")
-            return
-        if self.rejects_requests:
-            line.respond(503, b"refused: trying again is harmless\n")
-            return
+        if path == READINESS_PATH:
+            self._answer_health_check(connection)
+        elif path != SERVICE_PATH:
+            connection.refuse(404, "no such route")
+        elif self.rejects_requests:
+            connection.respond(503, REJECTED_BODY)
+        else:
+            self._submit(connection, message, body)
+
+    def _answer_health_check(self, connection: PlatformConnection) -> None:
+        if self.ready:
+            connection.respond(200, b"ready\n")
+        else:
+            connection.respond(503, b"stopping\n")
+
+    def _submit(
+        self, connection: PlatformConnection, message: RawRequestMessage, body: bytes | StreamedRequestBody
+    ) -> None:
+        """Hand a request to the core, unless it is malformed."""
         runtime = self._runtime
+        streams_body = isinstance(body, StreamedRequestBody)
         try:
             if body and message.method == "GET":
                 raise MalformedRequestError("a GET has no body")
             arrival = read_arrival(
-                message.method, message.path, line.fields, runtime.clock.now_us(), self.names,
-                runtime.core.settings, isinstance(body, ComingBody),
+                message.method, message.path, connection.fields, runtime.clock.now_us(), self.names,
+                runtime.core.settings, streams_body,
             )  # fmt: skip
         except MalformedRequestError as reason:
-            line.refuse(400, str(reason))
+            connection.refuse(400, str(reason))
             return
-        line.request = arrival.request_id
-        job = PlatformJob(self._client, line, message, body)
-        if not runtime.submit(arrival, job, streams=isinstance(body, ComingBody)):
-            line.refuse(400, "X-Call-Id is in use")
+        connection.request_id = arrival.request_id
+        job = PlatformJob(self._client, connection, message, body)
+        if not runtime.submit(arrival, job, streams=streams_body):
+            connection.refuse(400, "X-Call-Id is in use")
 
-    def on_client_disconnected(self, line: PlatformConnection) -> None:
+    def on_client_disconnected(self, connection: PlatformConnection) -> None:
         """The client closed its connection while its request was open."""
-        self._runtime.left(line.request)
+        self._runtime.left(connection.request_id)
--- /dev/null
+++ b/harriertide/platform/job.py
@@ -0,0 +1,75 @@
+"""A platform request on its way through the broker: forwarded to a node, and answered as the node answers."""
+
+from __future__ import annotations
+
+from aiohttp.http_parser import RawRequestMessage
+
+from harriertide.core import events as ev
+from harriertide.engine.runtime import Attempt, Ending
+from harriertide.http.node_client import NodeClient, Reply
+from harriertide.http.socket_state import is_closed_by_peer
+from harriertide.platform.connection import PlatformConnection
+from harriertide.platform.fields import forwarded_headers
+from harriertide.platform.request_body import StreamedRequestBody
+
+REJECTED_BODY = b"refused: trying again is harmless\n"
+FAILED_BODY = b"failed\n"
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
+
+
+class PlatformJob:
+    """One request of the platform, as the runtime performs it.
+
+    :param client: of the storage nodes
+    :param connection: that waits for the answer
+    :param message: the head of the request
+    :param body: its body, buffered or streamed
+    """
+
+    context = None
+    __slots__ = ("_client", "_connection", "_method", "_target", "_headers", "_body")
+
+    def __init__(
+        self,
+        client: NodeClient,
+        connection: PlatformConnection,
+        message: RawRequestMessage,
+        body: bytes | StreamedRequestBody,
+    ) -> None:
+        self._client = client
+        self._connection = connection
+        self._body = body
+        self._method = message.method
+        self._target = message.path
+        self._headers = forwarded_headers(message.raw_headers)
+
+    async def attempt(self, attempt: Attempt) -> Ending:
+        """Forward the request as it came, with the time that this broker will wait for the response."""
+        body = self._body
+        wait_ms = max(1, (attempt.stop_at_us - attempt.runtime.clock.now_us()) // 1000)
+        headers = [*self._headers, (b"X-Budget-Ms", b"%d" % wait_ms)]
+        if isinstance(body, StreamedRequestBody):
+            headers.append(body.framing_header)
+            return await self._client.forward(
+                attempt, self._method, self._target, headers, body.chunks(attempt)
+            )
+        if body or self._method != "GET":
+            headers.append((b"Content-Length", b"%d" % len(body)))
+        return await self._client.forward(attempt, self._method, self._target, headers, body)
+
+    def gone(self) -> bool:
+        """Whether the client has closed its connection, or its side of it."""
+        return is_closed_by_peer(self._connection.transport)
+
+    def answer(self, answer: ev.Respond) -> None:
+        """Write the final answer to the connection that waits for it."""
+        if answer.kind == "served" and isinstance(answer.reply, Reply):
+            reply = answer.reply
+            content_type = reply.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
+            self._connection.respond(200, reply.body, f"Content-Type: {content_type}\r\n", reply.rest)
+        elif answer.kind == "rejected":
+            retry_after_us = answer.retry_after_us
+            fields = f"Retry-After: {retry_after_us / 1e6:.3f}\r\n" if retry_after_us > 0 else ""
+            self._connection.respond(503, REJECTED_BODY, fields)
+        else:
+            self._connection.respond(502, FAILED_BODY)
--- a/harriertide/platform/peers.py
+++ b/harriertide/platform/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between brokers. A peer's place in the configured list is its number."""
+"""Datagrams between brokers. A peer's place in the configured list is its broker index."""
 
 from __future__ import annotations
 
@@ -11,51 +11,62 @@
 
 from harriertide.core import events as ev
 
-NOBODY = 9  # the port of the discard service: it says nothing
-HELD_MOST = 1024  # messages that are kept while another process of this broker is in charge
-DATAGRAM_BYTES = 256  # a longer one is not allowed on the wire
+DISCARD_PORT = 9  # of the discard service, from which nothing comes
+MAX_BUFFERED_MESSAGE_COUNT = (
+    1024  # while another process of this broker is in charge: moments, at 256 KB at most
+)
+MAX_DATAGRAM_BYTES = 256  # the platform drops longer ones
+READ_BYTES = 65536  # the longest datagram there can be
 
+Address = tuple[str, int]
 
-def parse_address(text: str) -> tuple[str, int]:
+
+def parse_address(text: str) -> Address:
     """host:port as the socket calls want it."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Sends to and hears from the listed peers only."""
+    """Sends to the listed peers, and receives from them only.
+
+    :param peers: host:port of each broker, in the order of their indexes
+    :param own_index: of this broker
+    :param post: takes what was received, for the core
+    """
 
-    def __init__(self, peers: list[str], own: int, post: Callable[[ev.Event], None]) -> None:
+    def __init__(self, peers: list[str], own_index: int, post: Callable[[ev.Event], None]) -> None:
         self.counts: Counter[str] = Counter()
         self._post = post
         self._transport: asyncio.DatagramTransport | None = None
-        self._socket: socket.socket | None = None
-        self._buffered: list[ev.PeerMessageReceived] | None = (
-            None  # what came before it may be told; None: it may
-        )
-        self.set_peers(peers, own)
-
-    def set_peers(self, peers: list[str], own: int) -> None:
-        """These are the peers from now on, in the order of their numbers."""
+        self._socket: socket.socket | None = None  # where another process may share the address
+        self._buffered: list[ev.PeerMessageReceived] | None = None  # None: messages go to the core at once
+        self.set_peers(peers, own_index)
+
+    def set_peers(self, peers: list[str], own_index: int) -> None:
+        """Go by this list from now on."""
         self._peers = [parse_address(peer) for peer in peers]
-        self._numbers = {peer: number for number, peer in enumerate(self._peers) if number != own}
+        self._indexes = {peer: index for index, peer in enumerate(self._peers) if index != own_index}
 
-    async def listen(self, at: tuple[str, int], shared: bool) -> None:
-        """Open the address. shared: another process of this broker may have it, or will take it over."""
+    async def listen(self, at: Address, shared: bool) -> None:
+        """Open the address.
+
+        :param shared: another process of this broker may have it open, or will
+        """
         loop = asyncio.get_running_loop()
         if not shared:
             await loop.create_datagram_endpoint(lambda: self, local_addr=at)
             return
-        door = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        shared_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            door.setblocking(False)
-            door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            door.bind(at)
-            await loop.create_datagram_endpoint(lambda: self, sock=door)
+            shared_socket.setblocking(False)
+            shared_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            shared_socket.bind(at)
+            await loop.create_datagram_endpoint(lambda: self, sock=shared_socket)
         except BaseException:
-            door.close()
+            shared_socket.close()
             raise
-        self._socket = door
+        self._socket = shared_socket
 
     @property
     def is_open(self) -> bool:
@@ -63,54 +74,60 @@
         return self._transport is not None
 
     def start_buffering(self) -> None:
-        """Keep what comes: another process of this broker is still in charge."""
+        """Keep what comes from now on: another process of this broker is still in charge."""
         self._buffered = []
 
     def deliver_buffered(self) -> None:
-        """Tell the core what was kept, and all that comes from now on."""
-        buffered, self._buffered = self._buffered or [], None
+        """Hand the core what was kept, and all that comes from now on."""
+        buffered = self._buffered or []
+        self._buffered = None
         for message in buffered:
             self._post(message)
 
     def drain_and_close(self) -> None:
-        """Let go of the address, once all that has come to it is read.
+        """Close the address, once all that has come to it was read.
 
         Connected to a port from which nothing comes, the socket gets no more: the system gives what comes
         from then on to the other process, and no message falls between the last read and the close.
         """
         if self._socket is not None:
             with suppress(OSError):
-                self._socket.connect((self._socket.getsockname()[0], NOBODY))
+                self._socket.connect((self._socket.getsockname()[0], DISCARD_PORT))
             with suppress(OSError):  # nothing more is there
                 while True:
-                    self.datagram_received(*self._socket.recvfrom(65536))
+                    self.datagram_received(*self._socket.recvfrom(READ_BYTES))
         self.close()
 
     def connection_made(self, transport: Any) -> None:
+        """Remember where to send."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        number = self._numbers.get((addr[0], addr[1]))
-        if number is None or len(data) > DATAGRAM_BYTES:
+        """Hand a message to the core, or keep it; what comes from anyone else is counted as junk."""
+        index = self._indexes.get((addr[0], addr[1]))
+        if index is None or len(data) > MAX_DATAGRAM_BYTES:
             self.counts["junk"] += 1
             return
         if self._buffered is None:
-            self._post(ev.PeerMessageReceived(number, data))
-        elif len(self._buffered) < HELD_MOST:
-            self._buffered.append(ev.PeerMessageReceived(number, data))
+            self._post(ev.PeerMessageReceived(index, data))
+        elif len(self._buffered) < MAX_BUFFERED_MESSAGE_COUNT:
+            self._buffered.append(ev.PeerMessageReceived(index, data))
 
     def error_received(self, exc: Exception) -> None:
+        """Count what the system reports of earlier sends, such as a peer that is down."""
         self.counts["errors"] += 1
 
-    def send(self, head: int, body: bytes) -> None:
+    def send(self, recipient_index: int, body: bytes) -> None:
         """Send one message; it may be lost."""
-        if self._transport is None or not 0 <= head < len(self._peers) or len(body) > DATAGRAM_BYTES:
+        is_known = 0 <= recipient_index < len(self._peers)
+        if self._transport is None or not is_known or len(body) > MAX_DATAGRAM_BYTES:
             self.counts["unsent"] += 1
             return
-        self._transport.sendto(body, self._peers[head])
+        self._transport.sendto(body, self._peers[recipient_index])
 
     def close(self) -> None:
-        """Let go of the socket."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
-        self._transport = self._socket = None
+        self._transport = None
+        self._socket = None
--- a/harriertide/platform/probes.py
+++ b/harriertide/platform/probes.py
@@ -1,4 +1,4 @@
-"""Probes of boxes, where the settings allow them: whether one lives, asked beside all requests."""
+"""Probes, the active health checks of storage nodes, where the settings allow them."""
 
 from __future__ import annotations
 
@@ -9,33 +9,38 @@
 from harriertide.core import events as ev
 from harriertide.http.node_client import NodeClient
 
-LIVE = "/health/live"
+LIVENESS_PATH = "/health/live"
 
 
 class Probes:
-    """One probe of a box at a time. The core decides when; here it is bounded in time and number."""
+    """Probes nodes when the core says so, one probe of a node at a time; the client bounds each in time.
+
+    :param client: of the storage nodes
+    :param post: takes the outcomes, for the core
+    """
 
     def __init__(self, client: NodeClient, post: Callable[[ev.Event], None]) -> None:
         self.counts: Counter[str] = Counter()
-        self._client, self._post = client, post
-        self._tasks: dict[str, asyncio.Task[None]] = {}
+        self._client = client
+        self._post = post
+        self._tasks: dict[str, asyncio.Task[None]] = {}  # by node ID
 
     def start(self, node: str) -> None:
-        """Probe a box, unless a probe of it is out."""
+        """Probe a node, unless a probe of it is under way."""
         if node not in self._tasks:
             self.counts["sent"] += 1
             self._tasks[node] = asyncio.get_running_loop().create_task(self._probe(node))
 
     async def _probe(self, node: str) -> None:
         try:
-            kind = await self._client.probe(node, LIVE)
+            outcome = await self._client.probe(node, LIVENESS_PATH)
         finally:
             del self._tasks[node]
-        self.counts[kind] += 1
-        self._post(ev.ProbeFinished(node, kind))
+        self.counts[outcome] += 1
+        self._post(ev.ProbeFinished(node, outcome))
 
     async def close(self) -> None:
-        """End what is out, with no word to the core."""
+        """Cancel the probes that are under way; the core is not notified."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,8 +11,8 @@
 from harriertide.http import body_stream, client_connections, node_client
 from harriertide.http.node_client import FIRST_PART_BYTES
 from harriertide.http.node_connection import FORWARD_BUFFER_BYTES
-from harriertide.platform import connection
-from harriertide.platform.connection import ALWAYS_BUFFERED_BYTES
+from harriertide.platform import request_body
+from harriertide.platform.request_body import ALWAYS_BUFFERED_BYTES
 from tests.scenario import Line
 from tests.test_crossings import House, inside
 from tests.test_crossings import answer as reply
@@ -407,7 +407,7 @@
 
 
 def test_a_passing_request_beyond_its_bound_is_refused(little: None, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "BODY_BYTES", 200_000)
+    monkeypatch.setattr(request_body, "MAX_REQUEST_BODY_BYTES", 200_000)
 
     async def play(house: House) -> None:
         client = house.client()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -28,6 +28,7 @@
 from harriertide.library.types import Ask, Attempt, BoxError, FailedError
 from harriertide.library.web import Guard
 from harriertide.platform.configuration import Config
+from harriertide.platform.endpoint_page import parse_page
 from harriertide.platform.peers import parse_address
 from tests.scenario import Line, Stand, World
 from tests.test_net import OPERATOR, WIRE
@@ -110,7 +111,7 @@
             config = Config(
                 name="n", listen=parse_address("127.0.0.1:0"), discovery=f"127.0.0.1:{ports['s']}", seed=1,
                 settings=from_wire(wire), names=names_from_wire(wire), peer_listen=None, peers=[],
-                cached_list={"seq": 7, "whole": True, "hosts": [host]}, raw_settings=wire,
+                cached_list=parse_page({"seq": 7, "whole": True, "hosts": [host]}, {}), raw_settings=wire,
             )  # fmt: skip
             daemon = Daemon(replace(config, **stated), None)  # type: ignore[arg-type]
         await daemon.start()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,7 +17,8 @@
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
 from harriertide.platform.configuration import BadConfigError, read_config
-from harriertide.platform.discovery import EndpointDirectory, EndpointWatch
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_watch import EndpointWatch
 from tests.test_net import OK, WIRE, play
 
 PUSHED: dict[str, Any] = {**WIRE, "membershipMode": "push"}
@@ -188,10 +189,10 @@
 def test_an_agent_that_falls_silent_is_asked_again_and_heard_when_it_is_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from harriertide.platform import discovery
+    from harriertide.platform import endpoint_watch
 
-    monkeypatch.setattr(discovery, "PUSHED_HEAD_TIMEOUT_S", 0.15)
-    monkeypatch.setattr(discovery, "WATCH_SILENCE_S", 0.3)
+    monkeypatch.setattr(endpoint_watch, "PUSHED_HEAD_TIMEOUT_S", 0.15)
+    monkeypatch.setattr(endpoint_watch, "WATCH_SILENCE_S", 0.3)
     script = f"""{WATCHED}
         s expect GET /registry/instances?watch=1&after=7
         s expect GET /registry/instances?watch=1&after=7
@@ -465,7 +466,7 @@
 
     directory = EndpointDirectory({})
     hosts = [{"host": n, "dial": "127.0.0.1:1", "block": 0, "health": "up"} for n in ("b1", "b2")]
-    directory.apply({"seq": 7, "whole": True, "hosts": hosts}, "cached")
+    directory.apply(directory.parse_page({"seq": 7, "whole": True, "hosts": hosts}), "cached")
     address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
     watch = EndpointWatch(address, directory, post)
     watch.set_pushed(True)
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -14,6 +14,7 @@
 from harriertide.lab import virtual
 from harriertide.lab.limits import PLANS, SETTINGS
 from harriertide.platform.configuration import Config
+from harriertide.platform.endpoint_page import parse_page
 
 LIMIT, BURST, SLACK = PLANS[0].rate_limit, PLANS[0].burst_limit_units, 6.0  # one of the largest requests
 LATE_S = 0.15  # what the limit allows in so long is slack too, on sockets
@@ -64,7 +65,7 @@
         host = {"host": "b", "dial": box, "block": 0, "health": "up"}
         config = Config(
             "n", ("127.0.0.1", 0), "127.0.0.1:1", self.made, settings, names,
-            ("127.0.0.1", FIRST_PORT + place), peers, {"seq": 1, "whole": True, "hosts": [host]},
+            ("127.0.0.1", FIRST_PORT + place), peers, parse_page({"seq": 1, "whole": True, "hosts": [host]}, {}),
         )  # fmt: skip
         self.daemons[place] = daemon = Daemon(config, None)
         await daemon.start()
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -12,7 +12,7 @@
 from harriertide.decide import scheduler as scheduler_module
 from harriertide.decide.scheduler import ASK_FIRST_US, NEAR
 from harriertide.lab.plant import OTHER
-from harriertide.platform import discovery
+from harriertide.platform import endpoint_watch
 from tests.helpers import SETTINGS, START_US
 from tests.plant import Plant
 
@@ -20,7 +20,12 @@
 WITHIN_US = 8 * SECOND
 # between two calls: one may last CONNECT_S and HEAD_S before it fails, the next is answered within a second
 LONGEST_US = int(
-    (discovery.NOTIFICATION_DEADLINE_S - discovery.CONNECT_TIMEOUT_S - discovery.HEAD_TIMEOUT_S - 1.0)
+    (
+        endpoint_watch.NOTIFICATION_DEADLINE_S
+        - endpoint_watch.CONNECT_TIMEOUT_S
+        - endpoint_watch.HEAD_TIMEOUT_S
+        - 1.0
+    )
     * SECOND
 )
 MASS = replace(SETTINGS, broker_count=HEADS, shard_count=SHARDS)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,8 +19,9 @@
 from harriertide.http.node_connection import NodeConnection
 from harriertide.http.node_pool import NodeConnectionPool
 from harriertide.objects.catalogue import Catalogue
-from harriertide.platform import connection, discovery
+from harriertide.platform import endpoint_watch, request_body
 from harriertide.platform.configuration import Config
+from harriertide.platform.endpoint_page import parse_page
 from harriertide.platform.peers import parse_address
 from tests.scenario import Stand, World
 from tests.test_wire import SETTINGS
@@ -757,7 +758,9 @@
             names=names_from_wire(wire),
             peer_listen=None,
             peers=[],
-            cached_list={"seq": 7, "whole": True, "hosts": [world.host("b1", "up"), world.host("b2", "up")]},
+            cached_list=parse_page(
+                {"seq": 7, "whole": True, "hosts": [world.host("b1", "up"), world.host("b2", "up")]}, {}
+            ),
             raw_settings=wire,
         )
 
@@ -956,7 +959,7 @@
 
 
 def test_a_watch_that_falls_silent_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "WATCH_SILENCE_S", 0.4)
+    monkeypatch.setattr(endpoint_watch, "WATCH_SILENCE_S", 0.4)
     script = f"""{WATCH}
         wait 0.3
         s send raw ''
@@ -1079,7 +1082,7 @@
 ) -> None:
     """Guards against passing on a request that hides another, and against reading bodies nobody wants."""
     monkeypatch.setattr(
-        connection, "BODY_BYTES", 65_536
+        request_body, "MAX_REQUEST_BODY_BYTES", 65_536
     )  # in place of 32 MiB, so that chunks may go beyond it
     script = f"""
         c send bytes '{text}'
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,7 +21,7 @@
 from harriertide.http.node_client import IDLE_KEEP_RATIO, NodeClient
 from harriertide.http.node_pool import NodeConnectionPool
 from harriertide.objects import s3
-from harriertide.platform.discovery import EndpointDirectory
+from harriertide.platform.endpoint_directory import EndpointDirectory
 from harriertide.platform.fields import MalformedRequestError, read_arrival, read_fields
 from harriertide.platform.peers import Peers
 from tests.helpers import SETTINGS
@@ -45,8 +45,8 @@
 
 def test_the_fields_that_decisions_need_are_read() -> None:
     got = arrival("GET", "/api?a=1&key=7f3a9c21e0b4d655", GOOD)
-    assert (got.volume, got.units, got.shard, got.hosts) == ("00000003b4d60021", 2.0, 5, 3)
-    assert got.key == "7f3a9c21e0b4d655" and not got.repeated
+    assert (got.volume, got.units, got.shard, got.sharing_broker_count) == ("00000003b4d60021", 2.0, 5, 3)
+    assert got.key == "7f3a9c21e0b4d655" and not got.is_retry
     # the budget counts from when the client sent, which was before now
     assert 1_470_000 < got.deadline_at_us < 1_480_000
 
@@ -148,9 +148,9 @@
             == IDLE_KEEP_RATIO * 10
             < 10
         )
-        line = await pool.open(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
+        line = await pool.connect(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
         assert line is not None and len(pool) == 1
-        pool.rest(line)
+        pool.keep_idle(line)
         await asyncio.sleep(0.1)
         assert len(pool) == 0 and not line.is_connected()
         await pool.close()
@@ -186,8 +186,8 @@
     directory = EndpointDirectory({})
     for number in range(50):
         host = {"host": f"h{number}", "dial": f"127.0.0.1:{number + 1}", "block": 0, "health": "up"}
-        directory.apply({"seq": number, "hosts": [host]})
-        directory.apply({"seq": number, "hosts": [{**host, "health": "removed"}]})
+        directory.apply(directory.parse_page({"seq": number, "hosts": [host]}))
+        directory.apply(directory.parse_page({"seq": number, "hosts": [{**host, "health": "removed"}]}))
     assert directory.address_count() == 0
 
 
@@ -206,10 +206,10 @@
     gone = {**host, "host": "g", "born_ms": 0, "health": "removed"}
     page = {"seq": 5, "whole": False, "hosts": [host, gone]}
     directory = EndpointDirectory({"a": 0})
-    first, second = directory.apply(page).entries
+    first, second = directory.apply(directory.parse_page(page)).entries
     assert (first.started_us, first.shard, first.state) == (1_700_000_000, 3, "live")
     assert (second.started_us, second.state) == (0, "gone")
-    assert directory.seq == 5 and directory.find("h") == "127.0.0.1:1" and directory.find("g") is None
+    assert directory.version == 5 and directory.find("h") == "127.0.0.1:1" and directory.find("g") is None
 
 
 def test_the_log_is_bounded_and_says_what_it_left_out(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from harriertide.platform.discovery import NOTIFICATION_DEADLINE_S
+from harriertide.platform.endpoint_watch import NOTIFICATION_DEADLINE_S
 from tests.test_net import WIRE
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -16,15 +16,15 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.runtime import Runtime
 from harriertide.lab import virtual
-from harriertide.platform.discovery import (
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_watch import (
     CONNECT_TIMEOUT_S,
     HEAD_TIMEOUT_S,
     NOTIFICATION_DEADLINE_S,
     WATCH_SILENCE_S,
-    EndpointDirectory,
     EndpointWatch,
-    JsonObjectStream,
 )
+from harriertide.platform.json_stream import JsonObjectStream
 from tests.helpers import SETTINGS
 
 LIST = b'{"seq":7,"whole":true,"hosts":[]}\n'
@@ -280,27 +280,31 @@
         seq: int, health: str, whole: bool, kind: str | None = None, born_ms: int = 0
     ) -> list[tuple[str, int]]:
         host = {**HOST, "health": health, "born_ms": born_ms}
-        news = directory.apply({"seq": seq, "whole": whole, "hosts": [host]}, kind)
+        news = directory.apply(directory.parse_page({"seq": seq, "whole": whole, "hosts": [host]}), kind)
         return [(entry.state, entry.started_us) for entry in news.entries]
 
     assert read(7, "up", True, "cached") == [("live", 0)]
     assert read(9, "draining", False) == read(9, "draining", False) == [("draining", 0)]  # told twice
-    assert read(8, "up", False) == [("draining", 0)] and directory.seq == 9
-    assert read(5, "up", True) == [("draining", 0)] and directory.seq == 5  # discovery counts anew
+    assert read(8, "up", False) == [("draining", 0)] and directory.version == 9
+    assert read(5, "up", True) == [("draining", 0)] and directory.version == 5  # discovery counts anew
     assert read(6, "up", False) == [("live", 0)]  # a drain undone
     assert read(7, "up", False, born_ms=4) == [("live", 4000)]  # it has started anew
     assert read(3, "up", True) == [("live", 4000)]  # and is cold, whatever an older list says
     assert read(4, "removed", False) == [("gone", 0)]
     assert read(1, "up", True, "full") == [("gone", 0)] and directory.find("n1") is None
     absent = EndpointDirectory({})
-    absent.apply({"seq": 7, "whole": True, "hosts": [HOST]})
-    absent.apply({"seq": 8, "whole": True, "hosts": []})
-    assert absent.apply({"seq": 6, "whole": True, "hosts": [HOST]}).entries[0].state == "gone"
+    absent.apply(absent.parse_page({"seq": 7, "whole": True, "hosts": [HOST]}))
+    absent.apply(absent.parse_page({"seq": 8, "whole": True, "hosts": []}))
+    assert (
+        absent.apply(absent.parse_page({"seq": 6, "whole": True, "hosts": [HOST]})).entries[0].state == "gone"
+    )
 
 
 def test_a_node_that_one_list_left_out_is_not_held_for_gone_once_a_newer_one_names_it() -> None:
     directory = EndpointDirectory({})
     for seq, hosts in ((7, [HOST]), (8, []), (9, [HOST])):
-        directory.apply({"seq": seq, "whole": True, "hosts": hosts})
-    moved = directory.apply({"seq": 2, "whole": True, "hosts": [HOST]}, "whole")  # discovery is elsewhere now
+        directory.apply(directory.parse_page({"seq": seq, "whole": True, "hosts": hosts}))
+    moved = directory.apply(
+        directory.parse_page({"seq": 2, "whole": True, "hosts": [HOST]}), "full"
+    )  # discovery is elsewhere now
     assert [entry.state for entry in moved.entries] == ["live"] and directory.find("n1") == HOST["dial"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,7 +24,8 @@
 from harriertide.lifecycle.succession import LEASE_S, Succession
 from harriertide.lifecycle.upgrade import Hooks, Upgrade
 from harriertide.platform.configuration import BadConfigError, Config
-from harriertide.platform.discovery import DirectoryState, EndpointDirectory
+from harriertide.platform.endpoint_directory import DirectoryState, EndpointDirectory
+from harriertide.platform.endpoint_page import EndpointPage, parse_page
 from tests.helpers import START_US, BrokerUnderTest, sends
 from tests.scenario import Stand, World
 from tests.test_crossings import answer
@@ -241,11 +242,11 @@
 # --- the list and the decisions ------------------------------------------------------------------
 
 
-def page(seq: int, *hosts: str, **health: str) -> dict:  # type: ignore[type-arg]
+def page(seq: int, *hosts: str, **health: str) -> EndpointPage:
     rows = [
         {"host": host, "dial": f"{host}:1", "block": 0, "health": health.get(host, "up")} for host in hosts
     ]
-    return {"seq": seq, "whole": True, "hosts": rows}
+    return parse_page({"seq": seq, "whole": True, "hosts": rows}, {})
 
 
 def test_the_newer_list_holds_and_drains_that_either_was_told() -> None:
@@ -258,7 +259,7 @@
         "b": "draining",
         "c": "live",
     }
-    assert new.seq == 9 and new.find("c") == "c:1" and new.find("d") is None
+    assert new.version == 9 and new.find("c") == "c:1" and new.find("d") is None
     newer = EndpointDirectory({})
     newer.apply(page(12, "a", "b", "d"))
     told = newer.import_state(old.export_state())
@@ -267,7 +268,7 @@
         "b": "draining",
         "d": "live",
     }
-    assert newer.seq == 12
+    assert newer.version == 12
 
 
 def test_what_was_learned_goes_on_and_nothing_is_given_out_twice() -> None:
@@ -352,8 +353,9 @@
         config = Config(
             name="n", listen=self.door.getsockname(), discovery=f"127.0.0.1:{self.ports['s']}", seed=1,
             settings=from_wire(WIRE), names=names_from_wire(WIRE), peer_listen=self.peer_listen,
-            peers=["127.0.0.1:1", "127.0.0.1:2"], known={"seq": 7, "whole": True, "hosts": [host]},
-            raw_settings=WIRE, operator=("127.0.0.1", 0), inherited_descriptor=self.door.fileno(),
+            peers=["127.0.0.1:1", "127.0.0.1:2"], raw_settings=WIRE,
+            cached_list=parse_page({"seq": 7, "whole": True, "hosts": [host]}, {}),
+            operator=("127.0.0.1", 0), inherited_descriptor=self.door.fileno(),
         )  # fmt: skip
         daemon = Daemon(replace(config, **stated), None)  # type: ignore[arg-type]
         await daemon.start()
@@ -534,12 +536,14 @@
         old.life.evacuate()
         old.core.scheduler._cells[0].capacity = 42.0  # type: ignore[attr-defined]
         old.directory.apply(
-            {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
+            old.directory.parse_page(
+                {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
+            )
         )
         new = await platform.process()
         assert new.life.drained and not new.life.healthy and new.life.can_serve
         assert new.core.scheduler._cells[0].capacity == 42.0  # type: ignore[attr-defined]
-        assert new.directory.seq == 8 and new.core.nodes()["b1"].state == "draining"
+        assert new.directory.version == 8 and new.core.nodes()["b1"].state == "draining"
 
     on_platform(course, tmp_path, monkeypatch)
 
