--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -21,7 +21,8 @@
 from harriertide.engine.log import adopt_libraries, log
 from harriertide.engine.runtime import Runtime
 from harriertide.http.body_stream import BodyBudget
-from harriertide.http.client_connections import ConnectionTable, FrontServer
+from harriertide.http.client_server import FrontServer
+from harriertide.http.connection_table import ConnectionTable
 from harriertide.http.limits import read_limits
 from harriertide.http.listener import InheritError, inherit, listen, stop_listening
 from harriertide.http.node_client import NodeClient
--- a/harriertide/http/__init__.py
+++ b/harriertide/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP as bytes: bounded connections to boxes and of clients, and their pools."""
+"""HTTP as bytes: bounded connections to storage nodes and of clients, and their pools."""
--- a/harriertide/http/body_stream.py
+++ b/harriertide/http/body_stream.py
@@ -1,7 +1,7 @@
-"""Long bodies on their way through: what is still to come of one, and what is kept of all.
+"""Long bodies on their way through the broker, and the memory for those that are buffered.
 
-Reading stops where the other side does not take what came: a body that passes through holds a bounded part of
-itself in memory, however long it is.
+Reading stops where the other side does not take what came: however long a body is, a bounded part of it is in
+memory.
 """
 
 from __future__ import annotations
@@ -14,24 +14,32 @@
 from harriertide.http.node_connection import NodeConnection
 from harriertide.http.node_pool import NodeConnectionPool
 
-STREAM_IDLE_TIMEOUT_S = (
-    10.0  # without a byte from the one that sends, or one taken by the one that reads, a body is over
-)
+# A body is over when its sender sends no byte for so long, or its reader takes none.
+STREAM_IDLE_TIMEOUT_S = 10.0
 
 
 class ResponseRemainder:
-    """What is still to come of a node's answer, with the connection on which it comes."""
+    """What is still to come of a node's response, with the connection on which it comes.
+
+    :param pool: takes the connection back
+    :param content: reads the rest of the body
+    :param length: of the whole body; None: the head does not say
+    """
 
     def __init__(
         self, connection: NodeConnection, pool: NodeConnectionPool, content: StreamReader, length: int | None
     ) -> None:
         self._connection: NodeConnection | None = connection
-        self._pool, self._content = pool, content
-        self.length = length  # of the whole answer; None: not said
+        self._pool = pool
+        self._content = content
+        self.length = length
         connection.start_forwarding()
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """All that comes, to the end; raises as the connection does where it breaks."""
+        """All that comes, to the end; raises as the connection does where it breaks.
+
+        :raises TimeoutError: the node sends nothing for STREAM_IDLE_TIMEOUT_S
+        """
         while True:
             async with asyncio.timeout(STREAM_IDLE_TIMEOUT_S):
                 chunk = await self._content.readany()
@@ -40,26 +48,33 @@
             yield chunk
 
     def dispose(self) -> None:
-        """Nothing more of it is wanted: the connection is kept only if it came whole."""
-        connection, self._connection = self._connection, None
+        """Return the connection: nothing more of the body is wanted. It is reused only if all of it came."""
+        connection = self._connection
+        self._connection = None
         if connection is not None:
             self._pool.release(connection)
 
 
 class BodyBudget:
-    """Bytes of clients' bodies that are kept so that they may be sent again."""
+    """Memory for request bodies that are buffered so that they can be sent again.
+
+    :param limit_bytes: for all of them together
+    """
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.reserved_bytes = 0
 
     def reserve(self, size: int, may_exceed: bool = False) -> bool:
-        """Whether there is room for so many more; may_exceed: they are counted where there is none, too."""
+        """Whether there is room for so many more bytes; they count from now on.
+
+        :param may_exceed: reserve them where there is no room, too
+        """
         if self.reserved_bytes + size > self.limit_bytes and not may_exceed:
             return False
         self.reserved_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """They are not kept any more."""
+        """Return what was reserved."""
         self.reserved_bytes -= size
--- a/harriertide/http/node_client.py
+++ b/harriertide/http/node_client.py
@@ -1,136 +1,83 @@
-"""The client of disk nodes: one exchange an attempt, on kept connections, never sent twice."""
+"""The client of storage nodes: one exchange for each attempt, on pooled connections, and never sent twice."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
-from collections.abc import AsyncIterator, Callable, Mapping, Sequence
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
 
 import aiohttp
 from aiohttp.http_exceptions import HttpProcessingError
-from aiohttp.streams import StreamReader
 
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.engine.runtime import Attempt
 from harriertide.http.body_stream import ResponseRemainder
+from harriertide.http.errors import AttemptFailedError, AttemptWithheldError, NodeFailureError
 from harriertide.http.limits import Limits
 from harriertide.http.node_connection import MAX_FORWARDED_BYTES, NodeConnection
 from harriertide.http.node_pool import NodeConnectionPool
+from harriertide.http.node_response import IncomingResponse, Reply, classify_response
+from harriertide.http.request_format import Body, Headers, encode_request_head, header_rows
 
-Body = bytes | AsyncIterator[bytes]
-Headers = Mapping[str, str] | Sequence[tuple[bytes, bytes]]
-IDLE_KEEP_RATIO = 0.5  # of the node's idle time: a request that crosses its close would end as a reset
-BODY_BYTES = 64 * 1024  # of an answer, where no more is asked for
-# An attempt whose answer is passed on ends with so much of it, or so long behind its first bytes. What breaks
-# before that may be made good by another attempt.
-FIRST_PART_BYTES, FIRST_PART_WAIT_S, FIRST_PART_MIN_BYTES = 64 * 1024, 0.05, 4096
+# Of the time after which a node closes an idle connection: a request that crosses that close ends as a reset.
+IDLE_KEEP_RATIO = 0.5
+MAX_BODY_BYTES = 64 * 1024  # of a response, where the caller asks for no other bound
 
 
-class AttemptFailedError(Exception):
-    """An exchange ended without a whole answer."""
+@dataclass(slots=True)
+class _Exchange:
+    """How far the exchange of one attempt is, and what it holds.
 
-    def __init__(self, kind: api.OutcomeKind) -> None:
-        super().__init__(kind)
-        self.kind = kind
+    :param connection: that it goes over
+    :param is_sent: the request, or the first part of it, was written
+    :param response: whose head was read
+    :param body_task: writes the rest of a body that is streamed
+    """
 
+    connection: NodeConnection | None = None
+    is_sent: bool = False
+    response: IncomingResponse | None = None
+    body_task: asyncio.Task[None] | None = None
 
-@dataclass(frozen=True, slots=True)
-class Reply:
-    """A node's answer: whole, or as far as it has come."""
+    def to_failure(self, outcome: api.OutcomeKind, reason: str) -> NodeFailureError:
+        """The error for an exchange that broke off or ran out of time.
 
-    status: int
-    headers: Mapping[str, str]
-    body: bytes
-    rest: ResponseRemainder | None = None  # behind that part of the body; None: it is whole
-
-    def dispose(self) -> None:
-        """Nobody wants it any more."""
-        if self.rest is not None:
-            self.rest.dispose()
-
-
-class IncomingResponse:
-    """A node's answer, its head read and its body on the way. The connection bounds how much may come."""
-
-    __slots__ = ("status", "headers", "content", "connection", "detached")
-
-    def __init__(
-        self, status: int, headers: Mapping[str, str], content: StreamReader, connection: NodeConnection
-    ) -> None:
-        self.status, self.headers, self.content, self.connection = status, headers, content, connection
-        self.detached = False  # its connection has another owner now
-
-    async def read(self) -> bytes:
-        """The whole body."""
-        return await self.content.read()
-
-    async def first(self) -> bytes:
-        """The first part: FIRST_PART_BYTES, or what has come FIRST_PART_WAIT_S after its first bytes.
-
-        Less only where more is sure to follow: the length says so, or FIRST_PART_MIN_BYTES have come.
+        A node starts a request with its last byte: one that was not written out never ran. A node that
+        answered, if nothing of use, has shown that it lives and how fast it is.
         """
-        loop = asyncio.get_running_loop()
-        long = (self.content_length or 0) > FIRST_PART_BYTES
-        first = bytearray()
-        enough_at: float | None = None
-        while len(first) < FIRST_PART_BYTES and not self.content.at_eof():
-            if (
-                enough_at is not None
-                and loop.time() >= enough_at
-                and (long or len(first) >= FIRST_PART_MIN_BYTES)
-            ):
-                break
-            limit = asyncio.timeout_at(enough_at if long else None)
-            try:
-                async with limit:
-                    first += await self.content.readany()
-            except TimeoutError:
-                if not limit.expired():
-                    raise
-                break
-            if enough_at is None and first:
-                enough_at = loop.time() + FIRST_PART_WAIT_S
-        return bytes(first)
-
-    @property
-    def content_length(self) -> int | None:
-        """As the head says."""
-        text = self.headers.get("Content-Length")
-        return int(text) if text is not None else None
-
-
-def classify_response(answer: IncomingResponse | Reply) -> api.OutcomeKind:
-    """What a whole answer of a node means, by its status."""
-    if 200 <= answer.status < 300:
-        return "ok"
-    if answer.headers.get("X-Rejected") == "1":
-        if answer.status == 503:
-            return "rejected"
-        if answer.status == 504:  # the request is over, or for another shard: nothing about the node itself
-            return "not_sent"
-    return "error"
-
-
-def _rows(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Header fields as bytes: those of a request that passes through stay the ones that came."""
-    if not isinstance(headers, Mapping):
-        return list(headers)
-    return [(name.encode(), value.encode("utf-8", "surrogateescape")) for name, value in headers.items()]
-
-
-def _head(method: str, target: str, rows: list[tuple[bytes, bytes]]) -> bytes:
-    """Request line and headers, with the bytes that came: parsers decode them just so."""
-    if not any(name.lower() == b"host" for name, _ in rows):
-        rows = [(b"Host", b"service.internal"), *rows]
-    first = f"{method} {target} HTTP/1.1\r\n".encode("utf-8", "surrogateescape")
-    return first + b"".join(b"%b: %b\r\n" % row for row in rows) + b"\r\n"
+        connection = self.connection
+        if connection is not None and connection.is_malformed:
+            return NodeFailureError("error", "malformed response")
+        if connection is None or not self._is_written_out(connection):
+            return NodeFailureError("connect_failed", f"{reason} before the request was written out")
+        return NodeFailureError(outcome, reason)
+
+    def _is_written_out(self, connection: NodeConnection) -> bool:
+        """Whether the system has taken all bytes of the request."""
+        task = self.body_task
+        body_is_out = task is None or (task.done() and not task.cancelled() and task.exception() is None)
+        return self.is_sent and body_is_out and not connection.writing_paused
+
+    def stop_body(self) -> bool:
+        """Write no more of a streamed body; whether all of it was written."""
+        task = self.body_task
+        if task is None:
+            return True
+        if not task.done():
+            return not task.cancel()
+        return task.cancelled() or task.exception() is None
 
 
 class NodeClient:
-    """Exchanges with nodes. find: the address of a node, by its id."""
+    """Exchanges with storage nodes.
+
+    :param find: the host:port of a node, by its ID; None if it has none
+    :param connect_us: for a new connection, in microseconds
+    :param idle_us: after which nodes close idle connections, in microseconds
+    """
 
     def __init__(
         self, find: Callable[[str], str | None], connect_us: int, idle_us: int, limits: Limits
@@ -141,7 +88,7 @@
         self._find = find
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         await self.pool.close()
 
     @asynccontextmanager
@@ -152,74 +99,71 @@
         target: str,
         headers: Headers,
         body: Body = b"",
-        most: int | None = BODY_BYTES,
-        forwarded: bool = False,
+        max_body_bytes: int | None = MAX_BODY_BYTES,
+        may_forward: bool = False,
     ) -> AsyncIterator[IncomingResponse]:
-        """Send the request; the answer as it comes. most, forwarded: see NodeConnection.send_request.
+        """Send the request of an attempt; its response, as it comes. On leaving, the connection is released.
 
-        Raises AttemptFailedError as PROTOCOL's table has it.
+        :param body: of the request; one that is no bytes is sent as it comes
+        :param max_body_bytes: see NodeConnection.send_request, as `may_forward`
+        :raises AttemptWithheldError: nothing was sent
+        :raises NodeFailureError: the exchange broke off, ran out of time, or the response is malformed
         """
         address = self._find(attempt.node)
         if address is None:
-            raise AttemptFailedError("rejected")
-        connection: NodeConnection | None = None
-        asked = False
-        incoming: IncomingResponse | None = None
-        stream: asyncio.Task[None] | None = None
+            raise AttemptWithheldError("rejected", "the node has no address")
+        exchange = _Exchange()
         try:
             async with asyncio.timeout_at(attempt.runtime.clock.loop_time(attempt.stop_at_us)) as limit:
-                first = body if isinstance(body, bytes) else await anext(body)
-                await self._alone(attempt)
-                connection = self.pool.take_idle(address)
-                if connection is None:  # not "or": one without a message is an empty queue, and false
-                    connection = await self._connect(address, attempt, limit)
-                kind = attempt.may_write()
-                if kind is not None:
-                    self.pool.keep_idle(connection)
-                    connection = None
-                    raise AttemptFailedError(kind)
-                connection.send_request(_head(method, target, _rows(headers)) + first, most, forwarded)
+                first_part = body if isinstance(body, bytes) else await anext(body)
+                connection = await self._acquire(exchange, address, attempt, limit)
+                head = encode_request_head(method, target, header_rows(headers))
+                connection.send_request(head + first_part, max_body_bytes, may_forward)
                 self.pool.mark_active(connection, attempt.request)
-                asked = True
+                exchange.is_sent = True
                 if not isinstance(body, bytes):
-                    stream = asyncio.get_running_loop().create_task(self._stream(connection, body, attempt))
+                    writing = self._write_body(connection, body, attempt)
+                    exchange.body_task = asyncio.get_running_loop().create_task(writing)
                 message, content = await connection.read()
-                incoming = IncomingResponse(message.code, message.headers, content, connection)
-                yield incoming
+                response = IncomingResponse(message.code, message.headers, content, connection)
+                exchange.response = response
+                yield response
         except TimeoutError:
-            raise AttemptFailedError(self._end("timeout", connection, asked, stream)) from None
+            raise exchange.to_failure("timeout", "no response in time") from None
         except (aiohttp.ClientError, HttpProcessingError, OSError):
-            raise AttemptFailedError(self._end("reset", connection, asked, stream)) from None
+            raise exchange.to_failure("reset", "the connection broke") from None
         finally:
-            if stream is not None and not self._let_go(stream) and connection is not None:
-                connection.force_close()  # an early answer: the rest of the body would be taken for a request
-            if connection is not None and not (incoming is not None and incoming.detached):
-                self.pool.release(connection)
+            self._release(exchange)
 
-    @staticmethod
-    def _end(
-        kind: api.OutcomeKind,
-        connection: NodeConnection | None,
-        asked: bool,
-        stream: asyncio.Task[None] | None,
-    ) -> api.OutcomeKind:
-        """A node starts a request with its last byte: one that was not written out never ran.
+    async def _acquire(
+        self, exchange: _Exchange, address: str, attempt: Attempt, limit: asyncio.Timeout
+    ) -> NodeConnection:
+        """A connection on which the attempt may be written in this very turn of the loop.
 
-        One that answered, if nothing of use, has shown that it lives and how fast it is.
+        :raises AttemptWithheldError: there is no room for a connection, or the core says no by now
         """
-        if connection is not None and connection.is_malformed:
-            return "error"
-        out = stream is None or (stream.done() and not stream.cancelled() and stream.exception() is None)
-        if connection is None or not (asked and out) or connection.writing_paused:
-            return "connect_failed"
-        return kind
+        await self._await_exclusive(attempt)
+        connection = self.pool.take_idle(address)
+        if connection is None:  # not "or": a connection without a message is an empty queue, and false
+            connection = await self._connect(address, attempt, limit)
+        exchange.connection = connection
+        outcome = attempt.may_write()
+        if outcome is not None:
+            exchange.connection = None
+            self.pool.keep_idle(connection)
+            raise AttemptWithheldError(outcome, "withheld at the moment of writing")
+        return connection
 
-    @staticmethod
-    def _let_go(stream: asyncio.Task[None]) -> bool:
-        """Whether the body was written to its end; what is left of it is not."""
-        if not stream.done():
-            return not stream.cancel()
-        return stream.cancelled() or stream.exception() is None
+    def _release(self, exchange: _Exchange) -> None:
+        """Return the connection to the pool, unless the response has taken it over."""
+        all_written = exchange.stop_body()
+        connection = exchange.connection
+        if connection is None:
+            return
+        if not all_written:
+            connection.force_close()  # an early response: the rest of the body would be taken for a request
+        if exchange.response is None or not exchange.response.detached:
+            self.pool.release(connection)
 
     async def _connect(self, address: str, attempt: Attempt, limit: asyncio.Timeout) -> NodeConnection:
         """A new connection, within the time for one."""
@@ -228,18 +172,18 @@
         limit.reschedule(min(stop_at, clock.loop_time(clock.now_us() + self.connect_us)))
         connection = await self.pool.connect(address)
         if connection is None:
-            # refused early: nothing is wrong with the node, so this must not count against its health
+            # rejected early: nothing is wrong with the node, so this must not count against its health
             self.counts["no_room"] += 1
-            raise AttemptFailedError("rejected")
+            raise AttemptWithheldError("rejected", "all connections to nodes are in use")
         self.counts["connected"] += 1
         limit.reschedule(stop_at)
         return connection
 
-    async def _alone(self, attempt: Attempt) -> None:
-        """Until no other attempt of the request can be at work any more.
+    async def _await_exclusive(self, attempt: Attempt) -> None:
+        """Wait until the attempt may be written, and no other attempt of its request can run any more.
 
-        The reducer starts no attempt before the last one has ended, and its descriptor is closed then. Held
-        to here for certain, as a second copy may run twice what may run once.
+        The reducer starts no attempt before the last one has ended, and its descriptor is closed then. Guards
+        against one that is not: a second copy may run twice what may run once.
         """
         if attempt.from_us > attempt.runtime.clock.now_us():
             await until(attempt.runtime.clock.loop_time(attempt.from_us))
@@ -249,8 +193,10 @@
                 return
             await asyncio.wait([closed])
 
-    async def _stream(self, connection: NodeConnection, body: AsyncIterator[bytes], attempt: Attempt) -> None:
-        """The rest of a body that passes through."""
+    async def _write_body(
+        self, connection: NodeConnection, body: AsyncIterator[bytes], attempt: Attempt
+    ) -> None:
+        """Write the rest of a body as it comes."""
         try:
             async for chunk in body:
                 await connection.send_more(chunk)
@@ -261,7 +207,7 @@
             raise
 
     async def probe(self, node: str, target: str) -> api.OutcomeKind:
-        """Ask a node for a page beside all requests, within the time for a connection: how that ended."""
+        """Ask a node for a page beside all requests, within the time for a connection; how that ended."""
         address = self._find(node)
         if address is None:
             return "rejected"
@@ -269,11 +215,13 @@
         try:
             async with asyncio.timeout(self.connect_us / 1_000_000):
                 connection = self.pool.take_idle(address)
-                if connection is None:  # not "or": one without a message is an empty queue, and false
+                if (
+                    connection is None
+                ):  # not "or": a connection without a message is an empty queue, and false
                     connection = await self.pool.connect(address)
                 if connection is None:
                     return "rejected"
-                connection.send_request(_head("GET", target, []), None)
+                connection.send_request(encode_request_head("GET", target, []), None)
                 message, content = await connection.read()
                 await content.read()
         except TimeoutError:
@@ -288,30 +236,32 @@
     async def forward(
         self, attempt: Attempt, method: str, target: str, headers: Headers, body: Body
     ) -> tuple[api.OutcomeKind, Reply | None]:
-        """An exchange whose answer is passed on: over with its first part, if it is a good one and longer."""
+        """An exchange whose response is forwarded: over with its first part, if that is good and not all."""
         try:
             async with self.open(
-                attempt, method, target, headers, body, MAX_FORWARDED_BYTES, forwarded=True
-            ) as answer:
-                first = await answer.first()
-                kind = classify_response(answer)
-                if kind != "ok" or answer.content.at_eof():
-                    return kind, Reply(answer.status, answer.headers, first)
-                answer.detached = True
-                rest = ResponseRemainder(answer.connection, self.pool, answer.content, answer.content_length)
-                return kind, Reply(answer.status, answer.headers, first, rest)
-        except AttemptFailedError as end:
-            return end.kind, None
+                attempt, method, target, headers, body, MAX_FORWARDED_BYTES, may_forward=True
+            ) as response:
+                first_part = await response.read_first_part()
+                outcome = classify_response(response)
+                if outcome != "ok" or response.content.at_eof():
+                    return outcome, Reply(response.status, response.headers, first_part)
+                response.detached = True
+                rest = ResponseRemainder(
+                    response.connection, self.pool, response.content, response.content_length
+                )
+                return outcome, Reply(response.status, response.headers, first_part, rest)
+        except AttemptFailedError as failure:
+            return failure.outcome, None
 
     async def exchange(
         self, attempt: Attempt, method: str, target: str, headers: Headers, body: bytes
     ) -> tuple[api.OutcomeKind, Reply | None]:
-        """One whole exchange with a bounded answer."""
+        """An exchange whose response is read as a whole."""
         if body or method != "GET":
-            headers = [*_rows(headers), (b"Content-Length", b"%d" % len(body))]
+            headers = [*header_rows(headers), (b"Content-Length", b"%d" % len(body))]
         try:
-            async with self.open(attempt, method, target, headers, body, most=None) as answer:
-                reply = Reply(answer.status, answer.headers, await answer.read())
+            async with self.open(attempt, method, target, headers, body, max_body_bytes=None) as response:
+                reply = Reply(response.status, response.headers, await response.read())
                 return classify_response(reply), reply
-        except AttemptFailedError as end:
-            return end.kind, None
+        except AttemptFailedError as failure:
+            return failure.outcome, None
--- a/harriertide/http/socket_state.py
+++ b/harriertide/http/socket_state.py
@@ -1,4 +1,9 @@
-"""Whether something lies at a connection that the event loop has not read yet."""
+"""What lies at a connection's socket that the event loop has not read yet.
+
+The loop looks at sockets in its next turn only. A decision on a connection that seems idle, to use it or to
+close it, must look itself: at most one system call. A transport that is no socket's tells by extra info of
+its own: 'unread' and 'ended' are callables there.
+"""
 
 from __future__ import annotations
 
@@ -8,38 +13,37 @@
 _POLL = select.poll()
 
 
-def has_unread_input(transport: asyncio.BaseTransport | None, ends: bool = False) -> bool:
-    """Bytes or an end that came and were not read; ends: also an end behind bytes. True where it is closed.
+def has_unread_input(transport: asyncio.BaseTransport | None, include_end: bool = False) -> bool:
+    """Whether bytes, or the end of the peer's sending, came and were not read. True where it is closed.
 
-    The loop looks at sockets in its next turn only, so a decision on a connection that seems idle, to use it
-    or to close it, must look itself. A transport that is no socket's says so by its extra info 'unread'.
+    :param include_end: look for an end behind bytes, too
     """
     if transport is None or transport.is_closing():
         return True
-    look = transport.get_extra_info("unread")
-    if look is not None:
-        return bool(look())
-    return _look(transport, select.POLLIN | (select.POLLRDHUP if ends else 0))
+    own_check = transport.get_extra_info("unread")
+    if own_check is not None:
+        return bool(own_check())
+    return _poll(transport, select.POLLIN | (select.POLLRDHUP if include_end else 0))
 
 
 def is_closed_by_peer(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the other side has ended its sending or is gone, also behind bytes that were not read.
+    """Whether the peer has ended its sending or is gone, also behind bytes that were not read.
 
-    A transport that is no socket's says so by its extra info 'ended'; one that can't is not known to have.
+    A transport that can't tell is not known to be closed.
     """
     if transport is None or transport.is_closing():
         return True
-    look = transport.get_extra_info("ended")
-    if look is not None:
-        return bool(look())
-    return transport.get_extra_info("socket") is not None and _look(transport, select.POLLRDHUP)
+    own_check = transport.get_extra_info("ended")
+    if own_check is not None:
+        return bool(own_check())
+    return transport.get_extra_info("socket") is not None and _poll(transport, select.POLLRDHUP)
 
 
-def _look(transport: asyncio.BaseTransport, events: int) -> bool:
-    """Whether one of these lies there now, or the connection is broken."""
-    number = transport.get_extra_info("socket").fileno()
-    _POLL.register(number, events)
+def _poll(transport: asyncio.BaseTransport, events: int) -> bool:
+    """Whether one of these events is there now, or the connection is broken."""
+    descriptor = transport.get_extra_info("socket").fileno()
+    _POLL.register(descriptor, events)
     try:
         return bool(_POLL.poll(0))
     finally:
-        _POLL.unregister(number)
+        _POLL.unregister(descriptor)
--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/second_copy.py
@@ -44,8 +44,10 @@
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
 from harriertide.engine.runtime import Attempt, Ending, Runtime
+from harriertide.http.errors import AttemptFailedError
 from harriertide.http.limits import Limits
-from harriertide.http.node_client import AttemptFailedError, NodeClient, classify_response
+from harriertide.http.node_client import NodeClient
+from harriertide.http.node_response import classify_response
 
 BOXES = 4
 PIECE = b"x" * 1000
@@ -241,7 +243,7 @@
                 await answer.read()
                 return classify_response(answer), None
         except AttemptFailedError as end:
-            return end.kind, None
+            return end.outcome, None
 
     def gone(self) -> bool:
         return False
--- a/harriertide/library/blocking.py
+++ b/harriertide/library/blocking.py
@@ -16,7 +16,7 @@
 from types import TracebackType
 from typing import Any, TypeVar
 
-from harriertide.http.node_client import Reply
+from harriertide.http.node_response import Reply
 from harriertide.library import broker as loops
 from harriertide.library.types import Ask, Attempt, FailedError
 
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -23,7 +23,8 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.runtime import Ending, Runtime
 from harriertide.http.limits import Limits
-from harriertide.http.node_client import NodeClient, Reply
+from harriertide.http.node_client import NodeClient
+from harriertide.http.node_response import Reply
 from harriertide.library.exchange import Exchange
 from harriertide.library.places import View
 from harriertide.library.sources import Box, Fixed, OperatorFile, Source
--- a/harriertide/objects/jobs.py
+++ b/harriertide/objects/jobs.py
@@ -13,15 +13,11 @@
 from harriertide.decide import api
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Attempt, Ending
-from harriertide.http.client_connections import CLIENT_TRANSPORT
-from harriertide.http.node_client import (
-    BODY_BYTES,
-    AttemptFailedError,
-    Body,
-    IncomingResponse,
-    NodeClient,
-    classify_response,
-)
+from harriertide.http.client_server import CLIENT_TRANSPORT
+from harriertide.http.errors import AttemptFailedError
+from harriertide.http.node_client import MAX_BODY_BYTES, NodeClient
+from harriertide.http.node_response import IncomingResponse, classify_response
+from harriertide.http.request_format import Body
 from harriertide.http.socket_state import is_closed_by_peer
 
 CHUNK_BYTES = 64 * 1024
@@ -189,7 +185,7 @@
                 return kind, None
         except AttemptFailedError as end:
             # a client that brings no body says nothing of the box's health
-            return ("cancelled" if source.broken or source.waiting else end.kind), None
+            return ("cancelled" if source.broken or source.waiting else end.outcome), None
 
 
 class ReadBlob(ObjectJob):
@@ -216,8 +212,10 @@
             headers["If-Match"] = self._tag
         writing = False
         try:
-            most = max(BODY_BYTES, self._last + 1 - self._next)
-            async with self._client.open(attempt, "GET", self._target, headers, most=most) as response:
+            most = max(MAX_BODY_BYTES, self._last + 1 - self._next)
+            async with self._client.open(
+                attempt, "GET", self._target, headers, max_body_bytes=most
+            ) as response:
                 if response.status in (404, 412, 416):
                     self.missing = True  # asking again would not bring it back
                     return "not_sent", None
@@ -238,8 +236,8 @@
                 return ("ok" if self._next > self._last else "reset"), None
         except AttemptFailedError as end:
             # stopped while the client took its time: nothing against the box
-            slow_client = writing and end.kind == "timeout"
-            return ("cancelled" if slow_client else end.kind), None
+            slow_client = writing and end.outcome == "timeout"
+            return ("cancelled" if slow_client else end.outcome), None
 
     def _fits(self, response: IncomingResponse) -> bool:
         """The box answers just the stretch that was asked for."""
@@ -258,4 +256,4 @@
                     return "ok", None
                 return await self.ended(attempt, response), None
         except AttemptFailedError as end:
-            return end.kind, None
+            return end.outcome, None
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -11,7 +11,8 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.runtime import Runtime
-from harriertide.http.client_connections import ConnectionTable, FrontServer, make_server
+from harriertide.http.client_server import FrontServer, make_server
+from harriertide.http.connection_table import ConnectionTable
 from harriertide.http.node_client import NodeClient
 from harriertide.objects.catalogue import Catalogue
 from harriertide.objects.front import ObjectFront
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -19,7 +19,9 @@
 from aiohttp.streams import StreamReader
 
 from harriertide.http.body_stream import BodyBudget, ResponseRemainder
-from harriertide.http.client_connections import ClientConnection, ConnectionTable, FrontServer
+from harriertide.http.client_connection import ClientConnection, ConnectionTracker
+from harriertide.http.client_server import MAX_START_LINE_BYTES, FrontServer
+from harriertide.http.connection_table import ConnectionTable
 from harriertide.http.node_connection import FORWARD_READ_AHEAD_BYTES, read_in_chunks
 from harriertide.platform.fields import HeaderFields, MalformedRequestError, read_fields
 from harriertide.platform.request_body import (
@@ -37,7 +39,6 @@
     send_remainder,
 )
 
-MAX_START_LINE_BYTES = 16_384  # of a request: its target carries keys and queries of the platform
 MIN_UPLOAD_BYTES_PER_S = 32_000  # of a body that is still read: half of what the slowest clients send
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a socket's linger option: closing resets the connection
 
@@ -69,8 +70,8 @@
         "request_id", "fields",
     )  # fmt: skip
 
-    def __init__(self, server: PlatformServer, **options: Any) -> None:
-        super().__init__(server, max_line_size=MAX_START_LINE_BYTES, auto_decompress=False, **options)
+    def __init__(self, server: PlatformServer, table: ConnectionTracker, **options: Any) -> None:
+        super().__init__(server, table, max_line_size=MAX_START_LINE_BYTES, auto_decompress=False, **options)
         self._front = server.front
         self._buffer = RequestBodyBuffer(server.front.bodies)
         self._message: RawRequestMessage | None = None  # whose body is read, or whose response is awaited
--- a/harriertide/platform/job.py
+++ b/harriertide/platform/job.py
@@ -6,7 +6,8 @@
 
 from harriertide.core import events as ev
 from harriertide.engine.runtime import Attempt, Ending
-from harriertide.http.node_client import NodeClient, Reply
+from harriertide.http.node_client import NodeClient
+from harriertide.http.node_response import Reply
 from harriertide.http.socket_state import is_closed_by_peer
 from harriertide.platform.connection import PlatformConnection
 from harriertide.platform.fields import forwarded_headers
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from harriertide.http import body_stream, client_connections, node_client
-from harriertide.http.node_client import FIRST_PART_BYTES
+from harriertide.http import body_stream, client_connection, node_response
 from harriertide.http.node_connection import FORWARD_BUFFER_BYTES
+from harriertide.http.node_response import FIRST_PART_BYTES
 from harriertide.platform import request_body
 from harriertide.platform.request_body import ALWAYS_BUFFERED_BYTES
 from tests.scenario import Line
@@ -197,8 +197,8 @@
         await asyncio.sleep(0.3)
         assert not written.done()  # what the sockets hold is not all of it
         (mine,) = house.daemon.clients.in_state("busy")
-        held = mine.unsent() + sum(
-            each._payload._size for each in house.daemon.client.pool._all if each._payload is not None
+        held = mine.unsent_bytes() + sum(
+            each._payload._size for each in house.daemon.client.pool._connections if each._payload is not None
         )
         assert held <= FORWARD_BUFFER_BYTES + FIRST_PART_BYTES
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
@@ -437,7 +437,7 @@
 
 
 def test_who_sends_slowly_is_given_time_by_what_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.3)
 
     async def play(house: House) -> None:
         body = LONG[:ALWAYS_BUFFERED_BYTES]
@@ -462,5 +462,5 @@
 
 
 def test_the_first_part_is_no_longer_than_it_must_be() -> None:
-    assert node_client.FIRST_PART_MIN_BYTES < FIRST_PART_BYTES <= FORWARD_BUFFER_BYTES
+    assert node_response.FIRST_PART_MIN_BYTES < FIRST_PART_BYTES <= FORWARD_BUFFER_BYTES
     assert FORWARD_BUFFER_BYTES <= 128 * 1024  # of each of many answers at once
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire, names_from_wire
-from harriertide.http import client_connections
+from harriertide.http import client_connection, connection_table
 from harriertide.library.broker import Broker
 from harriertide.library.sources import Box
 from harriertide.library.types import Ask, Attempt, BoxError, FailedError
@@ -65,7 +65,7 @@
         async with asyncio.timeout(5):
             return (await self.box.asked.get())[3]
 
-    async def resting(self, path: str, state: client_connections.State) -> socket.socket:
+    async def resting(self, path: str, state: client_connection.ConnectionState) -> socket.socket:
         """A client that was answered, its connection in this state."""
         client = self.client()
         client.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -283,7 +283,7 @@
         client = await house.resting("/health/ready", "idle")
         client.setblocking(False)
         assert client.recv(65536).endswith(b"ready\n")
-        assert house.daemon.clients._evict(False)
+        assert house.daemon.clients._evict_one(False)
         assert client.recv(65536) == b""  # no turn of the loop has passed; without its end this would block
         client.sendall(house.request())
         await house.settle()
@@ -317,7 +317,7 @@
             async with asyncio.timeout(2):
                 for _ in range(1000):
                     await loop.sock_sendall(client, FLOOD)
-        assert client_connections.LINGER_BYTES < mine.discarded <= client_connections.LINGER_BYTES + 262_144
+        assert client_connection.LINGER_BYTES < mine.discarded <= client_connection.LINGER_BYTES + 262_144
         assert len(house.daemon.clients) == 0
         client.close()
 
@@ -334,7 +334,7 @@
             await asyncio.sleep(0.01)
         assert (
             loop.time() - begun
-            < client_connections.LINGER_TIMEOUT_S + 2 * client_connections.SWEEP_INTERVAL_S + 0.2
+            < connection_table.LINGER_TIMEOUT_S + 2 * connection_table.SWEEP_INTERVAL_S + 0.2
         )
         client.close()
 
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -65,7 +65,8 @@
         host = {"host": "b", "dial": box, "block": 0, "health": "up"}
         config = Config(
             "n", ("127.0.0.1", 0), "127.0.0.1:1", self.made, settings, names,
-            ("127.0.0.1", FIRST_PORT + place), peers, parse_page({"seq": 1, "whole": True, "hosts": [host]}, {}),
+            ("127.0.0.1", FIRST_PORT + place), peers,
+            parse_page({"seq": 1, "whole": True, "hosts": [host]}, {}),
         )  # fmt: skip
         self.daemons[place] = daemon = Daemon(config, None)
         await daemon.start()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,7 +15,7 @@
 from harriertide.cli.daemon import Daemon
 from harriertide.config import model
 from harriertide.decide.settings import from_wire, names_from_wire
-from harriertide.http import client_connections
+from harriertide.http import client_connection
 from harriertide.http.node_connection import NodeConnection
 from harriertide.http.node_pool import NodeConnectionPool
 from harriertide.objects.catalogue import Catalogue
@@ -1039,7 +1039,7 @@
     send: str, objects: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client that waits for its answer, meanwhile, is not held to it."""
-    monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.4)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.4)
     if objects:
         if "PUT" in send or "ready" in send:
             pytest.skip("bodies have the deadline of their call there; there is no such route")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from harriertide.http import client_connections
+from harriertide.http import connection_table
 from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT, Limits
 from harriertide.http.listener import listen
 from harriertide.lifecycle import operator_api
@@ -202,7 +202,7 @@
 
 def drain(play: Callable[[House, int], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
     """Play on a daemon with an operators' address, whose drains are short."""
-    monkeypatch.setattr(client_connections, "RETIRE_DELAY_S", 0.1)
+    monkeypatch.setattr(connection_table, "RETIRE_DELAY_S", 0.1)
 
     async def main(house: House) -> None:
         await play(house, house.daemon.operator_port())
