--- a/harriertide/http/client_server.py
+++ b/harriertide/http/client_server.py
@@ -42,6 +42,7 @@
         self._connection_class = connection_class
 
     def __call__(self) -> ClientConnection:
+        """The protocol of a connection that was accepted."""
         return self._connection_class(self, self.table, **self._kwargs)
 
 
