--- a/harriertide/objects/__init__.py
+++ b/harriertide/objects/__init__.py
@@ -1,1 +1,1 @@
-"""The object front: a path-style subset of the S3 REST interface on the same core."""
+"""Objects over a subset of the S3 REST interface: a front, a catalogue, and blobs on storage nodes."""
--- a/harriertide/objects/catalogue.py
+++ b/harriertide/objects/catalogue.py
@@ -1,14 +1,19 @@
-"""The catalogue: objects, their pieces and where they lie, uploads and their parts, and what is to be
-deleted. One sqlite3 file; each public call is one transaction, so a repeated or crossing Complete or Abort
-sees either all of the other or nothing."""
+"""The catalogue: objects, their segments and where they lie, uploads and their parts, and orphans to delete.
+
+One sqlite3 file. Each public call is one transaction, so a repeated or crossing Complete or Abort sees either
+all of the other or nothing. The tables keep the names of the first release: a node is a `box` there, a
+segment a `piece` and an orphan a `stray`.
+"""
 
 from __future__ import annotations
 
 import json
 import sqlite3
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable
 from hashlib import md5
+from typing import Any
+
+from harriertide.objects.records import Orphan, Segment, StoredObject, Upload, UploadPart
 
 _SCHEMA = """
 create table if not exists objects (
@@ -32,134 +37,111 @@
 """
 
 
-@dataclass(frozen=True, slots=True)
-class Piece:
-    """Bytes that lie on one box. tag: the box's own ETag for them."""
-
-    blob: str
-    box: str
-    shard: int
-    size: int
-    tag: str
-
-
-@dataclass(frozen=True, slots=True)
-class Stored:
-    """An object as it can be read."""
-
-    etag: str
-    type: str
-    size: int
-    modified_ms: int
-    pieces: tuple[Piece, ...]
-    headers: dict[str, str] = field(default_factory=dict)  # given back with it
-
-
-@dataclass(frozen=True, slots=True)
-class Part:
-    """A part of an upload."""
-
-    number: int
-    piece: Piece
-    md5: str
-    modified_ms: int
-
-
-@dataclass(frozen=True, slots=True)
-class Upload:
-    """A multipart upload. state: open, done or aborted; asked: the parts that Complete named."""
-
-    id: str
-    bucket: str
-    key: str
-    type: str
-    state: str
-    etag: str
-    asked: tuple[tuple[int, str], ...]
-    headers: dict[str, str] = field(default_factory=dict)
+def _allow_any(etag: str | None) -> None:
+    """The precondition of a write without one."""
 
 
 class Catalogue:
-    """One file, one connection, used from the event loop's thread only."""
+    """One file, one connection, used from the event loop's thread only.
+
+    :param path: of the file; it is made where there is none
+    """
 
     def __init__(self, path: str) -> None:
         self._db = sqlite3.connect(path, isolation_level=None)
         self._db.execute("pragma journal_mode = wal")
         self._db.execute("pragma synchronous = normal")
         self._db.executescript(_SCHEMA)
-        for table in ("objects", "uploads"):  # files of versions that kept no headers
-            names = [row[1] for row in self._db.execute(f"pragma table_info({table})")]
-            if "headers" not in names:
+        for table in ("objects", "uploads"):  # files of releases that stored no headers
+            columns = [row[1] for row in self._db.execute(f"pragma table_info({table})")]
+            if "headers" not in columns:
                 self._db.execute(f"alter table {table} add column headers text not null default '{{}}'")
-        # what was on its way when an earlier process ended belongs to nobody
+        # what was being written when an earlier process ended belongs to nobody
         self._db.execute("update strays set pending = 0")
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the file."""
         self._db.close()
 
-    # --- blobs on their way, and those to be deleted -------------------------------------------
+    # --- blobs that are being written, and orphans ---------------------------------------------
 
-    def on_its_way(self, bucket: str, blob: str, box: str, shard: int) -> None:
-        """A blob may come to lie on this box from now on."""
-        row = (blob, bucket, box, shard)
+    def record_pending_blob(self, bucket: str, blob: str, node: str, shard: int) -> None:
+        """A blob may come to lie on this node from now on; no object names it yet."""
+        row = (blob, bucket, node, shard)
         self._db.execute("insert or replace into strays values (?, ?, ?, ?, 1, 0)", row)
 
-    def discard(self, blob: str, after_ms: int) -> None:
-        """Nobody wants this blob; delete it once no attempt can write it any more."""
-        self._db.execute("update strays set pending = 0, after_ms = ? where blob = ?", (after_ms, blob))
+    def mark_orphan(self, blob: str, delete_after_ms: int) -> None:
+        """No object will name this blob; delete it once no attempt can write it any more.
+
+        :param delete_after_ms: from when on it may be deleted, in Unix milliseconds
+        """
+        row = (delete_after_ms, blob)
+        self._db.execute("update strays set pending = 0, after_ms = ? where blob = ?", row)
 
-    def strays(self, now_ms: int, most: int) -> list[tuple[str, str, str, int]]:
-        """Blobs to delete: bucket, blob, box and shard."""
+    def due_orphans(self, now_ms: int, max_count: int) -> list[Orphan]:
+        """Orphans that may be deleted by now, those that wait the longest first."""
         rows = self._db.execute(
             "select bucket, blob, box, shard from strays where pending = 0 and after_ms <= ?"
             " order by after_ms limit ?",
-            (now_ms, most),
+            (now_ms, max_count),
         )
-        return list(rows)
+        return [Orphan(*row) for row in rows]
 
-    def deleted(self, blob: str) -> None:
-        """A stray is no more."""
+    def forget_orphan(self, blob: str) -> None:
+        """An orphan is deleted from its node."""
         self._db.execute("delete from strays where blob = ?", (blob,))
 
-    def _stray(self, bucket: str, rows: list[tuple[str, str, int]]) -> None:
-        given = [(blob, bucket, box, shard) for blob, box, shard in rows]
-        self._db.executemany("insert or replace into strays values (?, ?, ?, ?, 0, 0)", given)
+    def _add_orphans(self, bucket: str, blobs: Iterable[tuple[str, str, int]]) -> None:
+        """Blobs that lie on nodes, with node and shard, have lost what named them."""
+        rows = [(blob, bucket, node, shard) for blob, node, shard in blobs]
+        self._db.executemany("insert or replace into strays values (?, ?, ?, ?, 0, 0)", rows)
 
     # --- objects -------------------------------------------------------------------------------
 
-    def find(self, bucket: str, key: str) -> Stored | None:
-        """An object with its pieces in order."""
+    def find(self, bucket: str, key: str) -> StoredObject | None:
+        """An object with its segments in order; None if there is none."""
         row = self._db.execute(
             "select id, etag, type, size, modified_ms, headers from objects where bucket = ? and key = ?",
             (bucket, key),
         ).fetchone()
         if row is None:
             return None
-        pieces = self._db.execute(
-            "select blob, box, shard, size, tag from pieces where object = ? order by place", (row[0],)
+        object_id, etag, content_type, size, modified_ms, headers = row
+        segments = self._db.execute(
+            "select blob, box, shard, size, tag from pieces where object = ? order by place", (object_id,)
+        )
+        return StoredObject(
+            etag=etag,
+            content_type=content_type,
+            size=size,
+            modified_ms=modified_ms,
+            segments=tuple(Segment(*segment) for segment in segments),
+            headers=json.loads(headers),
         )
-        held = tuple(Piece(*piece) for piece in pieces)
-        return Stored(row[1], row[2], row[3], row[4], held, json.loads(row[5]))
 
     def etag(self, bucket: str, key: str) -> str | None:
-        """Of the object under a key; None where there is none."""
-        named = "select etag from objects where bucket = ? and key = ?"
-        row = self._db.execute(named, (bucket, key)).fetchone()
+        """Of the object under a key; None if there is none."""
+        query = "select etag from objects where bucket = ? and key = ?"
+        row = self._db.execute(query, (bucket, key)).fetchone()
         return None if row is None else str(row[0])
 
     def put(
-        self, bucket: str, key: str, stored: Stored, check: Callable[[str | None], None] = lambda etag: None
+        self,
+        bucket: str,
+        key: str,
+        stored: StoredObject,
+        check: Callable[[str | None], None] = _allow_any,
     ) -> None:
-        """Make this the object under the key; the pieces of the one before become strays.
+        """Make this the object under the key; the segments of the one before become orphans.
 
-        check: told the ETag of what is there, within the same transaction; nothing changes where it raises.
+        :param check: called with the ETag of what is there, within the same transaction; nothing changes
+            where it raises
         """
-        with _Whole(self._db):
+        with _Transaction(self._db):
             check(self.etag(bucket, key))
             self._put(bucket, key, stored)
 
-    def _put(self, bucket: str, key: str, stored: Stored) -> None:
+    def _put(self, bucket: str, key: str, stored: StoredObject) -> None:
         self._remove(bucket, key)
         cursor = self._db.execute(
             "insert into objects (bucket, key, etag, type, size, modified_ms, headers)"
@@ -168,118 +150,155 @@
                 bucket,
                 key,
                 stored.etag,
-                stored.type,
+                stored.content_type,
                 stored.size,
                 stored.modified_ms,
                 json.dumps(stored.headers),
             ),
         )
         rows = [
-            (cursor.lastrowid, place, p.blob, p.box, p.shard, p.size, p.tag)
-            for place, p in enumerate(stored.pieces)
+            (cursor.lastrowid, place, *_segment_row(segment)) for place, segment in enumerate(stored.segments)
         ]
         self._db.executemany("insert into pieces values (?, ?, ?, ?, ?, ?, ?)", rows)
-        self._db.executemany("delete from strays where blob = ?", [(p.blob,) for p in stored.pieces])
+        self._forget_named(stored.segments)
 
     def remove(self, bucket: str, key: str) -> None:
-        """Take the object away, if there is one."""
-        with _Whole(self._db):
+        """Remove the object, if there is one; its segments become orphans."""
+        with _Transaction(self._db):
             self._remove(bucket, key)
 
     def _remove(self, bucket: str, key: str) -> None:
-        named = "select id from objects where bucket = ? and key = ?"
-        row = self._db.execute(named, (bucket, key)).fetchone()
+        query = "select id from objects where bucket = ? and key = ?"
+        row = self._db.execute(query, (bucket, key)).fetchone()
         if row is not None:
-            old = self._db.execute("select blob, box, shard from pieces where object = ?", row).fetchall()
-            self._stray(bucket, old)
+            blobs = self._db.execute("select blob, box, shard from pieces where object = ?", row).fetchall()
+            self._add_orphans(bucket, blobs)
             self._db.execute("delete from pieces where object = ?", row)
             self._db.execute("delete from objects where id = ?", row)
 
+    def _forget_named(self, segments: Iterable[Segment]) -> None:
+        """Blobs that something names now are no orphans to be."""
+        rows = [(segment.blob,) for segment in segments]
+        self._db.executemany("delete from strays where blob = ?", rows)
+
     # --- uploads -------------------------------------------------------------------------------
 
-    def begin(
-        self, upload: str, bucket: str, key: str, kind: str, headers: dict[str, str], now_ms: int
+    def create_upload(
+        self, upload_id: str, bucket: str, key: str, content_type: str, headers: dict[str, str], now_ms: int
     ) -> None:
-        """An upload has been asked for. headers: given back with the object that comes of it."""
-        row = (upload, bucket, key, kind, now_ms, json.dumps(headers))
+        """A multipart upload begins.
+
+        :param headers: to be stored with the object that comes of it
+        """
+        row = (upload_id, bucket, key, content_type, now_ms, json.dumps(headers))
         self._db.execute("insert into uploads values (?, ?, ?, ?, 'open', '', '[]', ?, ?)", row)
 
-    def upload(self, upload: str, bucket: str, key: str) -> Upload | None:
-        """An upload of this key, whatever its state."""
+    def find_upload(self, upload_id: str, bucket: str, key: str) -> Upload | None:
+        """An upload for this key, in whatever state; None if there is none."""
         row = self._db.execute(
             "select id, bucket, key, type, state, etag, asked, headers from uploads"
             " where id = ? and bucket = ? and key = ?",
-            (upload, bucket, key),
+            (upload_id, bucket, key),
         ).fetchone()
-        if row is None:
-            return None
-        asked = tuple((number, etag) for number, etag in json.loads(row[6]))
-        return Upload(row[0], row[1], row[2], row[3], row[4], row[5], asked, json.loads(row[7]))
+        return _read_upload(row) if row is not None else None
 
-    def left_open(self, before_ms: int, most: int) -> list[Upload]:
+    def expired_uploads(self, before_ms: int, max_count: int) -> list[Upload]:
         """Uploads that began before then and are still open."""
         rows = self._db.execute(
             "select id, bucket, key from uploads where state = 'open' and began_ms < ? limit ?",
-            (before_ms, most),
+            (before_ms, max_count),
         ).fetchall()
-        return [upload for row in rows if (upload := self.upload(*row)) is not None]
+        return [upload for row in rows if (upload := self.find_upload(*row)) is not None]
+
+    def add_part(self, upload: Upload, part: UploadPart) -> bool:
+        """Take a part; a part of the same number that is there becomes an orphan.
 
-    def add_part(self, upload: Upload, part: Part) -> bool:
-        """Take a part; False if the upload is over by now. A part of the same number becomes a stray."""
-        with _Whole(self._db):
+        :returns: False if the upload is over by now
+        """
+        with _Transaction(self._db):
             state = self._db.execute("select state from uploads where id = ?", (upload.id,)).fetchone()
             if state != ("open",):
                 return False
-            old = self._db.execute(
+            replaced = self._db.execute(
                 "select blob, box, shard from parts where upload = ? and number = ?", (upload.id, part.number)
             ).fetchall()
-            self._stray(upload.bucket, old)
-            p = part.piece
-            row = (upload.id, part.number, p.blob, p.box, p.shard, p.size, p.tag, part.md5, part.modified_ms)
+            self._add_orphans(upload.bucket, replaced)
+            row = (upload.id, part.number, *_segment_row(part.segment), part.md5, part.modified_ms)
             self._db.execute("insert or replace into parts values (?, ?, ?, ?, ?, ?, ?, ?, ?)", row)
-            self._db.execute("delete from strays where blob = ?", (p.blob,))
+            self._forget_named([part.segment])
             return True
 
-    def parts(self, upload: str) -> list[Part]:
+    def parts(self, upload_id: str) -> list[UploadPart]:
         """The parts so far, by number."""
         rows = self._db.execute(
             "select number, blob, box, shard, size, tag, md5, modified_ms from parts where upload = ?"
             " order by number",
-            (upload,),
+            (upload_id,),
         )
-        return [Part(row[0], Piece(*row[1:6]), row[6], row[7]) for row in rows]
+        return [UploadPart(row[0], Segment(*row[1:6]), row[6], row[7]) for row in rows]
+
+    def complete_upload(self, upload: Upload, chosen: list[UploadPart], now_ms: int) -> str:
+        """Make the chosen parts the object; the others become orphans.
 
-    def complete(self, upload: Upload, chosen: list[Part], now_ms: int) -> str:
-        """Make the chosen parts the object; the others become strays. Its ETag."""
+        :returns: the ETag of the object
+        """
         digests = b"".join(bytes.fromhex(part.md5) for part in chosen)
         etag = f"{md5(digests, usedforsecurity=False).hexdigest()}-{len(chosen)}"
-        asked = json.dumps([(part.number, part.md5) for part in chosen])
-        size = sum(part.piece.size for part in chosen)
-        with _Whole(self._db):
-            kept = {part.piece.blob for part in chosen}
-            rest = [part.piece for part in self.parts(upload.id) if part.piece.blob not in kept]
-            pieces = tuple(part.piece for part in chosen)
-            stored = Stored(etag, upload.type, size, now_ms, pieces, upload.headers)
+        stored = StoredObject(
+            etag=etag,
+            content_type=upload.content_type,
+            size=sum(part.segment.size for part in chosen),
+            modified_ms=now_ms,
+            segments=tuple(part.segment for part in chosen),
+            headers=upload.headers,
+        )
+        completed_parts = json.dumps([(part.number, part.md5) for part in chosen])
+        with _Transaction(self._db):
+            used = {part.segment.blob for part in chosen}
+            unused = [part.segment for part in self.parts(upload.id) if part.segment.blob not in used]
             self._put(upload.bucket, upload.key, stored)
-            self._stray(upload.bucket, [(piece.blob, piece.box, piece.shard) for piece in rest])
+            self._add_orphans(upload.bucket, map(_location, unused))
             self._db.execute("delete from parts where upload = ?", (upload.id,))
             self._db.execute(
                 "update uploads set state = 'done', etag = ?, asked = ? where id = ?",
-                (etag, asked, upload.id),
+                (etag, completed_parts, upload.id),
             )
         return etag
 
-    def abort(self, upload: Upload) -> None:
-        """Give up an open upload; its parts become strays."""
-        with _Whole(self._db):
-            old = [part.piece for part in self.parts(upload.id)]
-            self._stray(upload.bucket, [(piece.blob, piece.box, piece.shard) for piece in old])
+    def abort_upload(self, upload: Upload) -> None:
+        """End an open upload without an object; its parts become orphans."""
+        with _Transaction(self._db):
+            unused = [part.segment for part in self.parts(upload.id)]
+            self._add_orphans(upload.bucket, map(_location, unused))
             self._db.execute("delete from parts where upload = ?", (upload.id,))
             self._db.execute("update uploads set state = 'aborted' where id = ?", (upload.id,))
 
 
-class _Whole:
-    """A transaction: all or nothing."""
+def _segment_row(segment: Segment) -> tuple[str, str, int, int, str]:
+    """The columns of a segment, as `pieces` and `parts` have them."""
+    return segment.blob, segment.node, segment.shard, segment.size, segment.node_etag
+
+
+def _location(segment: Segment) -> tuple[str, str, int]:
+    return segment.blob, segment.node, segment.shard
+
+
+def _read_upload(row: tuple[Any, ...]) -> Upload:
+    upload_id, bucket, key, content_type, state, etag, completed_parts, headers = row
+    return Upload(
+        id=upload_id,
+        bucket=bucket,
+        key=key,
+        content_type=content_type,
+        state=state,
+        etag=etag,
+        completed_parts=tuple((number, digest) for number, digest in json.loads(completed_parts)),
+        headers=json.loads(headers),
+    )
+
+
+class _Transaction:
+    """Commits what is done within it; rolls it back where that raises."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self._db = db
--- a/harriertide/objects/multipart.py
+++ b/harriertide/objects/multipart.py
@@ -8,136 +8,162 @@
 
 from aiohttp import web
 
-from harriertide.objects.catalogue import Part, Piece, Upload
-from harriertide.objects.s3 import PARTS_MOST, S3Error, iso_date, kept_headers, tree, xml
-from harriertide.objects.store import Store
+from harriertide.objects.errors import S3Error, no_such_upload
+from harriertide.objects.metadata import stored_headers
+from harriertide.objects.numbers import is_short_integer
+from harriertide.objects.records import Segment, Upload, UploadPart
+from harriertide.objects.store import ObjectStore
+from harriertide.objects.xml_format import MAX_PART_NUMBER, build_element, iso_date, xml_response
 
-PAGE = 1000
+MAX_LISTED_PARTS = 1000  # on one page
+DEFAULT_CONTENT_TYPE = "binary/octet-stream"
 
 
 def md5_header(digest: str) -> str:
-    """A digest as Content-MD5 carries it."""
+    """A digest in hex digits as Content-MD5 has it."""
     return b64encode(bytes.fromhex(digest)).decode()
 
 
-def _none() -> S3Error:
-    return S3Error("NoSuchUpload", "The specified upload does not exist.")
-
-
-def create(store: Store, bucket: str, key: str, headers: Mapping[str, str]) -> web.Response:
+def create(store: ObjectStore, bucket: str, key: str, headers: Mapping[str, str]) -> web.Response:
     """CreateMultipartUpload."""
-    upload = token_hex(16)
-    kind = headers.get("Content-Type", "binary/octet-stream")
-    store.catalogue.begin(upload, bucket, key, kind, kept_headers(headers), store.now_ms())
-    rows = [("Bucket", bucket), ("Key", key), ("UploadId", upload)]
-    return xml(tree("InitiateMultipartUploadResult", rows))
+    upload_id = token_hex(16)
+    content_type = headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
+    store.catalogue.create_upload(
+        upload_id, bucket, key, content_type, stored_headers(headers), store.now_ms()
+    )
+    rows = [("Bucket", bucket), ("Key", key), ("UploadId", upload_id)]
+    return xml_response(build_element("InitiateMultipartUploadResult", rows))
+
 
+def find(store: ObjectStore, upload_id: str, bucket: str, key: str) -> Upload:
+    """An upload in any state.
 
-def find(store: Store, upload_id: str, bucket: str, key: str) -> Upload:
-    """An upload in any state."""
-    upload = store.catalogue.upload(upload_id, bucket, key)
+    :raises S3Error: there is none
+    """
+    upload = store.catalogue.find_upload(upload_id, bucket, key)
     if upload is None:
-        raise _none()
+        raise no_such_upload()
     return upload
 
 
-def find_open(store: Store, upload_id: str, bucket: str, key: str) -> Upload:
-    """An upload that still takes parts."""
+def find_open(store: ObjectStore, upload_id: str, bucket: str, key: str) -> Upload:
+    """An upload that still takes parts.
+
+    :raises S3Error: there is none
+    """
     upload = find(store, upload_id, bucket, key)
     if upload.state != "open":
-        raise _none()
+        raise no_such_upload()
     return upload
 
 
-def part_number(query: Mapping[str, str]) -> int:
-    """The number that UploadPart names."""
+def parse_part_number(query: Mapping[str, str]) -> int:
+    """The number that UploadPart names.
+
+    :raises S3Error: it is no number of a part
+    """
     text = query.get("partNumber", "")
-    if not (text.isascii() and text.isdigit() and len(text) <= 5 and 1 <= int(text) <= PARTS_MOST):
-        raise S3Error("InvalidArgument", f"Part number must be an integer between 1 and {PARTS_MOST}")
+    if not (is_short_integer(text, max_digits=5) and 1 <= int(text) <= MAX_PART_NUMBER):
+        raise S3Error("InvalidArgument", f"Part number must be an integer between 1 and {MAX_PART_NUMBER}")
     return int(text)
 
 
-def add(store: Store, upload_id: str, bucket: str, key: str, number: int, piece: Piece, digest: str) -> None:
-    """Take a part that lies on its box; not if the upload has ended meanwhile."""
+def add_part(
+    store: ObjectStore, upload_id: str, bucket: str, key: str, number: int, segment: Segment, digest: str
+) -> None:
+    """Take a part that lies on its node.
+
+    :raises S3Error: the upload has ended meanwhile; the part becomes an orphan
+    """
     upload = find(store, upload_id, bucket, key)
-    if not store.catalogue.add_part(upload, Part(number, piece, digest, store.now_ms())):
-        store.drop(piece.blob)
-        raise _none()
+    if not store.catalogue.add_part(upload, UploadPart(number, segment, digest, store.now_ms())):
+        store.drop_blob(segment.blob)
+        raise no_such_upload()
 
 
-def list_parts(store: Store, upload: Upload, query: Mapping[str, str]) -> web.Response:
+def list_parts(store: ObjectStore, upload: Upload, query: Mapping[str, str]) -> web.Response:
     """ListParts, by pages."""
     if upload.state != "open":
-        raise _none()
-    marker = _least(query, "part-number-marker", 0)
-    most = min(PAGE, _least(query, "max-parts", PAGE))
+        raise no_such_upload()
+    marker = _parse_count(query, "part-number-marker", 0)
+    max_parts = min(MAX_LISTED_PARTS, _parse_count(query, "max-parts", MAX_LISTED_PARTS))
     parts = [part for part in store.catalogue.parts(upload.id) if part.number > marker]
-    page = parts[:most]
+    page = parts[:max_parts]
     rows: list[tuple[str, object]] = [
         ("Bucket", upload.bucket),
         ("Key", upload.key),
         ("UploadId", upload.id),
         ("PartNumberMarker", marker),
-        ("MaxParts", most),
+        ("MaxParts", max_parts),
         ("IsTruncated", "true" if len(parts) > len(page) else "false"),
     ]
     if page:
         rows.append(("NextPartNumberMarker", page[-1].number))
-    for part in page:
-        row = [
-            ("PartNumber", part.number),
-            ("LastModified", iso_date(part.modified_ms)),
-            ("ETag", f'"{part.md5}"'),
-            ("Size", part.piece.size),
-        ]
-        rows.append(("Part", row))
-    return xml(tree("ListPartsResult", rows))
-
-
-def _least(query: Mapping[str, str], name: str, default: int) -> int:
+    rows += [("Part", _part_rows(part)) for part in page]
+    return xml_response(build_element("ListPartsResult", rows))
+
+
+def _part_rows(part: UploadPart) -> list[tuple[str, object]]:
+    return [
+        ("PartNumber", part.number),
+        ("LastModified", iso_date(part.modified_ms)),
+        ("ETag", f'"{part.md5}"'),
+        ("Size", part.segment.size),
+    ]
+
+
+def _parse_count(query: Mapping[str, str], name: str, default: int) -> int:
     text = query.get(name, str(default))
-    if not (text.isascii() and text.isdigit() and len(text) <= 9):
+    if not is_short_integer(text, max_digits=9):
         raise S3Error("InvalidArgument", f"{name} must be a whole number")
     return int(text)
 
 
-def complete(store: Store, upload: Upload, asked: list[tuple[int, str]]) -> web.Response:
+def complete(store: ObjectStore, upload: Upload, named_parts: list[tuple[int, str]]) -> web.Response:
     """CompleteMultipartUpload. Repeated with the same parts it answers the same again.
 
-    No await between the look at the parts and the change: two that cross can't both make the object.
+    There is no await between the look at the parts and the change: two that cross can't both make the object.
+
+    :param named_parts: number and ETag of each
+    :raises S3Error: the upload is over, or a part is missing or too small
     """
-    if upload.state == "done" and list(upload.asked) == asked:
-        return _completed(upload, upload.etag)
+    if upload.state == "done" and list(upload.completed_parts) == named_parts:
+        return _completed_response(upload, upload.etag)
     if upload.state != "open":
-        raise _none()
+        raise no_such_upload()
+    chosen = _choose_parts(store, upload, named_parts)
+    min_bytes = store.limits["part_least_kb"] * 1024
+    if any(part.segment.size < min_bytes for part in chosen[:-1]):
+        raise S3Error("EntityTooSmall", "Your proposed upload is smaller than the minimum allowed size")
+    return _completed_response(upload, store.catalogue.complete_upload(upload, chosen, store.now_ms()))
+
+
+def _choose_parts(store: ObjectStore, upload: Upload, named_parts: list[tuple[int, str]]) -> list[UploadPart]:
     parts = {part.number: part for part in store.catalogue.parts(upload.id)}
     chosen = []
-    for number, etag in asked:
+    for number, etag in named_parts:
         part = parts.get(number)
-        # a part on a box that was taken off the list can't be read any more
-        if part is None or part.md5 != etag or not store.listed(part.piece.box):
+        # a part on a node that was removed from the list can't be read any more
+        if part is None or part.md5 != etag or not store.has_node(part.segment.node):
             raise S3Error("InvalidPart", f"Part {number} could not be found, or its box is gone")
         chosen.append(part)
-    least = store.limits["part_least_kb"] * 1024
-    if any(part.piece.size < least for part in chosen[:-1]):
-        raise S3Error("EntityTooSmall", "Your proposed upload is smaller than the minimum allowed size")
-    return _completed(upload, store.catalogue.complete(upload, chosen, store.now_ms()))
+    return chosen
 
 
-def _completed(upload: Upload, etag: str) -> web.Response:
+def _completed_response(upload: Upload, etag: str) -> web.Response:
     rows = [
         ("Location", f"/{upload.bucket}/{upload.key}"),
         ("Bucket", upload.bucket),
         ("Key", upload.key),
         ("ETag", f'"{etag}"'),
     ]
-    return xml(tree("CompleteMultipartUploadResult", rows))
+    return xml_response(build_element("CompleteMultipartUploadResult", rows))
 
 
-def abort(store: Store, upload: Upload) -> web.Response:
+def abort(store: ObjectStore, upload: Upload) -> web.Response:
     """AbortMultipartUpload. Repeated it answers the same again; a completed upload is no more."""
     if upload.state == "done":
-        raise _none()
+        raise no_such_upload()
     if upload.state == "open":
-        store.catalogue.abort(upload)
+        store.catalogue.abort_upload(upload)
     return web.Response(status=204)
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -16,13 +16,23 @@
 from harriertide.http.node_client import NodeClient
 from harriertide.objects.catalogue import Catalogue
 from harriertide.objects.front import ObjectFront
-from harriertide.objects.store import Kinds, Store
+from harriertide.objects.orphan_sweep import sweep_forever
+from harriertide.objects.store import ObjectStore, RequestClasses
 
-STATE_BYTES = 1024 * 1024
+MAX_STATE_BYTES = 1024 * 1024  # of an operator's state that is applied
+
+# Classes of the settings that the operator's file makes, where there is no platform.
+_OWN_CLASSES = RequestClasses(read=0, write=1, bulk=2)
+_EMPTY_STATE: State = {"boxes": {}, "grades": {}, "volumes": {}, "limits": {}}
 
 
 class ObjectService:
-    """The object front on a runtime. platform: the platform's plans, where it has the boxes and grades."""
+    """The object front on a runtime.
+
+    :param operator: the operator's file
+    :param platform: the platform's plans, by name, where it has the nodes and grades; None: the operator has
+    :param writes: for each class of the platform, whether its requests change data
+    """
 
     def __init__(
         self,
@@ -33,27 +43,28 @@
         writes: tuple[bool, ...],
     ) -> None:
         self.state = operator.state
-        self._operator, self._runtime, self._platform = operator, runtime, platform
+        self.shut: frozenset[str] | None = frozenset()  # nodes out for work, or on their way out; None: all
+        self._operator = operator
+        self._runtime = runtime
+        self._platform = platform
         self._grades = list(operator.state["grades"])
-        self.shut: frozenset[str] | None = frozenset()  # boxes out for work, or on their way out
-        self._started_us: dict[str, int] = {}
+        self._started_us: dict[str, int] = {}  # when nodes came back from work
         self._check(operator.state)
-        kinds = Kinds(0, 1, 2)
-        if platform is not None:
-            reads = [place for place, write in enumerate(writes) if not write] or [0]
-            changes = [place for place, write in enumerate(writes) if write] or [0]
-            kinds = Kinds(reads[0], changes[0], changes[0])
-        else:
-            runtime.post(
-                ev.EndpointsUpdated(api.EndpointUpdate("cached", model.news(_NONE, operator.state).entries))
-            )
+        if platform is None:
+            listed = model.news(_EMPTY_STATE, operator.state).entries
+            runtime.post(ev.EndpointsUpdated(api.EndpointUpdate("cached", listed)))
+        classes = _OWN_CLASSES if platform is None else _platform_classes(writes)
         self._catalogue = Catalogue(operator.catalogue)
-        self.store = Store(runtime, client, self._catalogue, lambda: self.state, self.plans, kinds)
+        self.store = ObjectStore(runtime, client, self._catalogue, lambda: self.state, self.plans, classes)
         self.front = ObjectFront(self.store)
         self.admin = Admin(lambda: self.state, self.enact)
         self._sweeper: asyncio.Task[None] | None = None
 
     def _check(self, state: State) -> None:
+        """Check a state against the platform's.
+
+        :raises OperatorFileError: it has what the platform has, or lacks
+        """
         if self._platform is None:
             return
         if state["boxes"]:
@@ -63,7 +74,7 @@
                 raise OperatorFileError(f"grades.{grade}: the platform has no such plan")
 
     def plans(self) -> dict[str, int]:
-        """The module's number of each grade."""
+        """The decision module's number of each grade."""
         if self._platform is not None:
             return self._platform
         return {name: place for place, name in enumerate(self._grades)}
@@ -73,7 +84,7 @@
         self._platform = {**(self._platform or {}), **platform}
 
     def find(self, box: str) -> str | None:
-        """Where a box of the operator's is dialled."""
+        """The host:port of a node of the operator's; None if there is none of that name."""
         row = self.state["boxes"].get(box)
         return str(row["address"]) if row else None
 
@@ -82,27 +93,31 @@
         return {"objects": self.front.counts, "store": self.store.counts}
 
     def servers(self, table: ConnectionTable) -> list[tuple[str, FrontServer]]:
-        """Listeners: the front's and the admin's."""
+        """Listeners with their addresses: the front's and the admin's."""
         front = make_server(table, self.front.handle)
-        admin = make_server(table, self.admin.handle, STATE_BYTES)
+        admin = make_server(table, self.admin.handle, MAX_STATE_BYTES)
         return [(self._operator.listen, front), (self._operator.admin, admin)]
 
     def start(self) -> None:
         """Begin the clean-up."""
-        self._sweeper = asyncio.get_running_loop().create_task(self.store.sweep())
+        self._sweeper = asyncio.get_running_loop().create_task(sweep_forever(self.store))
 
     def enact(self, state: State) -> None:
-        """Make this the running state. The core hears of boxes as a change of the list, told now."""
+        """Make this the running state. The core learns of nodes as a change of the endpoint list.
+
+        :raises OperatorFileError: it can't be used; nothing has changed
+        """
         self._check(state)
-        old, self.state = self.shown(), state
+        before = self.shown()
+        self.state = state
         if self._platform is not None:
             return
         self._grades += [name for name in state["grades"] if name not in self._grades]
         self._runtime.post(ev.SettingsChanged(model.settings(state, self._grades)))
-        self._tell(old)
+        self._post_changes(before)
 
     def shown(self) -> State:
-        """The operator's state, with the boxes that may get nothing new as draining."""
+        """The operator's state, with the nodes that may get nothing new as draining."""
         if self.shut is not None and not self.shut:
             return self.state
         boxes = {
@@ -112,21 +127,31 @@
         return {**self.state, "boxes": boxes}
 
     def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
-        """Boxes that get nothing new from now on (None: no box gets any), and when others came back."""
-        old, self.shut, self._started_us = self.shown(), shut, started_us
-        self._tell(old)
+        """Nodes get nothing new from now on.
+
+        :param shut: their IDs; None: all nodes
+        :param started_us: when others came back, in Unix microseconds
+        """
+        before = self.shown()
+        self.shut = shut
+        self._started_us = started_us
+        self._post_changes(before)
 
-    def _tell(self, old: State) -> None:
-        news = model.news(old, self.shown(), self._started_us)
-        if news.entries:
-            self._runtime.post(ev.EndpointsUpdated(news))
+    def _post_changes(self, before: State) -> None:
+        update = model.news(before, self.shown(), self._started_us)
+        if update.entries:
+            self._runtime.post(ev.EndpointsUpdated(update))
 
     async def close(self) -> None:
-        """End the clean-up and let go of the catalogue."""
+        """End the clean-up and close the catalogue."""
         if self._sweeper is not None:
             self._sweeper.cancel()
             await asyncio.gather(self._sweeper, return_exceptions=True)
         self._catalogue.close()
 
 
-_NONE: State = {"boxes": {}, "grades": {}, "volumes": {}, "limits": {}}
+def _platform_classes(writes: tuple[bool, ...]) -> RequestClasses:
+    """The platform's first class that reads, and its first that changes data."""
+    reading = [place for place, changes_data in enumerate(writes) if not changes_data] or [0]
+    writing = [place for place, changes_data in enumerate(writes) if changes_data] or [0]
+    return RequestClasses(read=reading[0], write=writing[0], bulk=writing[0])
--- a/harriertide/objects/store.py
+++ b/harriertide/objects/store.py
@@ -1,4 +1,4 @@
-"""Objects as arrivals: each write, read and delete of a blob is a request of the core like any other."""
+"""Objects as requests of the core: each write, read and delete of a blob is admitted like any other."""
 
 from __future__ import annotations
 
@@ -14,38 +14,37 @@
 from harriertide.config.model import State
 from harriertide.core import events as ev
 from harriertide.decide import api
-from harriertide.engine.clock import until
-from harriertide.engine.log import log
 from harriertide.engine.runtime import Runtime
 from harriertide.http.node_client import NodeClient
-from harriertide.objects.catalogue import Catalogue, Piece
-from harriertide.objects.jobs import (
-    CHUNK_BYTES,
-    DeleteBlob,
-    Held,
-    ObjectJob,
-    ReadBlob,
-    Source,
-    Streamed,
-    WriteBlob,
-)
-from harriertide.objects.s3 import S3Error, slow_down
-
-SWEEP_S, SWEEP_MOST = 1.0, 8
-LATE_MS = 1_000  # after its deadline no attempt writes a blob any more; kept to that for certain
+from harriertide.objects.blob_jobs import BlobJob, DeleteBlob, ReadBlob, WriteBlob
+from harriertide.objects.catalogue import Catalogue
+from harriertide.objects.errors import S3Error, slow_down
+from harriertide.objects.records import Orphan, Segment
+from harriertide.objects.upload_body import CHUNK_BYTES, BufferedBody, StreamedBody, UploadBody
+
+# Behind its deadline no attempt writes a blob any more; an orphan is kept so much longer, to be certain.
+ORPHAN_MARGIN_MS = 1_000
+NEW_SHARD = -1  # of an arrival whose shard the decision module chooses
 
 
 @dataclass(frozen=True, slots=True)
-class Kinds:
-    """Which class of the settings each kind of call belongs to."""
+class RequestClasses:
+    """The class of the settings that each kind of call belongs to.
+
+    :param bulk: of reads and writes that are too large to be buffered
+    """
 
     read: int
     write: int
     bulk: int
 
 
-class Store:
-    """The part of the object front that speaks with the core."""
+class ObjectStore:
+    """The part of the object front that submits requests to the core.
+
+    :param state: the operator's state in force
+    :param plans: the decision module's number of each grade
+    """
 
     def __init__(
         self,
@@ -54,63 +53,81 @@
         catalogue: Catalogue,
         state: Callable[[], State],
         plans: Callable[[], dict[str, int]],
-        kinds: Kinds,
+        classes: RequestClasses,
     ) -> None:
         self.counts: Counter[str] = Counter()
         self.catalogue = catalogue
-        self._runtime, self._client, self._kinds = runtime, client, kinds
-        self._state, self._plans = state, plans
-        self._held = 0  # bytes in memory that could be sent once more
+        self._runtime = runtime
+        self._client = client
+        self._classes = classes
+        self._state = state
+        self._plans = plans
+        self._buffered_bytes = 0  # of bodies in memory, which a retry could send
 
     # --- figures -------------------------------------------------------------------------------
 
     @property
     def limits(self) -> dict[str, int]:
-        """The operator's limits as they stand."""
+        """The operator's limits in force."""
         return self._state()["limits"]
 
+    @property
+    def max_buffered_bytes(self) -> int:
+        """The largest body that is buffered, so that a retry can send it."""
+        return self.limits["repeat_kb"] * 1024
+
     def now_ms(self) -> int:
-        """Unix milliseconds of the one clock."""
+        """Unix milliseconds of the broker's clock."""
         return self._runtime.clock.now_us() // 1000
 
-    def has(self, bucket: str) -> bool:
-        """Whether there is such a volume."""
+    def has_bucket(self, bucket: str) -> bool:
+        """Whether there is such a bucket, which is a volume of the operator's."""
         return bucket in self._state()["volumes"]
 
-    def listed(self, box: str) -> bool:
-        """Whether a box is on the list, draining or not."""
-        return box in self._runtime.core.nodes()
+    def has_node(self, node: str) -> bool:
+        """Whether a node is in the endpoint list, draining or not."""
+        return node in self._runtime.core.nodes()
 
-    def deadline_at_us(self, write: bool, size: int, budget_ms: int | None) -> int:
-        """The absolute deadline of a call that begins now; it travels with all that the call needs."""
-        kind = self._runtime.core.settings.classes[self._kind(write, size)]
-        span_us = kind.deadline_us if budget_ms is None else min(kind.deadline_us, budget_ms * 1000)
+    def deadline_at_us(self, is_write: bool, size: int, budget_ms: int | None) -> int:
+        """The absolute deadline of a call that begins now; it goes along with all that the call needs.
+
+        :param budget_ms: that the client states; None: that of the class
+        """
+        request_class = self._runtime.core.settings.classes[self._request_class(is_write, size)]
+        span_us = request_class.deadline_us
+        if budget_ms is not None:
+            span_us = min(span_us, budget_ms * 1000)
         return self._runtime.clock.now_us() + span_us
 
-    def _kind(self, write: bool, size: int) -> int:
-        if size > self.limits["repeat_kb"] * 1024:
-            return self._kinds.bulk
-        return self._kinds.write if write else self._kinds.read
+    def slow_down(self) -> S3Error:
+        """The error of a call that this broker has no room for."""
+        return slow_down(self._runtime.core.settings.max_retry_after_us)
+
+    def _request_class(self, is_write: bool, size: int) -> int:
+        if size > self.max_buffered_bytes:
+            return self._classes.bulk
+        return self._classes.write if is_write else self._classes.read
 
     def _arrival(
-        self, bucket: str, blob: str, write: bool, size: int, shard: int, deadline_at_us: int
+        self, bucket: str, blob: str, is_write: bool, size: int, shard: int, deadline_at_us: int
     ) -> api.Arrival:
         limits = self.limits
         grade = self._state()["volumes"].get(bucket, {}).get("grade", "")
+        units = ceil(size / (limits["unit_kb"] * 1024))
         return api.Arrival(
             request_id=token_hex(8),
-            request_class=self._kind(write, size),
+            request_class=self._request_class(is_write, size),
             plan=self._plans().get(grade, 0),
             volume=bucket,
             shard=shard,
             deadline_at_us=deadline_at_us,
-            units=float(max(1, min(limits["most_units"], ceil(size / (limits["unit_kb"] * 1024))))),
+            units=float(max(1, min(limits["most_units"], units))),
             key=blob,
         )
 
     # --- calls ---------------------------------------------------------------------------------
 
-    async def _call(self, arrival: api.Arrival, job: ObjectJob) -> ev.Respond:
+    async def _submit(self, arrival: api.Arrival, job: BlobJob) -> ev.Respond:
         """One request of the core, from its arrival to its one answer."""
         self.counts["calls"] += 1
         self._runtime.submit(arrival, job)
@@ -120,118 +137,115 @@
             self._runtime.left(arrival.request_id)  # the client is gone
             raise
 
-    async def take(self, content: aiohttp.StreamReader, size: int, deadline_at_us: int) -> Source:
-        """The client's body: small ones whole, so that they can be sent once more; others pass through."""
-        limits = self.limits
+    async def receive_body(self, content: aiohttp.StreamReader, size: int, deadline_at_us: int) -> UploadBody:
+        """A client's body: a small one in memory, so that a retry can send it; another one passes through.
+
+        :raises S3Error: it did not come in time, or not whole, or there is no memory for it
+        """
         try:
             async with asyncio.timeout_at(self._runtime.clock.loop_time(deadline_at_us)):
-                if size > limits["repeat_kb"] * 1024:
-                    return Streamed(content, size, await content.read(CHUNK_BYTES))
-                return await self._hold(content, size)
+                if size > self.max_buffered_bytes:
+                    return StreamedBody(content, size, await content.read(CHUNK_BYTES))
+                return await self._buffer_body(content, size)
         except TimeoutError:
             raise S3Error("RequestTimeout", "The body did not come within the time of the request") from None
         except asyncio.IncompleteReadError:
             raise S3Error("IncompleteBody", "The body is shorter than Content-Length says") from None
 
-    async def _hold(self, content: aiohttp.StreamReader, size: int) -> Held:
-        limits = self.limits
-        if self._held + size > limits["repeat_total_kb"] * 1024:
+    async def _buffer_body(self, content: aiohttp.StreamReader, size: int) -> BufferedBody:
+        if self._buffered_bytes + size > self.limits["repeat_total_kb"] * 1024:
             self.counts["buffers_full"] += 1
-            raise slow_down(self._runtime.core.settings.max_retry_after_us)
+            raise self.slow_down()
         if size == 0:
-            return Held(b"")
-        self._held += size
+            return BufferedBody(b"")
+        self._buffered_bytes += size
         try:
-            return Held(await content.readexactly(size))
+            return BufferedBody(await content.readexactly(size))
         finally:
-            self._held -= size
+            self._buffered_bytes -= size
+
+    async def write(self, bucket: str, body: UploadBody, deadline_at_us: int) -> Segment:
+        """Write a body to a node that the core chooses.
 
-    async def write(self, bucket: str, source: Source, deadline_at_us: int) -> Piece:
-        """Put a body on a box that the core chooses. What comes of it later has to be made known to the
-        catalogue; until then the blob counts as on its way."""
+        The caller has to have the catalogue name the segment; until then its blob counts as pending.
+
+        :raises S3Error: the body did not come whole, or no node took it
+        """
         blob = token_hex(16)
-        arrival = self._arrival(bucket, blob, True, source.size, -1, deadline_at_us)
+        arrival = self._arrival(bucket, blob, True, body.size, NEW_SHARD, deadline_at_us)
 
-        def begun(box: str) -> None:
-            shard = self._runtime.core.nodes()[box].shard
-            self.catalogue.on_its_way(bucket, blob, box, shard)
+        def record_pending(node: str) -> None:
+            shard = self._runtime.core.nodes()[node].shard
+            self.catalogue.record_pending_blob(bucket, blob, node, shard)
 
-        job = WriteBlob(self._client, arrival.request_id, bucket, blob, source, begun)
-        kept = isinstance(source, Held)
-        self._held += source.size if kept else 0
-        served = False
+        job = WriteBlob(self._client, arrival.request_id, bucket, blob, body, record_pending)
+        answer = await self._submit_write(arrival, job, body)
+        if body.is_broken:
+            raise S3Error("IncompleteBody", "The body is shorter than Content-Length says")
+        _raise_unless_served(job, answer)
+        entry = self._runtime.core.nodes().get(job.node)
+        if entry is None:  # removed from the list in this very turn of the loop: its data is out of reach
+            self.drop_blob(blob, deadline_at_us)
+            raise self.slow_down()
+        return Segment(blob, job.node, entry.shard, body.size, job.node_etag)
+
+    async def _submit_write(self, arrival: api.Arrival, job: WriteBlob, body: UploadBody) -> ev.Respond:
+        """Submit a write; a buffered body counts meanwhile, and a blob that was not served is an orphan."""
+        buffered_bytes = body.size if isinstance(body, BufferedBody) else 0
+        self._buffered_bytes += buffered_bytes
+        is_served = False
         try:
-            answer = await self._call(arrival, job)
-            served = answer.kind == "served"
+            answer = await self._submit(arrival, job)
+            is_served = answer.kind == "served"
+            return answer
         finally:
-            self._held -= source.size if kept else 0
-            if not served:
-                self.drop(blob, deadline_at_us)
-        if source.broken:
-            raise S3Error("IncompleteBody", "The body is shorter than Content-Length says")
-        self._must(job, answer)
-        shard = self._runtime.core.nodes().get(job.box)
-        if shard is None:  # taken off the list in this very turn: its data is out of reach
-            self.drop(blob, deadline_at_us)
-            raise slow_down(self._runtime.core.settings.max_retry_after_us)
-        return Piece(blob, job.box, shard.shard, source.size, job.tag)
+            self._buffered_bytes -= buffered_bytes
+            if not is_served:
+                self.drop_blob(arrival.key, arrival.deadline_at_us)
+
+    def drop_blob(self, blob: str, deadline_at_us: int = 0) -> None:
+        """Have a blob deleted that no object will name.
 
-    def drop(self, blob: str, deadline_at_us: int = 0) -> None:
-        """Nobody wants a blob that was written, or may yet be until that time."""
-        self.catalogue.discard(blob, deadline_at_us // 1000 + LATE_MS)
+        :param deadline_at_us: until when an attempt may still write it
+        """
+        self.catalogue.mark_orphan(blob, deadline_at_us // 1000 + ORPHAN_MARGIN_MS)
 
     async def read(
         self,
         bucket: str,
-        piece: Piece,
+        segment: Segment,
         first: int,
         last: int,
         deadline_at_us: int,
         sink: Callable[[bytes], Awaitable[None]],
     ) -> None:
-        """Pass bytes first to last of a piece into the sink."""
-        arrival = self._arrival(bucket, piece.blob, False, last + 1 - first, piece.shard, deadline_at_us)
-        job = ReadBlob(self._client, arrival.request_id, bucket, piece.blob, piece.tag, first, last, sink)
-        answer = await self._call(arrival, job)
-        if job.missing:
+        """Read bytes first to last of a segment, both included, into a sink.
+
+        :raises S3Error: the node has lost them, or the request was rejected or failed
+        """
+        size = last + 1 - first
+        arrival = self._arrival(bucket, segment.blob, False, size, segment.shard, deadline_at_us)
+        job = ReadBlob(
+            self._client, arrival.request_id, bucket, segment.blob, segment.node_etag, first, last, sink
+        )
+        answer = await self._submit(arrival, job)
+        if job.is_missing:
             raise S3Error("InternalError", "The box does not have the data")
-        self._must(job, answer)
-
-    @staticmethod
-    def _must(job: ObjectJob, answer: ev.Respond) -> None:
-        if job.denied and answer.kind != "served":
-            raise S3Error("InternalError", "A box refused the request for good")
-        if answer.kind == "rejected":
-            raise slow_down(answer.retry_after_us)
-        if answer.kind == "failed":
-            raise S3Error("InternalError", "The boxes could not serve the request")
-
-    # --- what is left over ---------------------------------------------------------------------
-
-    async def sweep(self) -> None:
-        """Delete strays from their boxes, a few a second, as requests of the core."""
-        loop = asyncio.get_running_loop()
-        while True:
-            await until(loop.time() + SWEEP_S)
-            try:
-                old_ms = self.now_ms() - self.limits["upload_hours"] * 3_600_000
-                for upload in self.catalogue.left_open(old_ms, SWEEP_MOST):
-                    self.counts["uploads_expired"] += 1
-                    self.catalogue.abort(upload)
-                for bucket, blob, box, shard in self.catalogue.strays(self.now_ms(), SWEEP_MOST):
-                    await self._delete(bucket, blob, box, shard)
-            except Exception as fault:  # one bad row must not end the clean-up for good
-                log("clean-up failed", kind=type(fault).__name__, reason=str(fault))
-
-    async def _delete(self, bucket: str, blob: str, box: str, shard: int) -> None:
-        if not self.listed(box):
-            self.catalogue.deleted(blob)  # gone with its box
-            return
+        _raise_unless_served(job, answer)
+
+    async def delete(self, orphan: Orphan) -> bool:
+        """Delete an orphan from its node, as a request of the core; whether that was served."""
         deadline_at_us = self.deadline_at_us(True, 0, None)
-        arrival = self._arrival(bucket, blob, True, 0, shard, deadline_at_us)
-        answer = await self._call(arrival, DeleteBlob(self._client, arrival.request_id, bucket, blob))
-        if answer.kind == "served":
-            self.counts["strays_deleted"] += 1
-            self.catalogue.deleted(blob)
-        else:
-            self.catalogue.discard(blob, self.now_ms() + LATE_MS)
+        arrival = self._arrival(orphan.bucket, orphan.blob, True, 0, orphan.shard, deadline_at_us)
+        job = DeleteBlob(self._client, arrival.request_id, orphan.bucket, orphan.blob)
+        answer = await self._submit(arrival, job)
+        return answer.kind == "served"
+
+
+def _raise_unless_served(job: BlobJob, answer: ev.Respond) -> None:
+    if job.is_denied and answer.kind != "served":
+        raise S3Error("InternalError", "A box refused the request for good")
+    if answer.kind == "rejected":
+        raise slow_down(answer.retry_after_us)
+    if answer.kind == "failed":
+        raise S3Error("InternalError", "The boxes could not serve the request")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,9 @@
 from harriertide.http.limits import OWN_DESCRIPTOR_COUNT, OWN_MEMORY_MB, Limits, read_limits
 from harriertide.http.node_client import IDLE_KEEP_RATIO, NodeClient
 from harriertide.http.node_pool import NodeConnectionPool
-from harriertide.objects import s3
+from harriertide.objects.errors import S3Error
+from harriertide.objects.ranges import parse_range
+from harriertide.objects.xml_format import parse_complete
 from harriertide.platform.endpoint_directory import EndpointDirectory
 from harriertide.platform.fields import MalformedRequestError, read_arrival, read_fields
 from harriertide.platform.peers import Peers
@@ -247,14 +249,14 @@
     ],
 )
 def test_ranges(header: str | None, span: tuple[int, int, bool]) -> None:
-    got = s3.read_range(header, 10)
-    assert (got.first, got.last, got.whole) == span
+    got = parse_range(header, 10)
+    assert (got.first, got.last, got.is_whole) == span
 
 
 @pytest.mark.parametrize(("header", "size"), [("bytes=10-", 10), ("bytes=-0", 10), ("bytes=0-", 0)])
 def test_ranges_that_cannot_be_met(header: str, size: int) -> None:
-    with pytest.raises(s3.S3Error, match="range") as fault:
-        s3.read_range(header, size)
+    with pytest.raises(S3Error, match="range") as fault:
+        parse_range(header, size)
     assert fault.value.headers["Content-Range"] == f"bytes */{size}"
 
 
@@ -269,6 +271,6 @@
     ],
 )
 def test_documents_that_complete_nothing(body: bytes) -> None:
-    with pytest.raises(s3.S3Error) as fault:
-        s3.read_complete(body)
+    with pytest.raises(S3Error) as fault:
+        parse_complete(body)
     assert fault.value.code == "MalformedXML"
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -24,7 +24,8 @@
 from harriertide.lifecycle import record
 from harriertide.maintenance.state import Upkeep, encode
 from harriertide.maintenance.state import _commands as commands
-from harriertide.objects.catalogue import Catalogue, Part, Piece, Stored
+from harriertide.objects.catalogue import Catalogue
+from harriertide.objects.records import Segment, StoredObject, UploadPart
 from tests.helpers import SETTINGS, START_US, BrokerUnderTest
 
 STORED = Path(__file__).parent / "stored"
@@ -157,16 +158,16 @@
     path = tmp_path / "catalogue"
     path.write_bytes(gzip.decompress((STORED / "catalogue.db.gz").read_bytes()))
     catalogue = Catalogue(str(path))
-    pieces = (Piece("p1", "x1", 0, 3, "t1"), Piece("p2", "x2", 1, 4, "t2"))
-    kept = Stored("e1", "image/png", 7, 1_000, pieces, {"x-amz-meta-a": "b"})
+    pieces = (Segment("p1", "x1", 0, 3, "t1"), Segment("p2", "x2", 1, 4, "t2"))
+    kept = StoredObject("e1", "image/png", 7, 1_000, pieces, {"x-amz-meta-a": "b"})
     assert catalogue.find("photos", "a/1") == kept
-    upload = catalogue.upload("up1", "photos", "big")
+    upload = catalogue.find_upload("up1", "photos", "big")
     assert upload is not None and upload.state == "open" and upload.headers == {"x-amz-meta-c": "d"}
     digest = "0123456789abcdef" * 2
     assert catalogue.parts("up1") == [
-        Part(1, Piece("p6", "x1", 0, 6, "t6"), digest, 5_000),
-        Part(2, Piece("p7", "x2", 1, 7, "t7"), digest[::-1], 5_001),
+        UploadPart(1, Segment("p6", "x1", 0, 6, "t6"), digest, 5_000),
+        UploadPart(2, Segment("p7", "x2", 1, 7, "t7"), digest[::-1], 5_001),
     ]
-    orphans = {row[1] for row in catalogue.strays(10**9, 100)}
+    orphans = {orphan.blob for orphan in catalogue.due_orphans(10**9, 100)}
     assert orphans == {"p3", "p5"}  # one was replaced, the other was on its way when the process ended
     catalogue.close()
