--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -74,6 +74,12 @@
 @pytest.mark.parametrize("answer", ANSWERS.values(), ids=ANSWERS.keys())
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
 def test_a_long_answer_passes_byte_for_byte(answer: bytes, version: str) -> None:
+    """A node answers at length, in each framing that HTTP has.
+
+    The client gets the same bytes, also where it speaks HTTP/1.0 and reads no chunks, and no memory stays
+    reserved.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Connection: close\r\n").replace(b"HTTP/1.1", f"HTTP/{version}".encode()))
@@ -90,6 +96,12 @@
 
 
 def test_an_attempt_is_over_with_the_first_part_of_its_answer_and_the_connections_are_kept() -> None:
+    """A long response takes its time.
+
+    Its attempt ends with the first part, so that it holds no slot of the node; the rest is forwarded beside
+    it, and both connections carry another request afterwards.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -115,6 +127,11 @@
 
 
 def test_pieces_of_any_size_over_seconds_pass_as_they_come() -> None:
+    """A node sends the middle of its response byte by byte.
+
+    Nothing is lost, and nobody takes it for stalled.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Connection: close\r\n"))
@@ -134,6 +151,11 @@
 def test_an_answer_that_breaks_behind_its_first_part_is_cut_off_for_good(
     answer: bytes,
 ) -> None:
+    """A node breaks off when the client has a part of the response already.
+
+    A retry would mix two responses, so there is none, and the client can tell that it has not all of it.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -156,6 +178,12 @@
 
 
 def test_an_answer_cut_off_whose_end_would_be_that_of_the_connection_is_reset() -> None:
+    """A client of HTTP/1.0 takes the end of the connection for the end of the body.
+
+    Where the node breaks off, an orderly close would pass half a response for a whole one: the connection is
+    reset.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house).replace(b"HTTP/1.1", b"HTTP/1.0"))
@@ -171,6 +199,8 @@
 
 
 def test_an_answer_that_breaks_within_its_first_part_is_asked_for_again() -> None:
+    """A node breaks off before anything went to the client. A retry makes it good, unseen."""
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Connection: close\r\n"))
@@ -185,6 +215,12 @@
 
 
 def test_reading_stops_where_the_client_does_not_read() -> None:
+    """A client asks for 32 MiB and does not read.
+
+    The broker must not take the response into its memory: it stops reading from the node, and goes on when
+    the client does.
+    """
+
     async def play(house: House) -> None:
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -216,6 +252,11 @@
 
 
 def test_a_client_that_leaves_a_long_answer_lets_go_of_the_nodes_connection() -> None:
+    """A client leaves in the middle of a long response.
+
+    The connection to the node is closed and its memory returned.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -232,6 +273,12 @@
 
 
 def test_a_long_answer_for_a_client_that_left_meanwhile_is_let_go() -> None:
+    """A client leaves before its response begins.
+
+    The response comes all the same: nobody wants it, so its connection is closed and no memory stays
+    reserved.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -253,6 +300,10 @@
 def test_a_node_that_falls_silent_in_a_long_answer_holds_its_client_for_no_longer_than_it_must(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A node sends a third of a response and then nothing, on a connection that stays open.
+
+    The client's connection ends after the idle timeout of a stream.
+    """
     monkeypatch.setattr(body_stream, "STREAM_IDLE_TIMEOUT_S", 0.1)
 
     async def play(house: House) -> None:
@@ -269,6 +320,11 @@
 
 
 def test_a_long_request_is_kept_and_sent_again_where_a_node_fails_it() -> None:
+    """A node answers a write with an error.
+
+    The body was buffered, so a retry sends all of it again, and its memory is returned with the answer.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
@@ -294,7 +350,7 @@
             client.sendall(ask(house, f"Content-Length: {size}\r\n", "PUT") + LONG[:size])
             _, _, body, line = await house.box.asked.get()
             (mine,) = house.daemon.clients.in_state("busy")
-            assert body == LONG[:size] and mine._kept == []  # type: ignore[attr-defined]
+            assert body == LONG[:size] and mine._buffer._parts == []  # type: ignore[attr-defined]
             reply(line)
             assert (await all_of(client, b"ok")).endswith(b"ok")
             client.close()
@@ -303,6 +359,11 @@
 
 
 def test_a_long_request_in_chunks_with_extensions_and_trailers_is_kept_whole() -> None:
+    """A client does not know the length of its body, and waits for the word to send it.
+
+    The body is buffered without the framing that the client chose.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n", "PUT"))
@@ -337,6 +398,11 @@
 
 
 def test_a_request_that_memory_has_no_room_for_passes_as_it_comes(little: None) -> None:
+    """The budget for bodies is used up.
+
+    A long body is streamed: the node has most of it before its last byte has come.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
@@ -354,6 +420,11 @@
 
 
 def test_one_that_passed_is_not_sent_again(little: None) -> None:
+    """A body was streamed, so nobody has it any more when the node answers with an error.
+
+    There is no retry; the client is told to come again.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
@@ -367,11 +438,16 @@
 
 
 def test_chunks_pass_as_chunks_where_they_are_not_kept(little: None) -> None:
+    """A body of unknown length is streamed.
+
+    Its length is not known to the node either, so it goes on in chunks.
+    """
+
     async def play(house: House) -> None:
         taker = Taker()
         server = await asyncio.start_server(taker.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        house.daemon.directory._dial["b1"] = f"127.0.0.1:{port}"
+        house.daemon.directory._addresses["b1"] = f"127.0.0.1:{port}"
         client = house.client()
         client.setblocking(False)
         request = ask(house, "Transfer-Encoding: chunked\r\n", "PUT") + chunks(LONG, 9_000)
@@ -391,6 +467,11 @@
 def test_a_client_that_leaves_a_passing_request_keeps_its_last_byte_from_the_node(
     little: None,
 ) -> None:
+    """A client leaves in the middle of a body that is streamed.
+
+    A node starts a request with its last byte: it must never get one, and the memory is returned.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Content-Length: {len(LONG)}\r\n", "PUT") + LONG[:200_000])
@@ -407,6 +488,10 @@
 
 
 def test_a_passing_request_beyond_its_bound_is_refused(little: None, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A body of unknown length goes on and on while it is streamed.
+
+    At the bound the client gets one answer, and the node no last byte.
+    """
     monkeypatch.setattr(request_body, "MAX_REQUEST_BODY_BYTES", 200_000)
 
     async def play(house: House) -> None:
@@ -423,6 +508,11 @@
 
 
 def test_nothing_passes_to_a_cold_node(little: None) -> None:
+    """The only node warms up.
+
+    A body that can be sent only once is not risked on it: the client is told to come again.
+    """
+
     async def play(house: House) -> None:
         house.daemon.core._nodes["b1"] = house.daemon.core._nodes["b1"].__class__(
             "b1", 0, started_us=house.daemon.runtime.clock.now_us()
@@ -437,6 +527,10 @@
 
 
 def test_who_sends_slowly_is_given_time_by_what_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client sends a body slower than a request's timeout allows.
+
+    As its bytes keep coming, its time grows with them.
+    """
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.3)
 
     async def play(house: House) -> None:
@@ -455,10 +549,11 @@
 
 
 def test_bodies_count_against_one_budget() -> None:
+    """Bodies of many connections share one budget. Small ones may exceed it, and still count."""
     budget = body_stream.BodyBudget(100)
-    assert budget.take(60) and not budget.take(60) and budget.take(60, at_any_rate=True)
-    budget.give_back(120)
-    assert budget.used == 0
+    assert budget.reserve(60) and not budget.reserve(60) and budget.reserve(60, may_exceed=True)
+    budget.release(120)
+    assert budget.reserved_bytes == 0
 
 
 def test_the_first_part_is_no_longer_than_it_must_be() -> None:
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -22,6 +22,10 @@
 
 
 def test_what_was_on_its_way_when_the_process_died_is_cleaned_up(tmp_path: Path) -> None:
+    """The process dies between the write of a blob and the record that names it.
+
+    The next process finds it as an orphan.
+    """
     path = str(tmp_path / "c")
     first = Catalogue(path)
     first.record_pending_blob("v", "lost", "b1", 0)
@@ -35,6 +39,7 @@
 
 
 def test_a_replaced_or_removed_object_leaves_its_blobs_to_be_deleted(tmp_path: Path) -> None:
+    """An object is replaced, then removed twice. The blobs of each version are orphans from then on."""
     catalogue = Catalogue(str(tmp_path / "c"))
     catalogue.put("v", "k", stored("a", "b"))
     catalogue.put("v", "k", stored("c"))
@@ -45,6 +50,10 @@
 
 
 def test_a_discarded_blob_waits_until_no_attempt_can_write_it(tmp_path: Path) -> None:
+    """A write failed, and an attempt of it may still run.
+
+    Its blob is deleted only when that is over, else it would lie there for good.
+    """
     catalogue = Catalogue(str(tmp_path / "c"))
     catalogue.record_pending_blob("v", "a", "b1", 0)
     catalogue.mark_orphan("a", 1_000)
@@ -55,6 +64,11 @@
 def test_parts_that_complete_does_not_name_are_deleted_and_those_of_the_same_number_replaced(
     tmp_path: Path,
 ) -> None:
+    """A client uploads a part twice and one too many.
+
+    The object has the last of each number that Complete names; the others are orphans, and a part that comes
+    later is not taken.
+    """
     catalogue = Catalogue(str(tmp_path / "c"))
     catalogue.create_upload("u", "v", "k", "x/y", {}, 1)
     upload = catalogue.find_upload("u", "v", "k")
@@ -70,6 +84,10 @@
 
 
 def test_uploads_left_open_are_found_by_their_age(tmp_path: Path) -> None:
+    """A client begins an upload and never completes it.
+
+    It is found by its age; one that was aborted is not.
+    """
     catalogue = Catalogue(str(tmp_path / "c"))
     for name, began in (("old", 1), ("young", 100), ("over", 1)):
         catalogue.create_upload(name, "v", "k", "x/y", {}, began)
@@ -80,6 +98,10 @@
 
 
 def test_a_file_of_a_version_that_kept_no_headers_is_read_on(tmp_path: Path) -> None:
+    """The catalogue was written by a release without stored headers.
+
+    It is read, and its objects have none.
+    """
     path = str(tmp_path / "c")
     held = Catalogue(path)
     held.put("v", "k", StoredObject("e", "x/y", 1, 1, (), {"Expires": "0"}))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -181,6 +181,12 @@
 
 
 def test_the_object_front_begins_nothing_for_a_client_that_left_unread(tmp_path: Path) -> None:
+    """A client of the object front floods its connection and leaves; its close lies behind bytes that
+    nobody reads.
+
+    The node's error is no reason for a retry: nobody waits for it.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(b"PUT /v/key HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab")
@@ -239,6 +245,8 @@
 
 
 def test_a_call_of_the_library_for_one_who_left_ends_at_once() -> None:
+    """The application says that its caller has gone. The call ends without another attempt."""
+
     async def main() -> None:
         gone: list[bool] = []
 
@@ -308,6 +316,11 @@
 
 
 def test_a_flood_behind_the_last_answer_is_read_no_further_than_its_bound() -> None:
+    """A client goes on sending behind its last answer.
+
+    What comes is thrown away up to a bound, and then left unread, as it would cost other clients their time.
+    """
+
     async def play(house: House) -> None:
         client = await house.resting("/nowhere", "lingering")
         (mine,) = house.daemon.clients.in_state("lingering")
@@ -325,6 +338,11 @@
 
 
 def test_a_connection_whose_client_never_ends_its_side_goes_all_the_same() -> None:
+    """A client neither reads the end of its connection nor ends its side.
+
+    The connection is closed after the linger timeout.
+    """
+
     async def play(house: House) -> None:
         client = await house.resting("/health/ready", "idle")
         loop = asyncio.get_running_loop()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -174,6 +174,10 @@
 def test_a_new_process_whose_agent_says_nothing_is_ready_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The agent on the machine is silent when a broker starts.
+
+    The broker waits for its list for a while, and then serves from the list in its configuration.
+    """
     from harriertide.cli import daemon
 
     monkeypatch.setattr(daemon, "LIST_S", 0.2)
@@ -189,6 +193,10 @@
 def test_an_agent_that_falls_silent_is_asked_again_and_heard_when_it_is_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """An agent goes silent and says nothing to two more calls.
+
+    Requests are served meanwhile, and the drain that it brings when it is back holds at once.
+    """
     from harriertide.platform import endpoint_watch
 
     monkeypatch.setattr(endpoint_watch, "PUSHED_HEAD_TIMEOUT_S", 0.15)
@@ -255,6 +263,10 @@
 
 
 def test_where_probes_are_not_allowed_a_request_finds_out(tmp_path: Path) -> None:
+    """A node is ejected, and the settings allow no probes.
+
+    A client's request is the trial that reinstates it.
+    """
     script = f"""{WATCHED}
         c send GET /api @0
         {LOST * 3}
@@ -487,4 +499,9 @@
 
 
 def test_an_agent_that_is_silent_for_thirty_seconds_and_comes_back_with_a_late_drain() -> None:
+    """An agent is silent for half a minute.
+
+    Its nodes stay in service, it is asked again about once a second, and the drain that it comes back with
+    holds within 1.2 s.
+    """
     virtual.run(thirty_silent_seconds())
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -37,6 +37,12 @@
 @pytest.mark.parametrize("piece", [1 << 20, 7])
 @pytest.mark.parametrize("data", ANSWERS.values(), ids=ANSWERS.keys())
 def test_a_connection_is_kept_behind_an_answer_in_chunks(data: bytes, piece: int) -> None:
+    """A response in chunks comes in pieces of any size, with extensions and trailers.
+
+    Its end is recognised, so the connection carries the next request, and no trailer is taken for a field of
+    the next response.
+    """
+
     async def play(house: House) -> None:
         client, pool = house.client(), house.daemon.client.pool
         await answered(house, client, data, max(piece, len(data) // 100))
@@ -52,6 +58,12 @@
 
 @pytest.mark.parametrize("data", SURPLUS.values(), ids=SURPLUS.keys())
 def test_what_lies_behind_the_last_chunk_never_answers_the_next_request(data: bytes) -> None:
+    """A node in trouble sends something behind its last chunk.
+
+    The response is good, but the connection is not: what lies there would be taken for the response to the
+    next request.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -68,6 +80,11 @@
 
 @pytest.mark.parametrize("piece", [1 << 20, 50])
 def test_a_trailer_is_no_field_of_the_next_request(piece: int) -> None:
+    """A client's body ends with trailers, one of them named like a field that decides.
+
+    The next request on the connection has its own fields and none of these.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         put = ask(house, "Transfer-Encoding: chunked\r\n", "PUT")
@@ -88,6 +105,11 @@
 
 
 def test_a_request_sent_ahead_with_the_end_of_a_body_does_not_take_its_place() -> None:
+    """A client sends its next request in one piece with the end of a body.
+
+    The first request is answered, and its connection closed; the second is not read.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Content-Length: 6\r\n", "PUT") + b"abc")
--- a/tests/test_less_room.py
+++ b/tests/test_less_room.py
@@ -33,13 +33,18 @@
 
 
 def test_requests_on_new_connections_are_served_among_hundreds_that_hold_theirs() -> None:
+    """Hundreds of connections send nothing, or half of a head, and there is room for forty.
+
+    Requests on new ones are served all the same: connections that do nothing are evicted for them.
+    """
+
     async def play(house: House) -> None:
         members: list[socket.socket] = []
         for _ in range(BATCHES):
             members += crowd(house)
             for _ in range(HONEST):
                 await served(house, house.client())
-            assert len(house.daemon.clients) <= LIMITS.clients + 1
+            assert len(house.daemon.clients) <= LIMITS.max_client_connections + 1
         assert house.daemon.core.counts["served"] == BATCHES * HONEST
         for member in members:
             member.close()
@@ -48,6 +53,11 @@
 
 
 def test_a_head_that_takes_two_seconds_is_served_beside_connections_that_rest() -> None:
+    """A slow client needs two seconds for its head, within its time.
+
+    Others that come and go do not cost it its connection.
+    """
+
     async def play(house: House) -> None:
         client, request = house.client(), ask(house, "Connection: close\r\n")
         step = len(request) // 10 + 1
@@ -62,6 +72,10 @@
 
 
 def test_a_stop_among_a_crowd_serves_what_comes_and_ends_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The broker is told to stop while a crowd holds its connections.
+
+    What is under way and what still comes is served, and the crowd does not delay the end.
+    """
     monkeypatch.setattr(daemons, "ACCEPT_S", 0.3)
 
     async def play(house: House) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -836,6 +836,10 @@
 def test_what_comes_while_a_connection_is_idle_never_reaches_a_client(
     stray: str, wait: str, tmp_path: Path
 ) -> None:
+    """A node sends something on an idle connection.
+
+    It must not pass for the response to the next request: the connection is closed.
+    """
     script = f"""
         c send GET /api @0
         b1 expect GET /api
@@ -868,6 +872,7 @@
 
 
 def test_1xx_in_front_and_a_load_report_that_cannot_be_read_leave_an_answer_good(tmp_path: Path) -> None:
+    """Interim responses and fields that make no sense come with a good response. It is served."""
     script = r"""
         c send GET /api @0
         b1 expect GET /api
@@ -914,6 +919,10 @@
 
 
 def test_answers_that_nobody_reads_do_not_use_up_the_memory(tmp_path: Path) -> None:
+    """Clients ask and do not read.
+
+    Where their answers lie the longest, the connection is closed, before they use up the memory.
+    """
     script = """
         d set clients.max_unsent_bytes=10000
         c send GET /api @0
@@ -959,6 +968,7 @@
 
 
 def test_a_watch_that_falls_silent_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Discovery goes silent on a watch. The watch is ended, and another one opened."""
     monkeypatch.setattr(endpoint_watch, "WATCH_SILENCE_S", 0.4)
     script = f"""{WATCH}
         wait 0.3
@@ -1011,6 +1021,7 @@
 
 
 def test_with_all_connections_at_work_a_new_one_is_turned_away(tmp_path: Path) -> None:
+    """All connections carry requests. A new one gets no room: it is closed, and theirs are not."""
     script = f"""
         d set clients.max_connections=1
         c send GET /api @0
@@ -1093,6 +1104,10 @@
 
 
 def test_requests_sent_ahead_are_not_taken_and_a_client_that_floods_is_closed(tmp_path: Path) -> None:
+    """A client sends many requests at once, against the protocol.
+
+    The first is answered, the others are not read, and its connection is closed.
+    """
     script = f"""
         c send GET /api @0
         c send GET /api @0
@@ -1108,6 +1123,11 @@
 def test_a_catalogue_that_cannot_be_read_is_an_internal_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The disk under the catalogue fails.
+
+    The client gets the interface's own error, not a broken connection.
+    """
+
     def broken(*given: object) -> None:
         raise sqlite3.OperationalError("disk I/O error")
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -56,6 +56,10 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.sampled_from(sorted(GOOD)), st.text(max_size=30), st.text(max_size=30))
 def test_any_header_is_read_or_said_to_be_malformed(name: str, value: str, target: str) -> None:
+    """A client sends any text in a field on which something is decided.
+
+    It is read, or the request is malformed with a reason; nothing else is raised.
+    """
     try:
         arrival("GET", f"/api?{target}", {**GOOD, name: value})
     except MalformedRequestError as reason:
@@ -77,6 +81,7 @@
     ],
 )
 def test_figures_that_cannot_be_are_malformed(name: str, value: str) -> None:
+    """A client states figures that no request can have. The message names the field."""
     with pytest.raises(MalformedRequestError, match=name):
         arrival("GET", "/api", {**GOOD, name: value})
 
@@ -88,6 +93,10 @@
 
 
 def test_only_listed_peers_are_heard_and_junk_has_no_effect() -> None:
+    """Datagrams come from unknown senders, from the broker's own address, and too long.
+
+    They are counted and dropped; a peer's message that makes no sense does nothing to the core.
+    """
     heard: list[Any] = []
     peers = Peers(["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"], 0, heard.append)
     peers.datagram_received(b"ok", ("127.0.0.1", 3))
@@ -108,6 +117,8 @@
 
 
 def test_no_datagram_is_over_256_bytes() -> None:
+    """A message is too long for the wire, or for a peer that is not listed. It is counted and not sent."""
+
     async def main() -> None:
         loop, got = asyncio.get_running_loop(), asyncio.Queue[bytes]()
 
@@ -142,6 +153,11 @@
 
 
 def test_idle_connections_are_dropped_before_the_node_would() -> None:
+    """A node closes connections that were idle for long.
+
+    A request that crosses its close would end as a reset, so the pool closes them first.
+    """
+
     async def main() -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         pool = NodeConnectionPool(LIMITS, 0.05)
@@ -255,6 +271,7 @@
 
 @pytest.mark.parametrize(("header", "size"), [("bytes=10-", 10), ("bytes=-0", 10), ("bytes=0-", 0)])
 def test_ranges_that_cannot_be_met(header: str, size: int) -> None:
+    """A client asks for bytes that the object has not. It gets the error for that, with the object's size."""
     with pytest.raises(S3Error, match="range") as fault:
         parse_range(header, size)
     assert fault.value.headers["Content-Range"] == f"bytes */{size}"
@@ -271,6 +288,11 @@
     ],
 )
 def test_documents_that_complete_nothing(body: bytes) -> None:
+    """A client completes an upload with a document that is empty, of another kind, or an attack on the
+    parser.
+
+    It gets the error for malformed XML.
+    """
     with pytest.raises(S3Error) as fault:
         parse_complete(body)
     assert fault.value.code == "MalformedXML"
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -148,6 +148,10 @@
 def test_signals_beside_each_other_end_in_an_orderly_stop(
     signals: tuple[signal.Signals, ...], tmp_path: Path
 ) -> None:
+    """The platform sends signals in any order, and twice.
+
+    The broker stops once, in order, and prints its counters.
+    """
     broker = Process(tmp_path, "127.0.0.1:1")
     broker.port()
     assert broker.end(*signals) == 0
@@ -155,6 +159,7 @@
 
 
 def test_sigterm_before_it_serves_ends_it_at_once_without_a_trace(tmp_path: Path) -> None:
+    """The platform stops a broker that it has only just started. It ends without a traceback."""
     broker = Process(tmp_path, "127.0.0.1:1")
     assert broker.end() in (0, -signal.SIGTERM)
     assert "Traceback" not in broker.said
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -70,6 +70,11 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_anew_in_time_and_without_the_core() -> None:
+    """Discovery goes silent on an open watch.
+
+    A drain may wait there: the watch is opened again at once, with no backoff, and the decision module does
+    not count it as a failure.
+    """
     asked, told = course([True, True, True], 7.0)
     assert (
         len(asked) == 3
@@ -274,6 +279,10 @@
 
 
 def test_an_older_list_brings_nothing_back_that_was_told_to_leave_or_has_started_since() -> None:
+    """Lists come late, twice, or from a discovery that counts anew.
+
+    A node that drains, is removed or has restarted stays so, whatever an older list says of it.
+    """
     directory = EndpointDirectory({})
 
     def read(
@@ -301,6 +310,10 @@
 
 
 def test_a_node_that_one_list_left_out_is_not_held_for_gone_once_a_newer_one_names_it() -> None:
+    """One list leaves a node out by mistake.
+
+    The next one names it: it serves again, and is not held for removed.
+    """
     directory = EndpointDirectory({})
     for seq, hosts in ((7, [HOST]), (8, []), (9, [HOST])):
         directory.apply(directory.parse_page({"seq": seq, "whole": True, "hosts": hosts}))
