--- a/harriertide/http/node_connection.py
+++ b/harriertide/http/node_connection.py
@@ -84,7 +84,7 @@
         self._max_buffered_bytes = 0
         self._is_buffered = False  # the response is read as a whole, or its first part is
         self._is_chunked = False
-        self._tail = b""  # of a body in chunks, as many bytes as its end has
+        self._body_end = b""  # of a body in chunks: as many of its last bytes as END_OF_CHUNKS has
         self._node_has_ended = False
         self._stall_timer: asyncio.TimerHandle | None = None
 
@@ -222,7 +222,7 @@
         if self._remaining_bytes < 0 or (self._is_buffered and not self._reserve_memory(len(data))):
             self._fail(MalformedResponseError("a body over its bound"))
             return
-        self._tail = (self._tail + data[-len(END_OF_CHUNKS) :])[-len(END_OF_CHUNKS) :]
+        self._body_end = (self._body_end + data[-len(END_OF_CHUNKS) :])[-len(END_OF_CHUNKS) :]
         super().data_received(data)
         self._check_chunked_end()
 
@@ -236,7 +236,7 @@
         is_chunked_body = self._phase is ResponsePhase.UNSIZED_BODY and self._is_chunked
         if not is_chunked_body or body is None or not body.is_eof():
             return
-        if self._message is not None or self._tail != END_OF_CHUNKS:
+        if self._message is not None or self._body_end != END_OF_CHUNKS:
             self.has_surplus = True
         self._phase = ResponsePhase.COMPLETE
 
@@ -287,7 +287,7 @@
             self._phase = ResponsePhase.UNSIZED_BODY
             self._remaining_bytes = self._max_body_bytes + MAX_HEAD_BYTES  # with the framing of its chunks
             self._is_chunked = message.chunked
-            self._tail = b""
+            self._body_end = b""
         else:
             self._fail(MalformedResponseError("a body without a length"))
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -449,14 +449,14 @@
 
     async def play(house: House) -> None:
         pool = house.daemon.client.pool
-        up = pool.open
+        up = pool.connect
 
         async def slow(where: str):  # type: ignore[no-untyped-def]
             line = await up(where)
             await asyncio.sleep(late.pop(0))
             return line
 
-        pool.open = slow  # type: ignore[method-assign]
+        pool.connect = slow  # type: ignore[method-assign]
         client = house.client()
         client.sendall(house.request())
         line = await house.asked()
