--- a/harriertide/http/body_stream.py
+++ b/harriertide/http/body_stream.py
@@ -1,6 +1,6 @@
-"""Long bodies on their way through the broker, and the memory for those that are buffered.
+"""Bodies that are streamed through the broker, and the memory budget of those that are buffered.
 
-Reading stops where the other side does not take what came: however long a body is, a bounded part of it is in
+Reading pauses while the other side does not take the data: however long a body is, a bounded part of it is in
 memory.
 """
 
@@ -19,7 +19,7 @@
 
 
 class ResponseRemainder:
-    """What is still to come of a node's response, with the connection on which it comes.
+    """The rest of a node's response, and the connection that it is received on.
 
     :param pool: takes the connection back
     :param content: reads the rest of the body
@@ -36,7 +36,7 @@
         connection.start_forwarding()
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """All that comes, to the end; raises as the connection does where it breaks.
+        """Yield the rest of the body to its end; raises as the connection does where it breaks.
 
         :raises TimeoutError: the node sends nothing for STREAM_IDLE_TIMEOUT_S
         """
@@ -48,7 +48,7 @@
             yield chunk
 
     def dispose(self) -> None:
-        """Return the connection: nothing more of the body is wanted. It is reused only if all of it came."""
+        """Release the connection: the rest is not wanted. It is reused only if the body was complete."""
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -66,7 +66,7 @@
         self.reserved_bytes = 0
 
     def reserve(self, size: int, may_exceed: bool = False) -> bool:
-        """Whether there is room for so many more bytes; they count from now on.
+        """Reserve so many bytes; whether there was room for them.
 
         :param may_exceed: reserve them where there is no room, too
         """
--- a/harriertide/http/client_connection.py
+++ b/harriertide/http/client_connection.py
@@ -1,9 +1,10 @@
 """A connection of a client, of any listener, as the connection table follows it.
 
-A connection is silent (nothing has come yet), reading (a part of a request has come), busy (a request is open
-on it), idle (kept after a response) or lingering: its last response is written, this side of it is ended, and
-what still comes is read and thrown away, until the client ends its side too or the table closes it. Closing
-on bytes that were not read resets the connection, and takes a response with it that is still on its way.
+A connection is silent (nothing was received yet), reading (a part of a request was received), busy (a request
+is open on it), idle (kept alive after a response) or lingering: its last response is written, its write side
+is shut down, and further input is discarded until the client closes too or the table closes it. Closing with
+unread input in the socket makes the kernel reset the connection, which can destroy a response that the client
+has not read.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-# A request must have come whole so long after its connection was accepted, later ones after their first byte.
+# A request must be complete so long after its connection was accepted, a later one after its first byte.
 # Guards against connections that send nothing, and heads and bodies that never end.
 REQUEST_TIMEOUT_S = 2.4
-# Thrown away while a connection lingers; more is left unread, as a flood is not to cost other clients.
+# Discarded while a connection lingers; more is left unread, as a flood is not to cost other clients.
 LINGER_BYTES = 256 * 1024
 
 ConnectionState = Literal["silent", "reading", "busy", "idle", "lingering"]  # as the counters name them
@@ -53,7 +54,7 @@
         self.table = table
         self.state: ConnectionState = "silent"
         self.since = 0.0  # when it came into its state, by the loop's clock
-        self.discarded = 0  # bytes thrown away while it lingers
+        self.discarded = 0  # bytes discarded while it lingers
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start, and enter the table."""
@@ -76,7 +77,7 @@
 
     @property
     def request_timeout_s(self) -> float:
-        """Time for a request to come, once it has begun."""
+        """Time for a request to arrive, once it has begun."""
         return REQUEST_TIMEOUT_S
 
     def unsent_bytes(self) -> int:
@@ -84,25 +85,25 @@
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def linger(self) -> None:
-        """End this side in order, behind what is still to be written. Nothing more is handled that comes."""
+        """Shut down the write side behind what is still to be written. Further input is discarded."""
         assert self.transport is not None
         self.table.set_state(self, "lingering")
         try:
             self.transport.write_eof()
-        except (OSError, RuntimeError):  # it is gone already
+        except (OSError, RuntimeError):  # it is closed already
             self.drop()
 
     def discard(self, data: bytes) -> None:
-        """Throw away what came after this side was ended."""
+        """Discard input after the write side was shut down."""
         self.discarded += len(data)
         if self.discarded > LINGER_BYTES and self.transport is not None:
             self.transport.pause_reading()
 
     def drop(self) -> None:
-        """End the connection now: this side in order first, as the client may have bytes on their way."""
+        """Close the connection now, the write side first: the client sees an orderly end before any reset."""
         transport = self.transport
         if transport is not None and (own_socket := transport.get_extra_info("socket")) is not None:
-            with suppress(OSError):  # it is gone already
+            with suppress(OSError):  # it is closed already
                 own_socket.shutdown(socket.SHUT_WR)
         self.force_close()
         if transport is not None:
--- a/harriertide/http/connection_table.py
+++ b/harriertide/http/connection_table.py
@@ -16,12 +16,12 @@
 LINGER_TIMEOUT_S = 0.3  # for the client to read its last response, and to end its side
 UNREAD_RESPONSE_TIMEOUT_S = 10.0  # for a response that its client does not read
 SWEEP_INTERVAL_S = 0.1
-# A connection that is to end may bring a request for so long, whose response tells the client.
+# So long a connection may still bring a request, whose response tells the client to reconnect elsewhere.
 RETIRE_DELAY_S = 1.0
 RETIRE_SILENT_TIMEOUT_S = 0.25  # for the first request on a connection that is accepted after that
 
 # Whom a new connection goes before when there are too many, in order: state, and time in it. It guards
-# against a crowd that comes at once and sends nothing, or half of a request: none of it has been there for
+# against a crowd that connects at once and sends nothing, or half a request: none of them has been there for
 # long.
 _EVICTION_ORDER: tuple[tuple[ConnectionState, float], ...] = (
     ("lingering", 0.0),
@@ -65,7 +65,7 @@
         return list(self._by_state[state])
 
     def admit(self, connection: ClientConnection) -> None:
-        """Add a new connection. Past the limit one that does nothing makes room, or the new one is closed."""
+        """Add a new connection. At the limit, evict one that does nothing, or else close the new one."""
         self.counts["accepted"] += 1
         is_full = len(self) >= self.max_connections
         connection.since = self._loop.time()
@@ -179,7 +179,7 @@
             connection.drop()
 
     def close_idle(self) -> None:
-        """Close those on which nothing is asked, and nothing is about to be."""
+        """Close the connections without a request, unless one lies unread on them."""
         self._close_overdue("silent", 0.0, len(self))
         self._close_overdue("idle", 0.0, len(self))
 
--- a/harriertide/http/errors.py
+++ b/harriertide/http/errors.py
@@ -6,7 +6,7 @@
 
 
 class AttemptFailedError(Exception):
-    """An attempt ended without a whole response.
+    """An attempt ended without a complete response.
 
     :param outcome: how the decision module counts it
     :param reason: in a few words, for logs
@@ -19,7 +19,7 @@
 
 
 class AttemptWithheldError(AttemptFailedError):
-    """The broker sent nothing: it had no way to, or its core said no by then. No fault of the node."""
+    """The broker sent nothing, as it could not, or its core no longer allowed it. Not the node's fault."""
 
 
 class NodeFailureError(AttemptFailedError):
--- a/harriertide/http/limits.py
+++ b/harriertide/http/limits.py
@@ -10,7 +10,7 @@
 # Standard streams, the loop's own, listeners, peers, two watches on discovery, the catalogue, logs.
 OWN_DESCRIPTOR_COUNT = 28
 OPERATOR_DESCRIPTOR_COUNT = 32  # callers at the operators' address, where there is one, and its listener
-# Of the descriptors: connections that were accepted and are not yet evicted, or are closed and not yet gone.
+# Of the descriptors: connections that were accepted and are not yet evicted, or whose close is not yet done.
 SPARE_DESCRIPTOR_RATIO = 0.1
 NODE_CONNECTION_RATIO = 0.35  # of what is left, for connections to nodes
 MIN_CONNECTION_COUNT = 16  # of both sides together, however few descriptors are granted
--- a/harriertide/http/node_client.py
+++ b/harriertide/http/node_client.py
@@ -1,4 +1,4 @@
-"""The client of storage nodes: one exchange for each attempt, on pooled connections, and never sent twice."""
+"""The client of storage nodes: one exchange per attempt, on pooled connections, never sent twice."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class _Exchange:
-    """How far the exchange of one attempt is, and what it holds.
+    """The state of one attempt's exchange, and what has to be released after it.
 
     :param connection: that it goes over
     :param is_sent: the request, or the first part of it, was written
@@ -102,9 +102,9 @@
         max_body_bytes: int | None = MAX_BODY_BYTES,
         may_forward: bool = False,
     ) -> AsyncIterator[IncomingResponse]:
-        """Send the request of an attempt; its response, as it comes. On leaving, the connection is released.
+        """Send the request of an attempt, and give its response once its head is read.
 
-        :param body: of the request; one that is no bytes is sent as it comes
+        :param body: of the request; an iterator is streamed
         :param max_body_bytes: see NodeConnection.send_request, as `may_forward`
         :raises AttemptWithheldError: nothing was sent
         :raises NodeFailureError: the exchange broke off, ran out of time, or the response is malformed
@@ -140,7 +140,7 @@
     ) -> NodeConnection:
         """A connection on which the attempt may be written in this very turn of the loop.
 
-        :raises AttemptWithheldError: there is no room for a connection, or the core says no by now
+        :raises AttemptWithheldError: there is no room for a connection, or the core no longer allows it
         """
         await self._await_exclusive(attempt)
         connection = self.pool.take_idle(address)
@@ -196,7 +196,7 @@
     async def _write_body(
         self, connection: NodeConnection, body: AsyncIterator[bytes], attempt: Attempt
     ) -> None:
-        """Write the rest of a body as it comes."""
+        """Write the rest of a streamed body."""
         try:
             async for chunk in body:
                 await connection.send_more(chunk)
@@ -256,7 +256,7 @@
     async def exchange(
         self, attempt: Attempt, method: str, target: str, headers: Headers, body: bytes
     ) -> tuple[api.OutcomeKind, Reply | None]:
-        """An exchange whose response is read as a whole."""
+        """An exchange whose response is read to its end."""
         if body or method != "GET":
             headers = [*header_rows(headers), (b"Content-Length", b"%d" % len(body))]
         try:
--- a/harriertide/http/node_connection.py
+++ b/harriertide/http/node_connection.py
@@ -96,7 +96,7 @@
         read_in_chunks(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Gone, by whoever's doing. Only an orderly end of the node's side ends a body without a length.
+        """Account for the close. Only an orderly close by the node ends a body without a length.
 
         Guards against half a response that passes for complete: the parser takes a reset for the body's end.
         """
@@ -110,7 +110,7 @@
         self._pool.remove(self)
 
     def eof_received(self) -> None:
-        """The node has ended its side."""
+        """The node has closed its write side."""
         self._node_has_ended = True
         super().eof_received()
 
@@ -122,10 +122,10 @@
         :param max_body_bytes: that the response may have; None: it will be buffered as a whole, within the
             pool's limit
         :param may_forward: its first part will be buffered, and then maybe forwarded with the rest
-        :raises ClientConnectionResetError: the connection is gone
+        :raises ClientConnectionResetError: the connection is closed
         """
         if self.transport is None:
-            raise aiohttp.ClientConnectionResetError("the connection is gone")
+            raise aiohttp.ClientConnectionResetError("the connection is closed")
         self._phase = ResponsePhase.HEAD
         self._message = None
         self._head_buffer.start_response()
@@ -142,11 +142,11 @@
     async def send_more(self, data: bytes) -> None:
         """Write more of a request, when what was written before is out.
 
-        :raises ClientConnectionResetError: the connection is gone
+        :raises ClientConnectionResetError: the connection is closed
         """
         await self._drain_helper()
         if self.transport is None:
-            raise aiohttp.ClientConnectionResetError("the connection is gone")
+            raise aiohttp.ClientConnectionResetError("the connection is closed")
         self.transport.write(data)
 
     async def flush(self) -> None:
@@ -154,19 +154,19 @@
         await self._drain_helper()
 
     def start_forwarding(self) -> None:
-        """From here on the response goes to its client as it comes: it may come slowly."""
+        """The response is streamed to its client from here on: it may arrive slowly."""
         self._is_buffered = False
         self._watch_for_stall(False)
 
     def abort(self) -> None:
-        """End the connection in this very turn of the loop.
+        """Close the connection in this very turn of the loop.
 
         asyncio closes the descriptor one turn later. Guards against a retry that is written meanwhile on
         another connection and reaches its node before this end does.
         """
         transport = self.transport
         if transport is not None and (own_socket := transport.get_extra_info("socket")) is not None:
-            with suppress(OSError):  # it is gone already
+            with suppress(OSError):  # it is closed already
                 own_socket.shutdown(socket.SHUT_RDWR)
         super().abort()
 
@@ -180,14 +180,14 @@
         )
 
     def mark_idle(self) -> None:
-        """Nothing is asked from now on."""
+        """No request is under way from now on."""
         self._phase = ResponsePhase.IDLE
         self._message = None
 
     # --- responses -----------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Take out what belongs to the response."""
+        """Take the bytes that belong to the response."""
         if not data:  # the reader has caught up
             super().data_received(data)
             self._check_chunked_end()
--- a/harriertide/http/node_pool.py
+++ b/harriertide/http/node_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to storage nodes: bounded, and it hands out only connections that are clean."""
+"""The pool of connections to storage nodes. It is bounded, and hands out only clean connections."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         return None
 
     async def connect(self, address: str) -> NodeConnection | None:
-        """A new connection; None where the limit has no room for it, and none is idle that could be closed.
+        """Open a connection; None if the limit is reached and there is no idle one to close instead.
 
         :raises OSError: it can't be established
         """
@@ -95,7 +95,7 @@
         finally:
             self._connecting_count -= 1
         if connection.transport is None:
-            raise ConnectionResetError("the connection is gone")
+            raise ConnectionResetError("the connection is closed")
         self._connections.add(connection)
         return connection
 
@@ -112,10 +112,10 @@
         if self._active.get(connection.request_id) is connection:
             del self._active[connection.request_id]
 
-    # --- connections that come back ------------------------------------------------------------
+    # --- connections that are returned ----------------------------------------------------------
 
     def release(self, connection: NodeConnection) -> None:
-        """Take a connection back after an exchange: it is kept if it may carry another one, else closed."""
+        """Take a connection back after an exchange: keep it if it can carry another one, else close it."""
         self._return_memory(connection)
         if not connection.is_reusable or len(self) > self.max_connections:
             connection.abort()
@@ -124,7 +124,7 @@
         self.keep_idle(connection)
 
     def keep_idle(self, connection: NodeConnection) -> None:
-        """Keep a connection on which nothing is asked."""
+        """Keep a connection for later requests."""
         connection.mark_idle()
         connection.idle_since = self._loop.time()
         self._idle[connection] = None
--- a/harriertide/http/response_framing.py
+++ b/harriertide/http/response_framing.py
@@ -47,7 +47,7 @@
     def feed(self, data: bytes) -> tuple[bytes, bytes] | None:
         """Take the next bytes.
 
-        :returns: a head, and what lies behind it; None while its end has not come
+        :returns: a head, and the bytes behind it; None while the head is incomplete
         :raises MalformedResponseError: the heads of this response have more than MAX_HEAD_BYTES
         """
         known_bytes = len(self._partial)
--- a/harriertide/http/socket_state.py
+++ b/harriertide/http/socket_state.py
@@ -1,8 +1,8 @@
-"""What lies at a connection's socket that the event loop has not read yet.
+"""What a connection's socket has received that the event loop has not read yet.
 
-The loop looks at sockets in its next turn only. A decision on a connection that seems idle, to use it or to
-close it, must look itself: at most one system call. A transport that is no socket's tells by extra info of
-its own: 'unread' and 'ended' are callables there.
+The loop polls sockets only in its next turn. A decision to use or to close a connection that seems idle must
+poll by itself, which takes one system call. Transports without a socket offer callables for it as extra info
+'unread' and 'ended'.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 def has_unread_input(transport: asyncio.BaseTransport | None, include_end: bool = False) -> bool:
-    """Whether bytes, or the end of the peer's sending, came and were not read. True where it is closed.
+    """Whether there are unread bytes or an unread end of stream; True for a closed transport.
 
-    :param include_end: look for an end behind bytes, too
+    :param include_end: also look for an end of stream behind unread bytes
     """
     if transport is None or transport.is_closing():
         return True
@@ -27,9 +27,9 @@
 
 
 def is_closed_by_peer(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the peer has ended its sending or is gone, also behind bytes that were not read.
+    """Whether the peer has closed the connection or its write side, also behind unread bytes.
 
-    A transport that can't tell is not known to be closed.
+    A transport that can't tell counts as open.
     """
     if transport is None or transport.is_closing():
         return True
--- a/harriertide/lifecycle/operator_api.py
+++ b/harriertide/lifecycle/operator_api.py
@@ -19,9 +19,8 @@
 from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT
 from harriertide.lifecycle.machine import Lifecycle, Verdict
 
-MOST_CALLERS = (
-    OPERATOR_DESCRIPTOR_COUNT - 2
-)  # its listener has one descriptor, a caller that is about to be dropped another
+# its listener has one descriptor, a caller that is about to be dropped another
+MOST_CALLERS = OPERATOR_DESCRIPTOR_COUNT - 2
 CALL_S = 5.0  # for a whole call to come
 CLOSE_S = 0.3  # for the caller to read its answer and to end its side
 HEAD_BYTES = 8 * 1024
--- a/harriertide/objects/blob_jobs.py
+++ b/harriertide/objects/blob_jobs.py
@@ -16,7 +16,7 @@
 from harriertide.http.socket_state import is_closed_by_peer
 from harriertide.objects.upload_body import CHUNK_BYTES, UploadBody
 
-RETRYABLE_STATUSES = frozenset((408, 425, 429))  # of 4xx: HTTP itself says to come again
+RETRYABLE_STATUSES = frozenset((408, 425, 429))  # of 4xx: HTTP itself asks for a retry
 LOGGED_RESPONSE_BYTES = 200  # of a node's final rejection
 
 
@@ -58,7 +58,7 @@
         return {"X-Call-Id": self._request_id, "X-Budget-Ms": str(wait_ms)}
 
     async def _read_outcome(self, attempt: Attempt, response: IncomingResponse) -> api.OutcomeKind:
-        """Read a response to its end; what it means. One of 4xx is no reason for a client to come again."""
+        """Read a response to its end; what it means. A final 4xx is not worth a retry by the client."""
         content = await response.read()
         if 400 <= response.status < 500 and response.status not in RETRYABLE_STATUSES:
             self.is_denied = True
--- a/harriertide/objects/catalogue.py
+++ b/harriertide/objects/catalogue.py
@@ -66,7 +66,7 @@
     # --- blobs that are being written, and orphans ---------------------------------------------
 
     def record_pending_blob(self, bucket: str, blob: str, node: str, shard: int) -> None:
-        """A blob may come to lie on this node from now on; no object names it yet."""
+        """A blob may be on this node from now on; no object names it yet."""
         row = (blob, bucket, node, shard)
         self._db.execute("insert or replace into strays values (?, ?, ?, ?, 1, 0)", row)
 
@@ -188,7 +188,7 @@
     ) -> None:
         """A multipart upload begins.
 
-        :param headers: to be stored with the object that comes of it
+        :param headers: to be stored with the object that it becomes
         """
         row = (upload_id, bucket, key, content_type, now_ms, json.dumps(headers))
         self._db.execute("insert into uploads values (?, ?, ?, ?, 'open', '', '[]', ?, ?)", row)
--- a/harriertide/objects/conditions.py
+++ b/harriertide/objects/conditions.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadConditions:
-    """What the conditions of a read come to.
+    """The result of the conditions of a read.
 
     :param is_unchanged: the client has the object already: the status is 304
     :param range_header: the field Range that counts; None: the whole object
--- a/harriertide/objects/object_reader.py
+++ b/harriertide/objects/object_reader.py
@@ -1,4 +1,4 @@
-"""An object on its way to a client: the segments that a range touches, one after the other."""
+"""Sends an object to a client: the segments that a range touches, one after the other."""
 
 from __future__ import annotations
 
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -43,12 +43,12 @@
         writes: tuple[bool, ...],
     ) -> None:
         self.state = operator.state
-        self.shut: frozenset[str] | None = frozenset()  # nodes out for work, or on their way out; None: all
+        self._closed_nodes: frozenset[str] | None = frozenset()  # that get nothing new; None: all
         self._operator = operator
         self._runtime = runtime
         self._platform = platform
         self._grades = list(operator.state["grades"])
-        self._started_us: dict[str, int] = {}  # when nodes came back from work
+        self._started_us: dict[str, int] = {}  # when nodes returned from maintenance
         self._check(operator.state)
         if platform is None:
             listed = model.news(_EMPTY_STATE, operator.state).entries
@@ -83,9 +83,9 @@
         """The platform's plans have changed; those there were keep their numbers."""
         self._platform = {**(self._platform or {}), **platform}
 
-    def find(self, box: str) -> str | None:
+    def find(self, node: str) -> str | None:
         """The host:port of a node of the operator's; None if there is none of that name."""
-        row = self.state["boxes"].get(box)
+        row = self.state["boxes"].get(node)
         return str(row["address"]) if row else None
 
     def counts(self) -> dict[str, Counter[str]]:
@@ -108,7 +108,7 @@
         :raises OperatorFileError: it can't be used; nothing has changed
         """
         self._check(state)
-        before = self.shown()
+        before = self._effective_state()
         self.state = state
         if self._platform is not None:
             return
@@ -116,29 +116,31 @@
         self._runtime.post(ev.SettingsChanged(model.settings(state, self._grades)))
         self._post_changes(before)
 
-    def shown(self) -> State:
+    def _effective_state(self) -> State:
         """The operator's state, with the nodes that may get nothing new as draining."""
-        if self.shut is not None and not self.shut:
+        if self._closed_nodes is not None and not self._closed_nodes:
             return self.state
         boxes = {
-            name: {**row, "state": "draining"} if self.shut is None or name in self.shut else row
+            name: {**row, "state": "draining"}
+            if self._closed_nodes is None or name in self._closed_nodes
+            else row
             for name, row in self.state["boxes"].items()
         }
         return {**self.state, "boxes": boxes}
 
     def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
-        """Nodes get nothing new from now on.
+        """Close nodes to new requests: those in maintenance, or about to be.
 
         :param shut: their IDs; None: all nodes
-        :param started_us: when others came back, in Unix microseconds
+        :param started_us: when others returned, in Unix microseconds
         """
-        before = self.shown()
-        self.shut = shut
+        before = self._effective_state()
+        self._closed_nodes = shut
         self._started_us = started_us
         self._post_changes(before)
 
     def _post_changes(self, before: State) -> None:
-        update = model.news(before, self.shown(), self._started_us)
+        update = model.news(before, self._effective_state(), self._started_us)
         if update.entries:
             self._runtime.post(ev.EndpointsUpdated(update))
 
--- a/harriertide/objects/store.py
+++ b/harriertide/objects/store.py
@@ -89,7 +89,7 @@
         return node in self._runtime.core.nodes()
 
     def deadline_at_us(self, is_write: bool, size: int, budget_ms: int | None) -> int:
-        """The absolute deadline of a call that begins now; it goes along with all that the call needs.
+        """The absolute deadline of a call that begins now; all requests of the call share it.
 
         :param budget_ms: that the client states; None: that of the class
         """
@@ -140,7 +140,7 @@
     async def receive_body(self, content: aiohttp.StreamReader, size: int, deadline_at_us: int) -> UploadBody:
         """A client's body: a small one in memory, so that a retry can send it; another one passes through.
 
-        :raises S3Error: it did not come in time, or not whole, or there is no memory for it
+        :raises S3Error: it was late or incomplete, or there is no memory for it
         """
         try:
             async with asyncio.timeout_at(self._runtime.clock.loop_time(deadline_at_us)):
@@ -169,7 +169,7 @@
 
         The caller has to have the catalogue name the segment; until then its blob counts as pending.
 
-        :raises S3Error: the body did not come whole, or no node took it
+        :raises S3Error: the body was incomplete, or no node took it
         """
         blob = token_hex(16)
         arrival = self._arrival(bucket, blob, True, body.size, NEW_SHARD, deadline_at_us)
--- a/harriertide/objects/upload_body.py
+++ b/harriertide/objects/upload_body.py
@@ -1,4 +1,4 @@
-"""Bodies of uploads on their way to a node: in memory, or passing through once."""
+"""Bodies of uploads: buffered in memory, or streamed once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class IncompleteBodyError(Exception):
-    """The client has not brought its body whole, which is no fault of the node that it was for."""
+    """The client has not sent its whole body. That is not the fault of the node that it was for."""
 
 
 class UploadBody(Protocol):
@@ -34,11 +34,11 @@
 
     @property
     def is_broken(self) -> bool:
-        """The client did not bring it whole."""
+        """The client did not send all of it."""
 
     @property
     def awaits_client(self) -> bool:
-        """It is the client's turn to bring more of it."""
+        """The next bytes have to come from the client."""
 
 
 class BufferedBody:
@@ -62,11 +62,11 @@
 
 
 class StreamedBody:
-    """A body that passes through once, too large for memory: what was sent can't be sent again.
+    """A body too large for memory, which is streamed: what was sent can't be sent again.
 
     :param content: reads the rest
     :param size: of all of it
-    :param first_part: what has come already. The head of a request leaves together with the first bytes of
+    :param first_part: what was received already. The head of a request leaves together with the first bytes of
         its body, so these must be at hand: else both would leave whenever the client goes on, long after the
         core was last asked, perhaps to a node that drains by then.
     """
--- a/harriertide/platform/configuration.py
+++ b/harriertide/platform/configuration.py
@@ -39,7 +39,7 @@
     :param seed: of the decision module's random numbers
     :param settings: of the decision module
     :param names: of classes, plans and zones, and the figures that only sockets need
-    :param peer_listen: where other brokers' datagrams come in; None: they are not listened to
+    :param peer_listen: the address for other brokers' datagrams; None: they are not received
     :param peers: host:port of each broker, in the order of their numbers
     :param cached_list: the endpoint list as the platform last had it
     :param writes: for each class, whether its requests change data
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -59,7 +59,7 @@
         """Answer a request, or hand it to the core."""
 
     def on_client_disconnected(self, connection: PlatformConnection) -> None:
-        """The client of a request that the core has is gone."""
+        """The client of a request that the core is working on has disconnected."""
 
 
 class PlatformConnection(ClientConnection):
@@ -83,7 +83,7 @@
         self.fields: HeaderFields = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start as aiohttp's connections do, but without its handler's task and timer."""
+        """Start like an aiohttp connection, but without its handler's task and timer."""
         BaseProtocol.connection_made(self, transport)
         assert self._manager is not None and isinstance(transport, asyncio.Transport)
         self._manager.connection_made(self, transport)
@@ -92,7 +92,7 @@
         self.table.admit(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Let go of the request; what runs for it stops."""
+        """Release what the request holds, and have its attempts stopped."""
         if self.request_id:
             self._front.on_client_disconnected(self)
         if self._sending is not None:
@@ -106,21 +106,21 @@
 
     @property
     def request_timeout_s(self) -> float:
-        """Time for the rest of a request to come: more, the more of its body has come."""
+        """Time for a request to arrive: the longer, the more of its body has been received."""
         return super().request_timeout_s + self._buffer.received_bytes / MIN_UPLOAD_BYTES_PER_S
 
     def data_received(self, data: bytes) -> None:
         """Handle a request as soon as it is complete.
 
-        Clients send one at a time. One that does not is answered the first, and closed: what it sent ahead is
-        not read, so that it costs the others nothing.
+        Pipelining is not part of the protocol. A client that does it gets the first response, and its
+        connection is closed: what it sent ahead is not read, so that it costs other clients nothing.
         """
         if not data and self._body is None:  # the reader of a body has caught up, and the body is over
             return
         if self.state == "lingering":
             self.discard(data)
             return
-        if self.state == "busy" and self._body is None:  # sent ahead of the response
+        if self.state == "busy" and self._body is None:  # pipelined: sent before the response
             self._is_closing = True
             return
         if self._force_close:
@@ -131,7 +131,7 @@
             self._feed_request(data)
 
     def _feed_streamed_body(self, data: bytes) -> None:
-        """Bytes of a body that is sent on as it comes. One that breaks its framing fails at its reader."""
+        """Feed bytes of a body that is being streamed. A framing error surfaces at the body's reader."""
         assert self._parser is not None
         try:
             messages, upgraded, _ = self._parser.feed_data(data)
@@ -139,11 +139,11 @@
             return
         if upgraded:
             self.refuse(400, "no other protocol is spoken here")
-        elif messages:  # sent ahead, behind the end of the body
+        elif messages:  # pipelined, behind the end of the body
             self._is_closing = True
 
     def _feed_request(self, data: bytes) -> None:
-        """Bytes of a head, or of a body that is buffered."""
+        """Feed bytes of a head, or of a body that is being buffered."""
         if self.state != "reading":
             self.table.set_state(self, "reading")
         assert self._parser is not None
@@ -155,7 +155,7 @@
         if upgraded:
             self.refuse(400, "no other protocol is spoken here")
             return
-        if messages and self._message is not None:  # sent ahead, in one piece with the end of a body
+        if messages and self._message is not None:  # pipelined, in one read with the end of a body
             self._is_closing = True
         elif messages:
             self._is_closing = len(messages) > 1
@@ -164,7 +164,7 @@
             self._read_body(self._body)
 
     def _begin_request(self, message: RawRequestMessage, body: StreamReader) -> None:
-        """A head has come."""
+        """Start a request whose head was received."""
         self._message = message
         try:
             self.fields = read_fields(message.raw_headers)
@@ -182,12 +182,12 @@
         self._buffer.reserve(length)
 
     def _read_body(self, body: StreamReader) -> None:
-        """Buffer what has come. Where there is no room for the body, it is streamed from here on."""
+        """Buffer what was received. If the budget has no room for the body, stream it from here on."""
         if body.exception() is not None:
             self.refuse(400, "the body can't be read")
             return
         buffer = self._buffer
-        self._is_reading_body = True  # a reader that has room again has the parser go on, within the call
+        self._is_reading_body = True  # read_nowait may resume the parser, which calls back into here
         while part := body.read_nowait(-1):
             buffer.append(part)
         self._is_reading_body = False
@@ -204,17 +204,17 @@
             self._front.handle_request(self, self._message, streamed)
 
     def _has_room_for_body(self) -> bool:
-        """Whether the budget has room for as much of the body as is known of."""
+        """Whether the budget has room for all of the body that is known of so far."""
         declared = int(self.fields.get(b"content-length", b"0"))
         return self._buffer.reserve(max(self._buffer.received_bytes, declared))
 
     def on_body_too_long(self) -> None:
-        """A body that was sent on as it came goes beyond the bound: no node's response counts any more."""
+        """A streamed body is over the limit: no node's response counts any more."""
         self._front.on_client_disconnected(self)
         self.refuse(413, "the body is too long")
 
     def on_body_end(self) -> None:
-        """The last byte of the body was read: the parser goes on with the next request."""
+        """The last byte of the body was read: let the parser go on with the next request."""
         self._body = None
         if self._parser is None:
             return
@@ -256,7 +256,7 @@
                 rest.dispose()
             return
         self._front.counts[f"answers_{status}"] += 1
-        if self._body is not None:  # it has not come to its end, and is not read on
+        if self._body is not None:  # it was not read to its end, and will not be
             self._is_closing = True
             self._body = None
         length = len(body) if rest is None else rest.length
@@ -275,7 +275,7 @@
         self._sending = asyncio.get_running_loop().create_task(sending)
 
     def refuse(self, status: int, reason: str) -> None:
-        """Respond to what can't be served, for the last time on this connection."""
+        """Reject a request that can't be served, and close the connection behind the response."""
         self._is_closing = True
         self._body = None
         self.respond(status, f"{reason}\n".encode())
--- a/harriertide/platform/endpoint_directory.py
+++ b/harriertide/platform/endpoint_directory.py
@@ -1,8 +1,8 @@
 """Which storage nodes there are and where each is dialled, merged from endpoint pages of any version.
 
-Pages may come late, twice, from a discovery that counts its versions anew, or from the process of this broker
-that served before. The directory never lets an older page undo what a newer one said about a node that is to
-leave, or that has restarted since.
+Pages may arrive late, twice, from a discovery that has restarted its version count, or from the process of
+this broker that served before. The directory never lets an older page undo what a newer one said about a node
+that is to leave, or that has restarted since.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         self.version = 0
         self._entries: dict[str, api.NodeEntry] = {}
         self._addresses: dict[str, str] = {}
-        self._removed: dict[str, None] = {}  # node IDs, which never come again; longest ago first
+        self._removed: dict[str, None] = {}  # node IDs, which are never reused; longest ago first
 
     def find(self, node: str) -> str | None:
         """The host:port of a node; None if it has none or is unknown."""
@@ -63,14 +63,14 @@
         return parse_page(raw, self.zones, version)
 
     def is_outdated(self, page: EndpointPage) -> bool:
-        """Whether a page holds changes from before the version in force: late ones, or of a new count."""
+        """Whether a page's changes are older than the version in force: late, or of a restarted count."""
         return not page.is_complete and page.version < self.version
 
     def apply(self, page: EndpointPage, kind: PageKind | None = None) -> api.EndpointUpdate:
         """Merge a page.
 
         A page that is older than the list in force, or that comes from a discovery that may count its
-        versions otherwise, may be stale: it never puts a node back into service that was told to leave.
+        versions otherwise, may be stale: it never puts a draining or removed node back into service.
 
         :param kind: what the page counts as, whatever its version; None: a current page of discovery
         :returns: the update for the decision module
--- a/harriertide/platform/endpoint_page.py
+++ b/harriertide/platform/endpoint_page.py
@@ -20,7 +20,7 @@
     """One object of discovery: the whole endpoint list, or the changes since an earlier version.
 
     :param version: of the list with this page applied; it grows with each change
-    :param is_complete: whether nodes that it does not name are gone
+    :param is_complete: whether nodes that it does not name are removed
     :param entries: the nodes that it names
     :param addresses: host:port by node ID, for the nodes that have one
     """
--- a/harriertide/platform/endpoint_watch.py
+++ b/harriertide/platform/endpoint_watch.py
@@ -2,7 +2,7 @@
 
 Who opens a watch again depends on where the list comes from. Asking discovery costs it something, so there
 the decision module says when (`open`). An agent on this machine pushes the list for nothing, so there the
-watch is kept up from here (`set_pushed`).
+watch is reopened by this module (`set_pushed`).
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class OutdatedPageError(ValueError):
-    """Discovery sent changes from before the version in force: they are late, or it counts anew."""
+    """Discovery sent changes older than the version in force: they are late, or it restarted its count."""
 
 
 class EndpointWatch:
@@ -64,11 +64,11 @@
         self._is_pushed = False
         self._is_closed = False
         self._failure_is_logged = False
-        self._needs_full_list = False  # the discovery at this address may count its versions otherwise
+        self._needs_full_list = False  # the discovery at this address may have a version count of its own
         self._reopened_after_silence = False  # the watch that is open was opened at once, behind a silent one
 
     def set_pushed(self, is_pushed: bool) -> None:
-        """Say whether an agent pushes the list from now on; if so, the watch is kept up from here."""
+        """Say whether an agent pushes the list from now on; if so, this class reopens the watch by itself."""
         self._is_pushed = is_pushed
         self._head_timeout_s = PUSHED_HEAD_TIMEOUT_S if is_pushed else HEAD_TIMEOUT_S
         if is_pushed:
@@ -135,7 +135,8 @@
             log("endpoint watch failed", kind=type(fault).__name__, reason=str(fault))
         self._failure_is_logged = True
         if isinstance(fault, OutdatedPageError):
-            self._needs_full_list = True  # only the whole list tells whether discovery counts anew
+            # only the complete list tells whether discovery has restarted its version count
+            self._needs_full_list = True
         return isinstance(fault, (TimeoutError, OutdatedPageError)) and not self._reopened_after_silence
 
     def _on_end(self, opened_at: float, fell_silent: bool) -> None:
@@ -179,8 +180,8 @@
             ) as session,
         ):
             if self._needs_full_list:
-                # Another discovery may count its versions otherwise: the version last read would ask it for
-                # the wrong changes. So its whole list comes first.
+                # Another discovery may have a version count of its own: the version read last would ask it
+                # for the wrong changes. So its complete list is read first.
                 await self._read_full_list(session, url)
                 limit.reschedule(loop.time() + self._head_timeout_s)
             watch_url = f"{url}?watch=1&after={self._directory.version}"
@@ -215,10 +216,10 @@
     def _apply(self, text: bytes, kind: PageKind | None = None) -> None:
         """Merge one object of discovery and notify the decision module.
 
-        :raises OutdatedPageError: its changes are from before the version in force; they are merged with care
+        :raises OutdatedPageError: its changes are older than the version in force; they are merged with care
         """
         is_current = self._is_current()
-        # changes that a left address still brings count, but not its version
+        # changes from an address that discovery has left still count, but not their version
         page = self._directory.parse_page(
             orjson.loads(text), version=None if is_current else self._directory.version
         )
--- a/harriertide/platform/fields.py
+++ b/harriertide/platform/fields.py
@@ -42,7 +42,7 @@
 
 
 class MalformedRequestError(Exception):
-    """The client broke the protocol; the message tells it how, and goes out with status 400."""
+    """The client broke the protocol. The message says how, and is sent with status 400."""
 
 
 def read_fields(rows: Iterable[tuple[bytes, bytes]]) -> HeaderFields:
@@ -91,7 +91,7 @@
     :param now_us: when its head was read, in Unix microseconds
     :param names: of classes and plans
     :param streams_body: its body is still on its way. Its deadline is its client's then; a class's deadline
-        counts from the last byte of the body, and bounds only requests that are there as a whole.
+        counts from the last byte of the body, and applies only to requests whose body is complete.
     :raises MalformedRequestError: a field is missing, or holds something else than it should
     """
     if method not in _METHODS:
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -56,7 +56,7 @@
 
         :param connection: on which it came
         :param message: its head
-        :param body: all of it, or as much as was buffered with the rest to come
+        :param body: all of it, or a stream that begins with what was buffered
         """
         path = message.path.partition("?")[0]
         if path == READINESS_PATH:
--- a/harriertide/platform/json_stream.py
+++ b/harriertide/platform/json_stream.py
@@ -10,7 +10,7 @@
 
 
 class StreamProgress(NamedTuple):
-    """What some bytes completed.
+    """What a read of the stream has completed.
 
     :param objects: the text of each JSON object that is complete now, in order
     :param is_alive: whether the sender has shown life: an object, or an empty line between objects
--- a/harriertide/platform/peers.py
+++ b/harriertide/platform/peers.py
@@ -11,10 +11,9 @@
 
 from harriertide.core import events as ev
 
-DISCARD_PORT = 9  # of the discard service, from which nothing comes
-MAX_BUFFERED_MESSAGE_COUNT = (
-    1024  # while another process of this broker is in charge: moments, at 256 KB at most
-)
+DISCARD_PORT = 9  # of the discard service, which never sends
+# While another process of this broker is in charge, which takes moments: 256 KB at most.
+MAX_BUFFERED_MESSAGE_COUNT = 1024
 MAX_DATAGRAM_BYTES = 256  # the platform drops longer ones
 READ_BYTES = 65536  # the longest datagram there can be
 
@@ -74,21 +73,21 @@
         return self._transport is not None
 
     def start_buffering(self) -> None:
-        """Keep what comes from now on: another process of this broker is still in charge."""
+        """Buffer messages from now on: another process of this broker is still in charge."""
         self._buffered = []
 
     def deliver_buffered(self) -> None:
-        """Hand the core what was kept, and all that comes from now on."""
+        """Hand the core the buffered messages, and each new one as it is received."""
         buffered = self._buffered or []
         self._buffered = None
         for message in buffered:
             self._post(message)
 
     def drain_and_close(self) -> None:
-        """Close the address, once all that has come to it was read.
+        """Close the address once all datagrams that have arrived are read.
 
-        Connected to a port from which nothing comes, the socket gets no more: the system gives what comes
-        from then on to the other process, and no message falls between the last read and the close.
+        Connected to a port that never sends, the socket gets no more datagrams: the kernel delivers those
+        that arrive from then on to the other process, and none is lost between the last read and the close.
         """
         if self._socket is not None:
             with suppress(OSError):
@@ -103,7 +102,7 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Hand a message to the core, or keep it; what comes from anyone else is counted as junk."""
+        """Hand a message to the core, or buffer it; datagrams of unknown senders are counted as junk."""
         index = self._indexes.get((addr[0], addr[1]))
         if index is None or len(data) > MAX_DATAGRAM_BYTES:
             self.counts["junk"] += 1
--- a/harriertide/platform/request_body.py
+++ b/harriertide/platform/request_body.py
@@ -1,4 +1,4 @@
-"""Bodies of platform requests: buffered while they come, or streamed to the node as they come.
+"""Bodies of platform requests: buffered until complete, or streamed to the node while they arrive.
 
 A retry can send a buffered body again. All buffered bodies share a memory budget; one that finds no room in
 it is streamed, and has one attempt.
@@ -38,7 +38,7 @@
 
 
 class RequestBodyBuffer:
-    """What has come of the body of a connection's current request, with its part of the memory budget.
+    """The received part of the current request's body, and its share of the memory budget.
 
     :param budget: for the buffered bodies of all connections
     """
@@ -57,18 +57,18 @@
         self.received_bytes += len(part)
 
     def reserve(self, size: int) -> bool:
-        """Whether the budget has room for so many bytes of this body in all; they count from now on."""
+        """Reserve memory for so many bytes of this body in total; whether the budget had room for them."""
         missing = size - self._reserved_bytes
         if missing > 0 and self._budget.reserve(missing, may_exceed=size <= ALWAYS_BUFFERED_BYTES):
             self._reserved_bytes = size
         return self._reserved_bytes >= size
 
     def is_too_long(self) -> bool:
-        """Whether more has come than a body may have."""
+        """Whether more was received than a body may have."""
         return self.received_bytes > MAX_REQUEST_BODY_BYTES
 
     def take(self) -> bytes:
-        """What has come, in one piece. The buffer keeps none of it: a second copy would count nowhere."""
+        """Take what was received, in one piece. The buffer keeps nothing: no budget counts a second copy."""
         joined = b"".join(self._parts)
         self._parts = []
         return joined
@@ -82,23 +82,23 @@
 
 
 class BodyOwner(Protocol):
-    """The connection on which a body comes."""
+    """The connection that a body is received on."""
 
     fields: HeaderFields
 
     def on_body_too_long(self) -> None:
-        """More has come than a body may have."""
+        """More was received than a body may have."""
 
     def on_body_end(self) -> None:
         """The last byte of the body was read."""
 
 
 class StreamedRequestBody:
-    """The body of a request that is sent on as it comes: what has come so far, and the rest once.
+    """A request body that is streamed to the node: the received part any number of times, the rest once.
 
-    :param owner: the connection on which it comes
+    :param owner: the connection that it is received on
     :param reader: of its rest
-    :param first_part: what has come already; a retry that finds nothing more sent can still send it
+    :param first_part: what was received already; a retry can send it again while nothing more was sent
     """
 
     def __init__(self, owner: BodyOwner, reader: StreamReader, first_part: bytes) -> None:
@@ -112,9 +112,9 @@
         )
 
     async def chunks(self, attempt: Attempt) -> AsyncIterator[bytes]:
-        """All of it, in its framing. From its second part on the request is this attempt's: no retry follows.
+        """Yield the body in its framing. Once more than the first part is read, no retry can follow.
 
-        :raises BodyTooLongError: more comes than a body may have
+        :raises BodyTooLongError: the client sends more than a body may have
         :raises TimeoutError: the client sends nothing for STREAM_IDLE_TIMEOUT_S
         """
         yield self._frame(self._first_part)
--- a/harriertide/platform/response_writer.py
+++ b/harriertide/platform/response_writer.py
@@ -1,4 +1,4 @@
-"""Responses to the platform's clients as bytes: heads, framing, chunks, and long bodies on their way."""
+"""Responses to the platform's clients as bytes: heads, framing, chunks, and streamed bodies."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Framing(Enum):
-    """How a client tells where the body of a response ends."""
+    """How a client finds the end of a response's body."""
 
     LENGTH = "its length is in the head"
-    CHUNKED = "it comes in chunks"
-    UNTIL_CLOSE = "the connection ends with it"
+    CHUNKED = "it is sent in chunks"
+    UNTIL_CLOSE = "the connection is closed behind it"
 
 
 def choose_framing(length: int | None, is_http_1_0: bool) -> Framing:
     """The framing for a body.
 
-    :param length: of the whole body; None: nobody knows it yet
+    :param length: of the whole body, in bytes; None: not known yet
     :param is_http_1_0: the client reads no chunks
     """
     if length is not None:
