--- a/harriertide/objects/upload_body.py
+++ b/harriertide/objects/upload_body.py
@@ -66,9 +66,9 @@
 
     :param content: reads the rest
     :param size: of all of it
-    :param first_part: what was received already. The head of a request leaves together with the first bytes of
-        its body, so these must be at hand: else both would leave whenever the client goes on, long after the
-        core was last asked, perhaps to a node that drains by then.
+    :param first_part: what was received already. The head of a request leaves together with the first
+        bytes of its body, so these must be at hand: else both would leave whenever the client goes on, long
+        after the core was last asked, perhaps to a node that drains by then.
     """
 
     def __init__(self, content: aiohttp.StreamReader, size: int, first_part: bytes) -> None:
