--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -27,14 +27,15 @@
 from harriertide.engine.counters import counter_fields
 from harriertide.engine.log import adopt_libraries, log
 from harriertide.engine.runtime import Runtime
-from harriertide.http.clients import ConnectionTable
+from harriertide.http.body_stream import BodyBudget
+from harriertide.http.connection_table import ConnectionTable
 from harriertide.http.limits import read_limits
-from harriertide.http.nodes import NodeClient
-from harriertide.http.relay import BodyBudget
+from harriertide.http.node_client import NodeClient
 from harriertide.lifecycle.machine import Lifecycle
 from harriertide.platform.configuration import Config, read_config
 from harriertide.platform.connection import PlatformServer
-from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_watch import EndpointWatch
 from harriertide.platform.front import Front
 from harriertide.platform.peers import Peers
 from harriertide.platform.probes import Probes
@@ -43,7 +44,7 @@
     from harriertide.cli.in_place_upgrade import InPlaceUpgrade
     from harriertide.config.maintenance_section import MaintenanceSettings
     from harriertide.config.operator_file import OperatorFile
-    from harriertide.control.maintenance_service import Service
+    from harriertide.control.maintenance_service import MaintenanceService
     from harriertide.lifecycle.operator_api import OperatorApi
     from harriertide.objects.service import ObjectService
 
@@ -73,10 +74,10 @@
         self.readiness = Readiness(self._on_ready)
         self.operator_api: OperatorApi | None = None
         self.in_place_upgrade: InPlaceUpgrade | None = None
-        self.watch: Watch | None = None
+        self.watch: EndpointWatch | None = None
         self.peers: Peers | None = None
         self.objects: ObjectService | None = None
-        self.maintenance: Service | None = None
+        self.maintenance: MaintenanceService | None = None
         self._compose_core(initial)
         if config is not None:
             self._compose_platform_side(config, initial)
@@ -94,10 +95,10 @@
         self.seed = initial.seed
         self.core = Reducer(initial.settings, initial.seed)
         self.runtime = Runtime(self.core, Clock(asyncio.get_running_loop()))
-        self.directory = Directory(names.zones)
+        self.directory = EndpointDirectory(names.zones)
         self.clients = ConnectionTable(limits)
         self.client = NodeClient(self._find_node_address, names.connect_us, names.idle_us, limits)
-        self.bodies = BodyBudget(limits.bodies)
+        self.bodies = BodyBudget(limits.max_buffered_request_bytes)
         self.front = Front(self.runtime, self.client, names, self.bodies)
         self.probes = Probes(self.client, self.runtime.post)
         self.runtime.start_probe = self.probes.start
@@ -105,11 +106,11 @@
 
     def _compose_platform_side(self, config: Config, initial: InitialSettings) -> None:
         """The endpoint list from discovery, and messages between brokers."""
-        self.watch = Watch(config.discovery, self.directory, self.runtime.post)
+        self.watch = EndpointWatch(config.discovery, self.directory, self.runtime.post)
         self.peers = Peers(config.peers, config.settings.broker_index, self.runtime.post)
         self.runtime.watch_endpoints = self.watch.open
-        self.runtime.send_peer_message = self.peers.tell
-        cached = self.directory.read(initial.endpoint_list, "cached")
+        self.runtime.send_peer_message = self.peers.send
+        cached = self.directory.apply(initial.endpoint_list, "cached")
         self.runtime.post(ev.EndpointsUpdated(cached))
 
     def _compose_object_front(self, operator_file: OperatorFile, names: Names) -> None:
@@ -122,7 +123,7 @@
 
     def _compose_maintenance(self, settings: MaintenanceSettings, overrides: dict[str, Any]) -> None:
         """Take part in what the brokers agree on."""
-        from harriertide.control.maintenance_service import Service
+        from harriertide.control.maintenance_service import MaintenanceService
 
         objects = self.objects
         assert objects is not None, "maintenance is a section of the object front's file"
@@ -133,7 +134,7 @@
             objects.front.ready = is_ready
 
         clock = self.runtime.clock
-        self.maintenance = Service(
+        self.maintenance = MaintenanceService(
             settings, self.core, objects, clock.now_us, self.stopping.set, set_ready, **overrides
         )
         objects.admin.add_subsystem("maintenance", self.maintenance.handle)
@@ -157,8 +158,8 @@
     def apply_lifecycle(self) -> None:
         """Have all parts go by the lifecycle as it is now, in the same turn of the loop."""
         self.front.ready = self.lifecycle.is_healthy
-        self.front.last = self.lifecycle.closes_connections
-        self.clients.retire(self.lifecycle.is_draining)
+        self.front.closes_connections = self.lifecycle.closes_connections
+        self.clients.set_retiring(self.lifecycle.is_draining)
 
     def apply_limits(self) -> None:
         """Have both sides' connections go by the limits; two processes of one broker share them."""
@@ -166,9 +167,9 @@
         limits = self.config.limits
         if self.in_place_upgrade is not None:
             limits = self.in_place_upgrade.share(limits)
-        self.client.pool.limit(limits)
-        self.clients.limit(limits)
-        self.bodies.most = limits.bodies
+        self.client.pool.apply_limits(limits)
+        self.clients.apply_limits(limits)
+        self.bodies.limit_bytes = limits.max_buffered_request_bytes
 
     def counters(self) -> dict[str, int]:
         """All counters, as `part.name`."""
@@ -188,7 +189,7 @@
         if self.objects is not None:
             parts |= self.objects.counts()
         if self.maintenance is not None:
-            parts |= self.maintenance.broker.counters()
+            parts |= self.maintenance.counters()
         return counter_fields(parts)
 
     # --- listening -----------------------------------------------------------------------------
@@ -203,7 +204,7 @@
     async def open_peer_listener(self) -> None:
         """Receive messages of other brokers, unless it does already."""
         config, peers = self.config, self.peers
-        if config is None or config.peer_listen is None or peers is None or peers.listens:
+        if config is None or config.peer_listen is None or peers is None or peers.is_open:
             return
         await peers.listen(config.peer_listen, shared=config.inherited_descriptor is not None)
 
@@ -216,7 +217,7 @@
         """Accept neither any more: another process of this broker does."""
         self.listeners.close_for_clients()
         if self.peers is not None:
-            self.peers.release()
+            self.peers.drain_and_close()
 
     def create_in_place_upgrade(self, config: Config) -> InPlaceUpgrade:
         """Enter this process among those of its broker."""
--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -20,16 +20,16 @@
 from harriertide.decide.scheduler import Scheduler
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Runtime
-from harriertide.http.clients import ConnectionTable
+from harriertide.http.connection_table import ConnectionTable
 from harriertide.http.limits import Limits
-from harriertide.http.listening import IN_FLIGHT
-from harriertide.http.nodes import NodeClient
+from harriertide.http.listener import UNREPORTED_ACCEPT_COUNT
+from harriertide.http.node_client import NodeClient
 from harriertide.lifecycle.active_process import ActiveProcessHooks, ActiveProcessLease
 from harriertide.lifecycle.machine import Lifecycle
 from harriertide.lifecycle.process_registry import ProcessRegistry
 from harriertide.lifecycle.record import Handover, RecordError, decode, encode
 from harriertide.platform.configuration import BadConfigError, Config
-from harriertide.platform.discovery import Directory
+from harriertide.platform.endpoint_directory import EndpointDirectory
 
 # A superseded process may have at least this part of the connections to nodes: it has requests to finish, and
 # retries of them need connections too.
@@ -54,7 +54,7 @@
     lifecycle: Lifecycle
     runtime: Runtime
     core: Reducer
-    directory: Directory
+    directory: EndpointDirectory
     clients: ConnectionTable
     client: NodeClient
 
@@ -199,7 +199,7 @@
         process.lifecycle.mark_superseded()
         process.apply_lifecycle()
         self._is_alone = False
-        self._own_share = self._limits().part(self._kept_client_count(), self._kept_node_connection_count())
+        self._own_share = self._limits().split(self._kept_client_count(), self._kept_node_connection_count())
         process.apply_limits()
         process.runtime.handle_now(ev.SettingsChanged(process.settings_in_force()))
         log(
@@ -238,19 +238,19 @@
 
         Guards against a limit that closes these: they have sent their requests already.
         """
-        return len(self._process.clients) + IN_FLIGHT
+        return len(self._process.clients) + UNREPORTED_ACCEPT_COUNT
 
     def _kept_node_connection_count(self) -> int:
         """Connections to nodes that a superseded process finishes its requests with."""
-        minimum = int(self._limits().boxes * SUPERSEDED_NODE_CONNECTIONS_RATIO)
+        minimum = int(self._limits().max_node_connections * SUPERSEDED_NODE_CONNECTIONS_RATIO)
         return max(len(self._process.client.pool), minimum)
 
     def _limits_beside(self, kept_client_count: int, kept_node_connection_count: int) -> Limits:
         """What is left beside a process that keeps so many connections."""
         limits = self._limits()
-        least_clients = int(limits.clients * MIN_ACTIVE_CONNECTIONS_RATIO)
-        least_nodes = int(limits.boxes * MIN_ACTIVE_CONNECTIONS_RATIO)
-        return limits.part(
-            max(least_clients, limits.clients - kept_client_count),
-            max(least_nodes, limits.boxes - kept_node_connection_count),
+        least_clients = int(limits.max_client_connections * MIN_ACTIVE_CONNECTIONS_RATIO)
+        least_nodes = int(limits.max_node_connections * MIN_ACTIVE_CONNECTIONS_RATIO)
+        return limits.split(
+            max(least_clients, limits.max_client_connections - kept_client_count),
+            max(least_nodes, limits.max_node_connections - kept_node_connection_count),
         )
--- a/harriertide/cli/listeners.py
+++ b/harriertide/cli/listeners.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from harriertide.engine.log import log
-from harriertide.http.clients import FrontServer
-from harriertide.http.listening import InheritError, inherit, listen, stop_listening
+from harriertide.http.client_server import FrontServer
+from harriertide.http.listener import InheritError, inherit, listen, stop_listening
 from harriertide.platform.configuration import BadConfigError, Config
 
 Address = tuple[str, int]  # host and port
--- a/harriertide/cli/reload.py
+++ b/harriertide/cli/reload.py
@@ -13,9 +13,10 @@
 from harriertide.decide import api
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Runtime
-from harriertide.http.nodes import NodeClient
+from harriertide.http.node_client import NodeClient
 from harriertide.platform.configuration import BadConfigError, Config, read_config
-from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_watch import EndpointWatch
 from harriertide.platform.front import Front
 from harriertide.platform.peers import Peers
 
@@ -28,10 +29,10 @@
 
     config: Config | None
     front: Front
-    directory: Directory
+    directory: EndpointDirectory
     client: NodeClient
     runtime: Runtime
-    watch: Watch | None
+    watch: EndpointWatch | None
     peers: Peers | None
     objects: ObjectService | None
 
@@ -50,7 +51,7 @@
         return
     try:
         config = read_config(environment, running)
-        process.peers.relist(config.peers, config.settings.broker_index)
+        process.peers.set_peers(config.peers, config.settings.broker_index)
     except (BadConfigError, ValueError) as error:
         log("reload refused, what was configured before stays in force", reason=str(error))
         return
@@ -73,10 +74,10 @@
         process.objects.replan(names.plans)
 
 
-def _follow_discovery(watch: Watch, config: Config) -> None:
+def _follow_discovery(watch: EndpointWatch, config: Config) -> None:
     if config.discovery != watch.address:
-        watch.move(config.discovery)
-    watch.follow(not config.settings.polls_endpoint_list)
+        watch.change_address(config.discovery)
+    watch.set_pushed(not config.settings.polls_endpoint_list)
 
 
 def _log_what_waits_for_a_restart(config: Config, running: Config) -> None:
--- a/harriertide/cli/shutdown.py
+++ b/harriertide/cli/shutdown.py
@@ -17,17 +17,17 @@
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Runtime
-from harriertide.http.clients import ConnectionTable
-from harriertide.http.nodes import NodeClient
+from harriertide.http.connection_table import ConnectionTable
+from harriertide.http.node_client import NodeClient
 from harriertide.lifecycle.machine import Lifecycle
-from harriertide.platform.discovery import Watch
+from harriertide.platform.endpoint_watch import EndpointWatch
 from harriertide.platform.front import Front
 from harriertide.platform.peers import Peers
 from harriertide.platform.probes import Probes
 
 if TYPE_CHECKING:  # each is loaded only where the configuration asks for it
     from harriertide.cli.in_place_upgrade import InPlaceUpgrade
-    from harriertide.control.maintenance_service import Service
+    from harriertide.control.maintenance_service import MaintenanceService
     from harriertide.lifecycle.operator_api import OperatorApi
     from harriertide.objects.service import ObjectService
 
@@ -51,10 +51,10 @@
     client: NodeClient
     front: Front
     probes: Probes
-    watch: Watch | None
+    watch: EndpointWatch | None
     peers: Peers | None
     objects: ObjectService | None
-    maintenance: Service | None
+    maintenance: MaintenanceService | None
     operator_api: OperatorApi | None
     in_place_upgrade: InPlaceUpgrade | None
 
@@ -122,7 +122,7 @@
 async def _reject_the_rest(process: StoppingProcess, deadline: float) -> None:
     """Reject what is open or still read, forward nothing more, and let clients read their responses."""
     loop = asyncio.get_running_loop()
-    process.front.stopped = True
+    process.front.rejects_requests = True
     process.runtime.post(ev.ShutdownStarted())
     await until(loop.time() + POLL_INTERVAL_S)
     while len(process.clients) and loop.time() < deadline + LINGER_S:
--- a/harriertide/cli/startup.py
+++ b/harriertide/cli/startup.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING, Protocol
 
 from harriertide.cli.listeners import Address, Listeners, find_client_address
-from harriertide.http.clients import ConnectionTable
+from harriertide.http.connection_table import ConnectionTable
 from harriertide.platform.configuration import Config
-from harriertide.platform.discovery import Watch
-from harriertide.platform.peers import Peers, address
+from harriertide.platform.endpoint_watch import EndpointWatch
+from harriertide.platform.peers import Peers, parse_address
 
 if TYPE_CHECKING:  # each is loaded only where the configuration asks for it
     from harriertide.cli.in_place_upgrade import InPlaceUpgrade
-    from harriertide.control.maintenance_service import Service
+    from harriertide.control.maintenance_service import MaintenanceService
     from harriertide.objects.service import ObjectService
 
 # An agent that pushes the endpoint list and says nothing, as discovery is away, holds up a start for so long.
@@ -32,7 +32,7 @@
         self._listeners_are_open = False
         self._awaits_endpoint_list = False
 
-    def await_endpoint_list(self, watch: Watch) -> None:
+    def await_endpoint_list(self, watch: EndpointWatch) -> None:
         """Wait for the first list of an agent on this machine, FIRST_LIST_TIMEOUT_S at most.
 
         Changes that an agent has count as known from the first moment of a process, and the list in the
@@ -42,11 +42,11 @@
 
         def on_list_or_timeout() -> None:
             timer.cancel()
-            watch.heard = lambda: None
+            watch.on_list = lambda: None
             self.skip_endpoint_list()
 
         timer = asyncio.get_running_loop().call_later(FIRST_LIST_TIMEOUT_S, on_list_or_timeout)
-        watch.heard = on_list_or_timeout
+        watch.on_list = on_list_or_timeout
 
     def skip_endpoint_list(self) -> None:
         """The list that this process has is as new as it can be."""
@@ -70,10 +70,10 @@
     listeners: Listeners
     readiness: Readiness
     clients: ConnectionTable
-    watch: Watch | None
+    watch: EndpointWatch | None
     peers: Peers | None
     objects: ObjectService | None
-    maintenance: Service | None
+    maintenance: MaintenanceService | None
 
     async def open_operator_api(self, at: Address) -> None:
         """Answer operators at this address."""
@@ -124,7 +124,7 @@
     is_pushed = not config.settings.polls_endpoint_list
     if is_pushed:
         process.readiness.await_endpoint_list(watch)
-    watch.follow(is_pushed)
+    watch.set_pushed(is_pushed)
 
 
 async def _take_over(process: StartingProcess, config: Config) -> None:
@@ -137,14 +137,14 @@
     assert peers is not None, "made with the configuration"
     upgrade = process.create_in_place_upgrade(config)
     process.apply_limits()
-    peers.hold()
+    peers.start_buffering()
     await process.open_peer_listener()
     if await upgrade.take_over():
         process.readiness.skip_endpoint_list()  # the list of the process before is as new as an agent's
-    peers.let_through()
+    peers.deliver_buffered()
 
 
 async def _start_object_front(objects: ObjectService, process: StartingProcess) -> None:
     for listen_at, protocol in objects.servers(process.clients):
-        await process.listeners.open(address(listen_at), protocol)
+        await process.listeners.open(parse_address(listen_at), protocol)
     objects.start()
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/parity.py
@@ -38,7 +38,8 @@
 from harriertide.library.loopback_peers import LoopbackPeers
 from harriertide.library.peer_transport import PeerTransport
 from harriertide.platform.configuration import Config
-from harriertide.platform.fields import SENT_BEFORE_US
+from harriertide.platform.endpoint_page import EMPTY_PAGE
+from harriertide.platform.fields import DEADLINE_MARGIN_US
 
 LEAD_S = 0.5  # before the first row
 APART = 0.02  # that the scores on sockets may be
@@ -98,7 +99,7 @@
 
 
 def _budget_ms(arrival: api.Arrival, now_us: int) -> int:
-    return max(1, -(-(arrival.deadline_at_us - now_us + SENT_BEFORE_US) // 1000))
+    return max(1, -(-(arrival.deadline_at_us - now_us + DEADLINE_MARGIN_US) // 1000))
 
 
 async def _boxes(boxes: list[plant.Box], begin: float) -> dict[str, str]:
@@ -129,7 +130,7 @@
         config = Config(
             "parity", ("127.0.0.1", 0), "127.0.0.1:1", workload.header.seed + place, own, names,
             ("127.0.0.1", FIRST_PORT + place) if brokers > 1 else None, peers,
-            {"seq": 0, "whole": True, "hosts": []},
+            EMPTY_PAGE,
         )  # fmt: skip
         daemon = Daemon(config, None)
         daemon.directory.find = places.get  # type: ignore[assignment]
@@ -199,9 +200,9 @@
         broker = taking[next(turn) % len(taking)]
         method, body = ("PUT", b"x" * 16) if arrival.request_class else ("GET", b"")
         now_us = clock.now_us()
-        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - SENT_BEFORE_US
+        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - DEADLINE_MARGIN_US
         kind = broker.core.settings.classes[arrival.request_class]
-        last_us = min(last_us, now_us + kind.deadline_us - SENT_BEFORE_US)
+        last_us = min(last_us, now_us + kind.deadline_us - DEADLINE_MARGIN_US)
 
         async def perform(attempt: Attempt) -> bytes:
             headers = {"X-Call-Id": arrival.request_id}
--- a/harriertide/library/blocking.py
+++ b/harriertide/library/blocking.py
@@ -16,7 +16,7 @@
 from types import TracebackType
 from typing import Any, TypeVar
 
-from harriertide.http.nodes import Reply
+from harriertide.http.node_response import Reply
 from harriertide.library import broker as async_broker
 from harriertide.library.attempt import Attempt
 from harriertide.library.errors import FailedError
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -21,7 +21,7 @@
 from harriertide.engine.counters import counter_fields
 from harriertide.engine.runtime import Runtime
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import NodeClient
+from harriertide.http.node_client import NodeClient
 from harriertide.library.call import OVERDUE_GRACE_S, CallJob, Work
 from harriertide.library.errors import RejectedError
 from harriertide.library.membership import MembershipView
@@ -77,7 +77,7 @@
         self.view = MembershipView((0,), 0)  # which brokers share, this one included
         self._settings = settings
         self._plan_names: list[str] = list(names.plans)
-        self._limits = Limits.share(descriptor_count, memory_mb)
+        self._limits = Limits.from_resources(descriptor_count, memory_mb)
         self._record_path = record
         self._open_files = ExitStack()
         self._runtime: Runtime | None = None
--- a/harriertide/library/node_client_view.py
+++ b/harriertide/library/node_client_view.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Mapping
 
-from harriertide.http.nodes import NodeClient, Reply
+from harriertide.http.node_client import NodeClient
+from harriertide.http.node_response import Reply
 from harriertide.library.attempt import Attempt
 from harriertide.library.errors import NODE_ERRORS, NotWrittenError
 
--- a/harriertide/library/node_sources.py
+++ b/harriertide/library/node_sources.py
@@ -16,7 +16,8 @@
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
 from harriertide.library.peer_transport import PostEvent
-from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_watch import EndpointWatch
 
 NodeState = Literal["live", "draining", "gone"]
 _NODE_STATES = ("live", "draining", "gone")
@@ -191,15 +192,15 @@
     def __init__(self, address: str, known: dict[str, object] | None = None, pushed: bool = False) -> None:
         self._address = address
         self._pushed = pushed
-        self._directory = Directory({})
+        self._directory = EndpointDirectory({})
         self._known = known or {"seq": 0, "whole": True, "hosts": []}
-        self._watch: Watch | None = None
+        self._watch: EndpointWatch | None = None
 
     def start(self, post: PostEvent) -> None:
         """Report the list as known, and changes from now on."""
-        self._watch = Watch(self._address, self._directory, post)
-        post(ev.EndpointsUpdated(self._directory.read(self._known, "cached")))
-        self._watch.follow(self._pushed)
+        self._watch = EndpointWatch(self._address, self._directory, post)
+        post(ev.EndpointsUpdated(self._directory.apply(self._directory.parse_page(self._known), "cached")))
+        self._watch.set_pushed(self._pushed)
 
     def find_address(self, node_id: str) -> str | None:
         """Host and port of a node."""
--- a/harriertide/library/web.py
+++ b/harriertide/library/web.py
@@ -19,7 +19,7 @@
 
 from aiohttp import web
 
-from harriertide.http.quiet import ended
+from harriertide.http.socket_state import is_closed_by_peer
 from harriertide.library.attempt import Attempt
 from harriertide.library.body_buffer import BodyBuffer
 from harriertide.library.broker import Broker
@@ -109,7 +109,7 @@
             return await handler(request)
 
         def has_client_left() -> bool:
-            return ended(request.transport)
+            return is_closed_by_peer(request.transport)
 
         try:
             # aiohttp lets a handler run on when its client has gone: so it is looked up before each attempt.
--- a/harriertide/lifecycle/operator_api.py
+++ b/harriertide/lifecycle/operator_api.py
@@ -18,11 +18,11 @@
 from aiohttp.http_parser import HttpRequestParser, RawRequestMessage
 from aiohttp.streams import StreamReader
 
-from harriertide.http.limits import OPERATORS
+from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT
 from harriertide.lifecycle.machine import CommandResult, Lifecycle
 
 # Of the descriptors reserved for operators the listener has one, and a caller that is being closed another.
-MAX_CONNECTION_COUNT = OPERATORS - 2
+MAX_CONNECTION_COUNT = OPERATOR_DESCRIPTOR_COUNT - 2
 REQUEST_TIMEOUT_S = 5.0  # for a whole call to come; till then it holds one of the few connections
 CLOSE_TIMEOUT_S = 0.3  # for the caller to read its answer and to end its side, before it is cut off
 MAX_HEAD_BYTES = 8 * 1024  # no call needs a fraction of it
--- a/harriertide/lifecycle/record.py
+++ b/harriertide/lifecycle/record.py
@@ -13,7 +13,7 @@
 
 from harriertide.decide.handover import DecisionRecord
 from harriertide.engine.workload_records import NodeEntryRecord, load_node_entry, store_node_entry
-from harriertide.platform.discovery import DirectoryState
+from harriertide.platform.endpoint_directory import DirectoryState
 
 VERSION = 2  # of the body's form: a record of another version is not read
 MAGIC = b"harriertide state %d\n" % VERSION
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,11 +9,11 @@
 import pytest
 
 from harriertide.decide import api
-from harriertide.http import clients, nodes, relay
-from harriertide.http.node_connection import RELAY_HELD
-from harriertide.http.nodes import FIRST_BYTES
-from harriertide.platform import connection
-from harriertide.platform.connection import SMALL_BYTES
+from harriertide.http import body_stream, client_connection, node_response
+from harriertide.http.node_connection import FORWARD_BUFFER_BYTES
+from harriertide.http.node_response import FIRST_PART_BYTES
+from harriertide.platform import request_body
+from harriertide.platform.request_body import ALWAYS_BUFFERED_BYTES
 from tests.scenario import Line
 from tests.test_crossings import House, inside
 from tests.test_crossings import answer as reply
@@ -75,6 +75,12 @@
 @pytest.mark.parametrize("answer", ANSWERS.values(), ids=ANSWERS.keys())
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
 def test_a_long_answer_passes_byte_for_byte(answer: bytes, version: str) -> None:
+    """A node answers at length, in each framing that HTTP has.
+
+    The client gets the same bytes, also where it speaks HTTP/1.0 and reads no chunks, and no memory stays
+    reserved.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Connection: close\r\n").replace(b"HTTP/1.1", f"HTTP/{version}".encode()))
@@ -85,12 +91,18 @@
         got = await all_of(client)
         assert body_of(got) == LONG
         assert version == "1.1" or b"chunked" not in got.partition(b"\r\n\r\n")[0]
-        assert house.daemon.client.pool._held == 0
+        assert house.daemon.client.pool._buffered_bytes == 0
 
     inside(play)
 
 
 def test_an_attempt_is_over_with_the_first_part_of_its_answer_and_the_connections_are_kept() -> None:
+    """A long response takes its time.
+
+    Its attempt ends with the first part, so that it holds no slot of the node; the rest is forwarded beside
+    it, and both connections carry another request afterwards.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -99,12 +111,12 @@
         async with asyncio.timeout(2):
             while not house.daemon.core.counts["served"]:
                 await asyncio.sleep(0.005)
-        assert house.daemon.core.open_request_count() == 0 and len(house.daemon.clients.lines("busy")) == 1
+        assert house.daemon.core.open_request_count() == 0 and len(house.daemon.clients.in_state("busy")) == 1
         await asyncio.sleep(0.15)  # more than an answer may stop short that is held
         line.writer.write(LONG[1000:])
         assert body_of(await all_of(client, LONG[-2000:])) == LONG
         async with asyncio.timeout(2):
-            while not house.daemon.clients.lines("idle"):
+            while not house.daemon.clients.in_state("idle"):
                 await asyncio.sleep(0.005)
         await asyncio.sleep(0.02)
         client.sendall(ask(house))
@@ -116,16 +128,21 @@
 
 
 def test_pieces_of_any_size_over_seconds_pass_as_they_come() -> None:
+    """A node sends the middle of its response byte by byte.
+
+    Nothing is lost, and nobody takes it for stalled.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Connection: close\r\n"))
         line = await house.asked()
         line.writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG))
-        line.writer.write(LONG[:FIRST_BYTES])
-        for byte in LONG[FIRST_BYTES : FIRST_BYTES + 40]:
+        line.writer.write(LONG[:FIRST_PART_BYTES])
+        for byte in LONG[FIRST_PART_BYTES : FIRST_PART_BYTES + 40]:
             line.writer.write(bytes([byte]))
             await asyncio.sleep(0.005)
-        line.writer.write(LONG[FIRST_BYTES + 40 :])
+        line.writer.write(LONG[FIRST_PART_BYTES + 40 :])
         assert body_of(await all_of(client)) == LONG
 
     inside(play)
@@ -135,6 +152,11 @@
 def test_an_answer_that_breaks_behind_its_first_part_is_cut_off_for_good(
     answer: bytes,
 ) -> None:
+    """A node breaks off when the client has a part of the response already.
+
+    A retry would mix two responses, so there is none, and the client can tell that it has not all of it.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -151,12 +173,18 @@
         else:
             assert len(body) < len(LONG)
         await house.settle()
-        assert house.box.asked.empty() and house.daemon.client.pool._held == 0
+        assert house.box.asked.empty() and house.daemon.client.pool._buffered_bytes == 0
 
     inside(play)
 
 
 def test_an_answer_cut_off_whose_end_would_be_that_of_the_connection_is_reset() -> None:
+    """A client of HTTP/1.0 takes the end of the connection for the end of the body.
+
+    Where the node breaks off, an orderly close would pass half a response for a whole one: the connection is
+    reset.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house).replace(b"HTTP/1.1", b"HTTP/1.0"))
@@ -172,6 +200,8 @@
 
 
 def test_an_answer_that_breaks_within_its_first_part_is_asked_for_again() -> None:
+    """A node breaks off before anything went to the client. A retry makes it good, unseen."""
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Connection: close\r\n"))
@@ -186,6 +216,12 @@
 
 
 def test_reading_stops_where_the_client_does_not_read() -> None:
+    """A client asks for 32 MiB and does not read.
+
+    The broker must not take the response into its memory: it stops reading from the node, and goes on when
+    the client does.
+    """
+
     async def play(house: House) -> None:
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -197,11 +233,11 @@
         written = asyncio.create_task(_write(line, size))
         await asyncio.sleep(0.3)
         assert not written.done()  # what the sockets hold is not all of it
-        (mine,) = house.daemon.clients.lines("busy")
-        held = mine.unsent() + sum(
-            each._payload._size for each in house.daemon.client.pool._all if each._payload is not None
+        (mine,) = house.daemon.clients.in_state("busy")
+        held = mine.unsent_bytes() + sum(
+            each._payload._size for each in house.daemon.client.pool._connections if each._payload is not None
         )
-        assert held <= RELAY_HELD + FIRST_BYTES
+        assert held <= FORWARD_BUFFER_BYTES + FIRST_PART_BYTES
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         assert len(body_of(await all_of(client))) == size
         await written
@@ -217,6 +253,11 @@
 
 
 def test_a_client_that_leaves_a_long_answer_lets_go_of_the_nodes_connection() -> None:
+    """A client leaves in the middle of a long response.
+
+    The connection to the node is closed and its memory returned.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -226,13 +267,19 @@
             await asyncio.sleep(0.005)
         client.close()
         async with asyncio.timeout(2):
-            while len(house.daemon.client.pool) or house.daemon.client.pool._held:
+            while len(house.daemon.client.pool) or house.daemon.client.pool._buffered_bytes:
                 await asyncio.sleep(0.005)
 
     inside(play)
 
 
 def test_a_long_answer_for_a_client_that_left_meanwhile_is_let_go() -> None:
+    """A client leaves before its response begins.
+
+    The response comes all the same: nobody wants it, so its connection is closed and no memory stays
+    reserved.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house))
@@ -245,7 +292,7 @@
             line.writer.write(ANSWERS["a length"])
             await line.writer.drain()
         async with asyncio.timeout(2):
-            while len(house.daemon.client.pool) or house.daemon.client.pool._held:
+            while len(house.daemon.client.pool) or house.daemon.client.pool._buffered_bytes:
                 await asyncio.sleep(0.005)
 
     inside(play)
@@ -254,7 +301,11 @@
 def test_a_node_that_falls_silent_in_a_long_answer_holds_its_client_for_no_longer_than_it_must(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(relay, "IDLE_S", 0.1)
+    """A node sends a third of a response and then nothing, on a connection that stays open.
+
+    The client's connection ends after the idle timeout of a stream.
+    """
+    monkeypatch.setattr(body_stream, "STREAM_IDLE_TIMEOUT_S", 0.1)
 
     async def play(house: House) -> None:
         client = house.client()
@@ -270,6 +321,11 @@
 
 
 def test_a_long_request_is_kept_and_sent_again_where_a_node_fails_it() -> None:
+    """A node answers a write with an error.
+
+    The body was buffered, so a retry sends all of it again, and its memory is returned with the answer.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
@@ -281,7 +337,7 @@
         assert body == LONG and headers["Content-Length"] == str(len(LONG))
         reply(line)
         assert (await all_of(client)).endswith(b"ok")
-        assert house.daemon.bodies.used == 0
+        assert house.daemon.bodies.reserved_bytes == 0
 
     inside(play)
 
@@ -290,12 +346,12 @@
     """Whole, or as far as it had come when it was sent on: the connection keeps no copy of it."""
 
     async def play(house: House) -> None:
-        for size in (SMALL_BYTES, len(LONG)):
+        for size in (ALWAYS_BUFFERED_BYTES, len(LONG)):
             client = house.client()
             client.sendall(ask(house, f"Content-Length: {size}\r\n", "PUT") + LONG[:size])
             _, _, body, line = await house.box.asked.get()
-            (mine,) = house.daemon.clients.lines("busy")
-            assert body == LONG[:size] and mine._kept == []  # type: ignore[attr-defined]
+            (mine,) = house.daemon.clients.in_state("busy")
+            assert body == LONG[:size] and mine._buffer._parts == []  # type: ignore[attr-defined]
             reply(line)
             assert (await all_of(client, b"ok")).endswith(b"ok")
             client.close()
@@ -304,6 +360,11 @@
 
 
 def test_a_long_request_in_chunks_with_extensions_and_trailers_is_kept_whole() -> None:
+    """A client does not know the length of its body, and waits for the word to send it.
+
+    The body is buffered without the framing that the client chose.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n", "PUT"))
@@ -334,10 +395,15 @@
 @pytest.fixture
 def little(monkeypatch: pytest.MonkeyPatch) -> None:
     """No budget for bodies beyond the small ones."""
-    monkeypatch.setattr(relay.BodyBudget, "take", lambda self, size, at_any_rate=False: at_any_rate)
+    monkeypatch.setattr(body_stream.BodyBudget, "reserve", lambda self, size, may_exceed=False: may_exceed)
 
 
 def test_a_request_that_memory_has_no_room_for_passes_as_it_comes(little: None) -> None:
+    """The budget for bodies is used up.
+
+    A long body is streamed: the node has most of it before its last byte has come.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
@@ -355,6 +421,11 @@
 
 
 def test_one_that_passed_is_not_sent_again(little: None) -> None:
+    """A body was streamed, so nobody has it any more when the node answers with an error.
+
+    There is no retry; the client is told to come again.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
@@ -368,11 +439,16 @@
 
 
 def test_chunks_pass_as_chunks_where_they_are_not_kept(little: None) -> None:
+    """A body of unknown length is streamed.
+
+    Its length is not known to the node either, so it goes on in chunks.
+    """
+
     async def play(house: House) -> None:
         taker = Taker()
         server = await asyncio.start_server(taker.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        house.daemon.directory._dial["b1"] = f"127.0.0.1:{port}"
+        house.daemon.directory._addresses["b1"] = f"127.0.0.1:{port}"
         client = house.client()
         client.setblocking(False)
         request = ask(house, "Transfer-Encoding: chunked\r\n", "PUT") + chunks(LONG, 9_000)
@@ -392,6 +468,11 @@
 def test_a_client_that_leaves_a_passing_request_keeps_its_last_byte_from_the_node(
     little: None,
 ) -> None:
+    """A client leaves in the middle of a body that is streamed.
+
+    A node starts a request with its last byte: it must never get one, and the memory is returned.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(ask(house, f"Content-Length: {len(LONG)}\r\n", "PUT") + LONG[:200_000])
@@ -402,13 +483,17 @@
             while not house.box.partial or len(house.daemon.client.pool):
                 await asyncio.sleep(0.005)
         await house.settle()
-        assert house.box.asked.empty() and house.daemon.bodies.used == 0
+        assert house.box.asked.empty() and house.daemon.bodies.reserved_bytes == 0
 
     inside(play)
 
 
 def test_a_passing_request_beyond_its_bound_is_refused(little: None, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "BODY_BYTES", 200_000)
+    """A body of unknown length goes on and on while it is streamed.
+
+    At the bound the client gets one answer, and the node no last byte.
+    """
+    monkeypatch.setattr(request_body, "MAX_REQUEST_BODY_BYTES", 200_000)
 
     async def play(house: House) -> None:
         client = house.client()
@@ -424,6 +509,11 @@
 
 
 def test_nothing_passes_to_a_cold_node(little: None) -> None:
+    """The only node warms up.
+
+    A body that can be sent only once is not risked on it: the client is told to come again.
+    """
+
     async def play(house: House) -> None:
         warming = api.NodeEntry("b1", 0, started_us=house.daemon.runtime.clock.now_us())
         house.daemon.core._endpoints.update(api.EndpointUpdate("delta", (warming,)))
@@ -437,10 +527,14 @@
 
 
 def test_who_sends_slowly_is_given_time_by_what_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "READ_S", 0.3)
+    """A client sends a body slower than a request's timeout allows.
+
+    As its bytes keep coming, its time grows with them.
+    """
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.3)
 
     async def play(house: House) -> None:
-        body = LONG[:SMALL_BYTES]
+        body = LONG[:ALWAYS_BUFFERED_BYTES]
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(body)}\r\n", "PUT"))
         for at in range(0, len(body), 8_192):
@@ -455,12 +549,13 @@
 
 
 def test_bodies_count_against_one_budget() -> None:
-    budget = relay.BodyBudget(100)
-    assert budget.take(60) and not budget.take(60) and budget.take(60, at_any_rate=True)
-    budget.give_back(120)
-    assert budget.used == 0
+    """Bodies of many connections share one budget. Small ones may exceed it, and still count."""
+    budget = body_stream.BodyBudget(100)
+    assert budget.reserve(60) and not budget.reserve(60) and budget.reserve(60, may_exceed=True)
+    budget.release(120)
+    assert budget.reserved_bytes == 0
 
 
 def test_the_first_part_is_no_longer_than_it_must_be() -> None:
-    assert nodes.SOME_BYTES < FIRST_BYTES <= RELAY_HELD
-    assert RELAY_HELD <= 128 * 1024  # of each of many answers at once
+    assert node_response.FIRST_PART_MIN_BYTES < FIRST_PART_BYTES <= FORWARD_BUFFER_BYTES
+    assert FORWARD_BUFFER_BYTES <= 128 * 1024  # of each of many answers at once
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire, names_from_wire
-from harriertide.http import clients
+from harriertide.http import client_connection, connection_table
 from harriertide.library.attempt import Attempt
 from harriertide.library.broker import Broker
 from harriertide.library.errors import FailedError, NodeError
@@ -30,7 +30,8 @@
 from harriertide.library.request_spec import RequestSpec
 from harriertide.library.web import BrokerMiddleware
 from harriertide.platform.configuration import Config
-from harriertide.platform.peers import address
+from harriertide.platform.endpoint_page import parse_page
+from harriertide.platform.peers import parse_address
 from tests.scenario import Line, Stand, World
 from tests.test_net import OPERATOR, WIRE
 
@@ -66,11 +67,11 @@
         async with asyncio.timeout(5):
             return (await self.box.asked.get())[3]
 
-    async def resting(self, path: str, state: clients.State) -> socket.socket:
+    async def resting(self, path: str, state: client_connection.ConnectionState) -> socket.socket:
         """A client that was answered, its connection in this state."""
         client = self.client()
         client.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-        while not self.daemon.clients.lines(state):
+        while not self.daemon.clients.in_state(state):
             await asyncio.sleep(0)
         return client
 
@@ -112,9 +113,9 @@
         else:
             host = World({}, ports, None).host("b1", "up")
             config = Config(
-                name="n", listen=address("127.0.0.1:0"), discovery=f"127.0.0.1:{ports['s']}", seed=1,
+                name="n", listen=parse_address("127.0.0.1:0"), discovery=f"127.0.0.1:{ports['s']}", seed=1,
                 settings=from_wire(wire), names=names_from_wire(wire), peer_listen=None, peers=[],
-                known={"seq": 7, "whole": True, "hosts": [host]}, raw_settings=wire,
+                cached_list=parse_page({"seq": 7, "whole": True, "hosts": [host]}, {}), raw_settings=wire,
             )  # fmt: skip
             daemon = Daemon(replace(config, **stated), None)  # type: ignore[arg-type]
         await daemon.start()
@@ -153,7 +154,7 @@
         client = house.client()
         client.sendall(house.request())
         line = await house.asked()
-        (mine,) = house.daemon.clients.lines("busy")
+        (mine,) = house.daemon.clients.in_state("busy")
         assert isinstance(mine.transport, asyncio.Transport)
         mine.transport.pause_reading()
         client.sendall(FLOOD)
@@ -190,11 +191,17 @@
 
 
 def test_the_object_front_begins_nothing_for_a_client_that_left_unread(tmp_path: Path) -> None:
+    """A client of the object front floods its connection and leaves; its close lies behind bytes that
+    nobody reads.
+
+    The node's error is no reason for a retry: nobody waits for it.
+    """
+
     async def play(house: House) -> None:
         client = house.client()
         client.sendall(b"PUT /v/key HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab")
         line = await house.asked()
-        (mine,) = house.daemon.clients.lines("busy")
+        (mine,) = house.daemon.clients.in_state("busy")
         assert isinstance(mine.transport, asyncio.Transport)
         mine.transport.pause_reading()
         client.sendall(FLOOD)
@@ -248,6 +255,8 @@
 
 
 def test_a_call_of_the_library_for_one_who_left_ends_at_once() -> None:
+    """The application says that its caller has gone. The call ends without another attempt."""
+
     async def main() -> None:
         gone: list[bool] = []
 
@@ -292,7 +301,7 @@
         client = await house.resting("/health/ready", "idle")
         client.setblocking(False)
         assert client.recv(65536).endswith(b"ready\n")
-        assert house.daemon.clients._make_room(False)
+        assert house.daemon.clients._evict_one(False)
         assert client.recv(65536) == b""  # no turn of the loop has passed; without its end this would block
         client.sendall(house.request())
         await house.settle()
@@ -317,16 +326,21 @@
 
 
 def test_a_flood_behind_the_last_answer_is_read_no_further_than_its_bound() -> None:
+    """A client goes on sending behind its last answer.
+
+    What comes is thrown away up to a bound, and then left unread, as it would cost other clients their time.
+    """
+
     async def play(house: House) -> None:
         client = await house.resting("/nowhere", "lingering")
-        (mine,) = house.daemon.clients.lines("lingering")
+        (mine,) = house.daemon.clients.in_state("lingering")
         client.setblocking(False)
         loop = asyncio.get_running_loop()
         with suppress(ConnectionError):
             async with asyncio.timeout(2):
                 for _ in range(1000):
                     await loop.sock_sendall(client, FLOOD)
-        assert clients.LINGER_BYTES < mine.discarded <= clients.LINGER_BYTES + 262_144
+        assert client_connection.LINGER_BYTES < mine.discarded <= client_connection.LINGER_BYTES + 262_144
         assert len(house.daemon.clients) == 0
         client.close()
 
@@ -334,6 +348,11 @@
 
 
 def test_a_connection_whose_client_never_ends_its_side_goes_all_the_same() -> None:
+    """A client neither reads the end of its connection nor ends its side.
+
+    The connection is closed after the linger timeout.
+    """
+
     async def play(house: House) -> None:
         client = await house.resting("/health/ready", "idle")
         loop = asyncio.get_running_loop()
@@ -341,7 +360,10 @@
         house.daemon.clients.close_idle()
         while len(house.daemon.clients):
             await asyncio.sleep(0.01)
-        assert loop.time() - begun < clients.LINGER_S + 2 * clients.SWEEP_S + 0.2
+        assert (
+            loop.time() - begun
+            < connection_table.LINGER_TIMEOUT_S + 2 * connection_table.SWEEP_INTERVAL_S + 0.2
+        )
         client.close()
 
     inside(play)
@@ -357,7 +379,7 @@
         daemon, client = house.daemon, house.client()
         whole = house.request("PUT", b"body")
         client.sendall(whole[:-2])
-        while not daemon.clients.lines("reading"):
+        while not daemon.clients.in_state("reading"):
             await asyncio.sleep(0)
         post = daemon.runtime.post
 
@@ -437,14 +459,14 @@
 
     async def play(house: House) -> None:
         pool = house.daemon.client.pool
-        up = pool.open
+        up = pool.connect
 
         async def slow(where: str):  # type: ignore[no-untyped-def]
             line = await up(where)
             await asyncio.sleep(late.pop(0))
             return line
 
-        pool.open = slow  # type: ignore[method-assign]
+        pool.connect = slow  # type: ignore[method-assign]
         client = house.client()
         client.sendall(house.request())
         line = await house.asked()
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from harriertide.platform.discovery import TOLD_S
+from harriertide.platform.endpoint_watch import NOTIFICATION_DEADLINE_S
 from tests.test_net import WIRE
 
 ROOT = Path(__file__).parent.parent
@@ -126,11 +126,11 @@
         try:
             assert ready(port).startswith(b"HTTP/1.1 200")
             discovery.listen()
-            discovery.settimeout(TOLD_S)
+            discovery.settimeout(NOTIFICATION_DEADLINE_S)
             begun = time.monotonic()
             call, _ = discovery.accept()
             assert call.recv(65536).startswith(b"GET /registry/instances?watch=1")
-            assert time.monotonic() - begun < TOLD_S
+            assert time.monotonic() - begun < NOTIFICATION_DEADLINE_S
             call.close()
             assert ready(port).startswith(b"HTTP/1.1 200")
         finally:
@@ -151,8 +151,9 @@
 def test_signals_beside_each_other_end_in_an_orderly_stop(
     signals: tuple[signal.Signals, ...], tmp_path: Path
 ) -> None:
-    """A second SIGTERM, or a SIGHUP, comes while the process stops or starts: neither may cut the
-    shutdown short.
+    """The platform sends signals in any order, and twice.
+
+    The broker stops once, in order, and prints its counters.
     """
     broker = Process(tmp_path, "127.0.0.1:1")
     broker.port()
@@ -161,7 +162,7 @@
 
 
 def test_sigterm_before_it_serves_ends_it_at_once_without_a_trace(tmp_path: Path) -> None:
-    """The platform changes its mind within the first moment: the process ends, and logs no traceback."""
+    """The platform stops a broker that it has only just started. It ends without a traceback."""
     broker = Process(tmp_path, "127.0.0.1:1")
     assert broker.end() in (0, -signal.SIGTERM)
     assert "Traceback" not in broker.said
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self.ready_count = 0
         self.readiness = Readiness(self.on_ready)
-        self.watch: Any = SimpleNamespace(heard=lambda: None)
+        self.watch: Any = SimpleNamespace(on_list=lambda: None)
 
     def on_ready(self) -> None:
         self.ready_count += 1
@@ -38,13 +38,13 @@
     async def main() -> None:
         start = Start()
         start.readiness.await_endpoint_list(start.watch)
-        steps = [start.readiness.listeners_opened, start.watch.heard]
+        steps = [start.readiness.listeners_opened, start.watch.on_list]
         first, second = reversed(steps) if list_first else steps
         first()
         assert not start.ready_count
         second()
         assert start.ready_count == 1
-        start.watch.heard()  # further lists are no concern of the start
+        start.watch.on_list()  # further lists are no concern of the start
         assert start.ready_count == 1
 
     asyncio.run(main())
