--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -24,22 +24,26 @@
 from harriertide.control.member import Broker, CallError, Events, Outside
 from harriertide.decide import api
 from harriertide.engine.log import log
-from harriertide.maintenance import orders, view
-from harriertide.maintenance.orders import Machine, Order, OrderError
-from harriertide.maintenance.planner import Facts, Planner, Rules, forecast
-from harriertide.maintenance.state import (
-    Cancel,
+from harriertide.maintenance import orders, send_gate
+from harriertide.maintenance.capacity import available_units
+from harriertide.maintenance.commands import (
+    CancelOrder,
+    ChangePhase,
     Command,
-    Declare,
-    Gone,
-    Hold,
-    Move,
-    Request,
-    Step,
-    Upkeep,
-    encode,
-    read_answer,
+    DeclareMachines,
+    MarkBrokerGone,
+    PausePermits,
+    SubmitOrder,
+    command_name,
+    decode_result,
+    encode_command,
 )
+from harriertide.maintenance.facts import LeaderFacts, PlannerSettings
+from harriertide.maintenance.forecast import forecast_order
+from harriertide.maintenance.orders import Machine, Order, OrderError
+from harriertide.maintenance.planner import Planner
+from harriertide.maintenance.state import Step, encode_state
+from harriertide.maintenance.state_machine import MaintenanceStateMachine
 from harriertide.platform.peers import address
 
 LOOK_US = 200_000
@@ -94,12 +98,12 @@
     ) -> None:
         self.settings, self.core, self._boxes = settings, core, boxes
         self._unix_us, self._leave, self._ready, self._wall_s = unix_us, leave, ready, wall_s
-        self.upkeep = Upkeep()
+        self.upkeep = MaintenanceStateMachine()
         longest_us = max(kind.deadline_us for kind in core.settings.classes)
-        self.rules = Rules(
+        self.rules = PlannerSettings(
             1000 * settings.lease_ms, longest_us, 1_000_000 * settings.blind_s, float(settings.cold_s)
         )
-        self.planner, self.facts = Planner(self.upkeep, self.rules), Facts()
+        self.planner, self.facts = Planner(self.upkeep, self.rules), LeaderFacts()
         addresses = {name: address(row["address"]) for name, row in settings.brokers.items()}
         voters = tuple(name for name, row in settings.brokers.items() if row["voter"] == "yes")
         self.events = Events(settings.events, time.monotonic)
@@ -150,7 +154,7 @@
             led = self.broker.led
             if led != self._led:
                 self._led = led
-                self.facts = Facts(led_us=now)
+                self.facts = LeaderFacts(leading_since_us=now)
                 self._proposed.clear()
             if self._led and now >= self._look_us:
                 self._look_us = now + LOOK_US
@@ -167,7 +171,9 @@
         return self._shut is None or node in self._shut
 
     def _may(self, now: int) -> frozenset[str] | None:
-        return view.shut(self.upkeep, now, self.broker.fan.lease_end_us, self.rules.blind_us)
+        return send_gate.closed_machines(
+            self.upkeep.state, now, self.broker.fan.lease_end_us, self.rules.isolation_limit_us
+        )
 
     def _changed(self) -> None:
         """Something was agreed on."""
@@ -187,7 +193,10 @@
 
     def _look_at(self, now: int) -> None:
         lease = self.broker.fan.lease_end_us
-        self._lease_us, self._until_us = lease, view.changes_us(now, lease, self.rules.blind_us)
+        self._lease_us, self._until_us = (
+            lease,
+            send_gate.next_change_us(now, lease, self.rules.isolation_limit_us),
+        )
         shut = self._may(now)
         returned = self._returned()
         if shut == self._shut and not returned:
@@ -201,7 +210,7 @@
         """Boxes on their way back are cold from when it was agreed on."""
         found = {
             step.machine: self._started_us.get(step.machine) or self._unix_us()
-            for step in self.upkeep.under_way()
+            for step in self.upkeep.state.active_steps()
             if step.phase == "returning"
         }
         changed = found != self._started_us
@@ -210,11 +219,11 @@
 
     def _own_step(self) -> None:
         """This broker itself goes, or comes back."""
-        step = self.upkeep.step_of(self.settings.name)
+        step = self.upkeep.state.find_active_step(self.settings.name)
         leaving = step is not None and step.phase in ("draining", "out")
         if leaving and not self._leaving:
             self.events.say("leaving", phase=step.phase if step else "")
-        if step is not None and step.phase == "out" and step.life == self.broker.life:
+        if step is not None and step.phase == "out" and step.incarnation == self.broker.life:
             self._leave()
         if leaving != self._leaving:
             self._leaving = leaving
@@ -240,7 +249,7 @@
         clear: dict[int, bytes] = {}
         mine = bits({place})
         shut = self._may(now)
-        for step in self.upkeep.under_way():
+        for step in self.upkeep.state.active_steps():
             known[step.fence] = mine
             done = shut is None or step.machine in shut
             if step.machine == broker.name:
@@ -248,7 +257,7 @@
             if step.phase in ("draining", "out") and done and self.core.out_at(step.machine) == 0:
                 clear[step.fence] = mine
         load, lives = self._load(now), {}
-        if now - self._began_us < YOUNG_US or self.upkeep.step_of(broker.name) is not None:
+        if now - self._began_us < YOUNG_US or self.upkeep.state.find_active_step(broker.name) is not None:
             lives = {broker.name: broker.life}
         failed = {}
         for name, number in self.core.lifeless.items():
@@ -266,26 +275,24 @@
         found: Sums = broker.fan.sums(now, self._own(broker))
         facts = self.facts
         for place in asked.alive:
-            facts.granted_us[place] = now
-        facts.alive, facts.load = found.alive, found.load
-        facts.units, facts.failed = found.units, found.failed
-        facts.lives.update(found.lives)
-        fences = {step.fence for step in self.upkeep.under_way()}
-        for mine, theirs in ((facts.known, found.known), (facts.clear, found.clear)):
+            facts.last_grant_us[place] = now
+        facts.alive_brokers, facts.load_units = found.alive, found.load
+        facts.learned_units, facts.unreachable_counts = found.units, found.failed
+        facts.incarnations.update(found.lives)
+        fences = {step.fence for step in self.upkeep.state.active_steps()}
+        for mine, theirs in ((facts.informed_brokers, found.known), (facts.drained_brokers, found.clear)):
             for fence, who in theirs.items():
                 mine.setdefault(fence, set()).update(who)
-            for fence in [f for f in mine if f not in fences]:
-                del mine[fence]
+        facts.forget_fences(fences)
         self._look_us = 0  # what the next step waits for may have come
-        facts.since_us = {name: at for name, at in facts.since_us.items() if name[0] in fences}
         state, due = self._boxes.state, 0.0
         for volume in state["volumes"].values():
             due += state["grades"][volume["grade"]]["reserve"]
-        facts.reserve = due
+        facts.reserved_units = due
 
     # --- planning, as leader --------------------------------------------------------------------------
 
-    def _declared(self) -> Declare:
+    def _declared(self) -> DeclareMachines:
         state, settings = self._boxes.state, self.settings
         found = []
         for name in state["boxes"]:
@@ -293,7 +300,7 @@
         for name, row in settings.brokers.items():
             labels = {key: row[key] for key in ("zone", "rack", "release", "group")}
             found.append(Machine(name, "broker", **labels, voter=row["voter"] == "yes"))
-        return Declare(tuple(found), tuple(settings.brokers), self._wall_s())
+        return DeclareMachines(tuple(found), tuple(settings.brokers), self._wall_s())
 
     def _plan(self, now: int) -> None:
         replica = self.broker.replica
@@ -304,7 +311,7 @@
         if state.machines != {m.name: m for m in declared.machines} or state.brokers != declared.brokers:
             self._propose(now, declared)
             return
-        for command in self.planner.look(self.facts, now, self._wall_s()):
+        for command in self.planner.propose(self.facts, now, self._wall_s()):
             self._propose(now, command)
         self.broker.waits = self._waits(now)
 
@@ -317,12 +324,12 @@
                 if step.phase == "waiting" and waiting:
                     continue
                 waiting = waiting or step.phase == "waiting"
-                if said := self.planner.waits(step, self.facts, now, self._wall_s()):
+                if said := self.planner.describe_waits(step, self.facts, now, self._wall_s()):
                     found[f"{name}/{step.machine}"] = said
         return found
 
     def _propose(self, now: int, command: Command) -> None:
-        name = encode(msgspec.structs.replace(command, at_s=0.0))
+        name = encode_command(msgspec.structs.replace(command, at_s=0.0))
         self._proposed = {n: until for n, until in self._proposed.items() if until > now}
         if name in self._proposed:
             return
@@ -330,8 +337,8 @@
 
         async def call() -> None:
             try:
-                answer = read_answer(await self.broker.call(encode(command), CALL_S))
-                self.events.say("planned", what=type(command).__name__, refused=answer.refused)
+                answer = decode_result(await self.broker.call(encode_command(command), CALL_S))
+                self.events.say("planned", what=command_name(command), refused=answer.refusal)
             except CallError:
                 self.counts["unsettled"] += 1
             self._proposed.pop(name, None)
@@ -370,25 +377,25 @@
                 return web.json_response(
                     {"reason": "the state has moved since the plan was made"}, status=409
                 )
-            order = orders.read_order(_parsed(asked), await self._machines(), now_s)
-            command: Command = Request(order, now_s)
+            order = orders.parse_order(_parsed(asked), await self._machines(), now_s)
+            command: Command = SubmitOrder(order, now_s)
         elif what == "done":
-            step = self.upkeep.step_of(str(asked["machine"]))
+            step = self.upkeep.state.find_active_step(str(asked["machine"]))
             if step is None or step.phase != "out":
                 return web.json_response({"reason": f"{asked['machine']} is not out"}, status=409)
-            command = Move(step.machine, step.fence, "returning", now_s, "done")
+            command = ChangePhase(step.machine, step.fence, "returning", now_s, "done")
         elif what == "cancel":
-            command = Cancel(str(asked["order"]), now_s)
+            command = CancelOrder(str(asked["order"]), now_s)
         elif what in ("hold", "resume"):
-            command = Hold(what == "hold", now_s)
+            command = PausePermits(what == "hold", now_s)
         elif what == "gone":
-            command = Gone(str(asked["broker"]), True, now_s)
+            command = MarkBrokerGone(str(asked["broker"]), True, now_s)
         else:
             return web.json_response({"reason": "no such route"}, status=404)
-        answer = read_answer(await self.broker.call(encode(command), CALL_S))
-        self.events.say("told", what=what, refused=answer.refused)
-        if answer.refused:
-            return web.json_response({"reason": answer.refused}, status=409)
+        answer = decode_result(await self.broker.call(encode_command(command), CALL_S))
+        self.events.say("told", what=what, refused=answer.refusal)
+        if answer.refusal:
+            return web.json_response({"reason": answer.refusal}, status=409)
         return web.json_response({"agreed": True, "index": self.broker.course.applied})
 
     async def _machines(self) -> dict[str, Machine]:
@@ -399,30 +406,40 @@
 
     def _mark(self) -> str:
         """Of the agreed state, less its clock: a plan holds for this one only."""
-        state = msgspec.structs.replace(self.upkeep.state, now_s=0.0, pattern={})
-        return xxhash.xxh3_64_hexdigest(msgspec.msgpack.Encoder(order="deterministic").encode(state))
+        state = msgspec.structs.replace(self.upkeep.state, command_time_s=0.0, peak_load_by_hour={})
+        return xxhash.xxh3_64_hexdigest(encode_state(state))
 
     async def forecast(self, raw: dict[str, Any]) -> dict[str, Any]:
         """The order that would come out, how long it takes, and what it costs each grade."""
         now_s = self._wall_s()
-        order: Order = orders.read_order(raw, await self._machines(), now_s)
-        found = forecast(self.upkeep, order, self.rules, self._copy(), now_s)
-        least = min((left for _, _, left in found if left >= 0), default=1.0)
-        going = [name for _, name, _ in found]
+        order: Order = orders.parse_order(raw, await self._machines(), now_s)
+        found = forecast_order(self.upkeep, order, self.rules, self._copy(), now_s)
+        least = min((permit.capacity_ratio for permit in found if permit.capacity_ratio >= 0), default=1.0)
+        going = [permit.machine for permit in found]
         return {
             "from": self._mark(),
             "steps": [
-                {"after_s": round(at, 1), "machine": name, "left": round(left, 3)} for at, name, left in found
+                {
+                    "after_s": round(permit.after_s, 1),
+                    "machine": permit.machine,
+                    "left": round(permit.capacity_ratio, 3),
+                }
+                for permit in found
             ],
             "never": [name for name in order.machines if name not in going],
-            "takes_s": round(max((at for at, _, _ in found), default=0.0) + order.takes_s, 1),
-            "least_s": round(orders.least_s(order, self.upkeep.state.machines), 1),
+            "takes_s": round(max((permit.after_s for permit in found), default=0.0) + order.takes_s, 1),
+            "least_s": round(orders.minimum_duration_s(order, self.upkeep.state.machines), 1),
             "grades": self._cost(least),
         }
 
-    def _copy(self) -> Facts:
+    def _copy(self) -> LeaderFacts:
         facts = self.facts
-        return Facts(units=dict(facts.units), load=facts.load, reserve=facts.reserve, alive=set(facts.alive))
+        return LeaderFacts(
+            learned_units=dict(facts.learned_units),
+            load_units=facts.load_units,
+            reserved_units=facts.reserved_units,
+            alive_brokers=set(facts.alive_brokers),
+        )
 
     def _cost(self, left: float) -> dict[str, float]:
         """The part of each grade's reserves that could not be served while least is left: the least worth
@@ -431,7 +448,8 @@
         due = {grade: 0.0 for grade in state["grades"]}
         for volume in state["volumes"].values():
             due[volume["grade"]] += state["grades"][volume["grade"]]["reserve"]
-        room = left * self.planner.capacity(self.facts, self.broker.now_us()) or sum(due.values())
+        context = self.planner.context(self.facts, self.broker.now_us(), self._wall_s())
+        room = left * available_units(context) or sum(due.values())
         cost = {}
         for grade in sorted(due, key=lambda g: -state["grades"][g]["worth"]):
             served = min(room, due[grade])
@@ -458,13 +476,14 @@
                 }  # fmt: skip
                 row["waits"] = broker.waits.get(f"{name}/{step.machine}", [])
                 steps.append(row)
-            over = not self.upkeep.open(name)
+            over = not state.is_open(name)
             rows.append({"order": name, "over": over, "cancelled": name in state.cancelled, "steps": steps})
         members = broker.replica.node.members if broker.replica is not None else None
         return {
-            "name": broker.name, "knows": knows, "leader": broker.leader, "held": state.held,
+            "name": broker.name, "knows": knows, "leader": broker.leader, "held": state.permits_paused,
             "leased": now < broker.fan.lease_end_us, "applied": broker.course.applied,
-            "halted": broker.halted, "failed": sorted(state.failed), "gone": sorted(state.gone),
+            "halted": broker.halted, "failed": sorted(state.failed_since_s),
+            "gone": sorted(state.gone_brokers),
             "voters": sorted(m.name for m in members.voters) if members else list(broker.voters),
             "orders": rows,
         }  # fmt: skip
--- a/harriertide/lab/fleet.py
+++ b/harriertide/lab/fleet.py
@@ -27,8 +27,8 @@
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
+from harriertide.maintenance.commands import SubmitOrder, decode_result, encode_command
 from harriertide.maintenance.orders import Order
-from harriertide.maintenance.state import Request, encode, read_answer
 
 LONGEST_S = 0.3  # of an attempt
 
@@ -332,9 +332,9 @@
             made = self.services.get(by or self.random.choice(self.names))
             if made is not None:
                 try:
-                    command = Request(order, self._wall(made.settings.name))
-                    answer = read_answer(await made.broker.call(encode(command), 2.0))
-                    if not answer.refused:
+                    command = SubmitOrder(order, self._wall(made.settings.name))
+                    answer = decode_result(await made.broker.call(encode_command(command), 2.0))
+                    if not answer.refusal:
                         self.agreed[order.id] = order
                         return True
                 except CallError:
@@ -348,10 +348,10 @@
         while loop.time() < end:
             made = self.services.get(self.random.choice(self.names))
             if made is not None and made.broker.fan.lease_end_us > made.broker.now_us():
-                upkeep = made.upkeep
-                if self.agreed and all(n in upkeep.state.orders and not upkeep.open(n) for n in self.agreed):
+                state = made.upkeep.state
+                if self.agreed and all(n in state.orders and not state.is_open(n) for n in self.agreed):
                     return True
-                for step in upkeep.under_way():
+                for step in state.active_steps():
                     if step.phase == "out" and step.machine.startswith("x"):
                         await self._done(made, step.machine)
             await until(loop.time() + 0.2)
--- a/harriertide/maintenance/orders.py
+++ b/harriertide/maintenance/orders.py
@@ -1,4 +1,7 @@
-"""An operator's order: which machines, what work, how long, until when, what first, how many at once."""
+"""An operator's order: which machines, what work, for how long, until when, after what, how many at once.
+
+The fields of an order are named like the keys of the order file, which refusals name too.
+"""
 
 from __future__ import annotations
 
@@ -8,21 +11,32 @@
 
 from harriertide.decide.settings import SettingsError
 
+MachineKind = Literal["box", "broker"]  # a box is a storage node: the word is stored, and sent
 Work = Literal["restart", "keep", "replace"]
-LABELS = ("zone", "rack", "release")
+LABEL_KEYS = ("zone", "rack", "release")
 HOUR_S = 3600.0
+MIN_WORK_S = 0.1  # shorter than a look of the planner nothing is gained
+MAX_WORK_S = 7 * 24 * HOUR_S  # what takes longer is no maintenance: the machine leaves the file
+MAX_UNIX_S = 1e11  # far beyond any date, and a number that is no date is refused
+MAX_AT_ONCE_COUNT = 1000
+MAX_SPARE_COUNT = 3  # of seven voters, the most there are, four are a majority
+MAX_NAME_LENGTH = 64
 
 
 class OrderError(SettingsError):
-    """What can't be used of an order, in one plain line that names the key."""
+    """An order can't be used. The text is one plain line that names the key."""
 
 
 class Machine(Struct, frozen=True):
-    """A box or a broker that orders may name. group: of one group never two are out. units: what it does a
-    second, where the operator states it; 0: as learned."""
+    """A storage node or a broker that orders may name.
+
+    group: two machines of one group are never out of service together. units: how many units a second a node
+    serves, as the operator states it; 0 where the rate that brokers learned counts. voter: of a broker,
+    whether it has a vote.
+    """
 
     name: str
-    kind: Literal["box", "broker"]
+    kind: MachineKind
     zone: str = ""
     rack: str = ""
     release: str = ""
@@ -30,14 +44,21 @@
     units: float = 0.0
     voter: bool = False
 
-    def label(self, key: str) -> str:
-        """The value of one of LABELS."""
+    def get_label(self, key: str) -> str:
+        """Return the value of a label.
+
+        :param key: one of LABEL_KEYS
+        """
         return {"zone": self.zone, "rack": self.rack, "release": self.release}[key]
 
 
 class Order(Struct, frozen=True):
-    """Checked, with its machines by name. takes_s: one machine's work; until_s: Unix seconds, 0 for no
-    end."""
+    """A checked order, with its machines by name.
+
+    takes_s: how long one machine's work takes. until_s: Unix seconds by which all work has ended; 0 for no
+    end. after: orders that must be over first. at_once: how many machines may be out of service together.
+    spare: how many voters beyond a majority must stay. first: machines that are near failing, and go first.
+    """
 
     id: str
     machines: tuple[str, ...]
@@ -47,13 +68,78 @@
     after: tuple[str, ...] = ()
     at_once: int = 1
     spare: int = 1
-    first: tuple[str, ...] = ()  # machines near failing
+    first: tuple[str, ...] = ()
+
 
+_ORDER_KEYS = frozenset(Order.__struct_fields__) - {"id"} | {"order", *LABEL_KEYS}
 
-_KEYS = frozenset(Order.__struct_fields__) - {"id"} | {"order", *LABELS}
 
+def parse_order(raw: dict[str, Any], machines: dict[str, Machine], now_s: float) -> Order:
+    """Check an order file against the machines that there are.
 
-def _number(raw: dict[str, Any], key: str, least: float, most: float, default: float | None) -> float:
+    :param raw: the file as parsed
+    :param machines: the agreed inventory, by name
+    :param now_s: the time now, in Unix seconds
+    :raises OrderError: it can't be used; the text names the key
+    """
+    for key in raw:
+        if key not in _ORDER_KEYS:
+            raise OrderError(f"{key}: unknown key")
+    order_id = _parse_order_id(raw)
+    named = _parse_machines(raw, machines)
+    work: Any = raw.get("work")
+    if work not in get_args(Work):
+        raise OrderError(f"work: must be one of {', '.join(get_args(Work))}")
+    first = _parse_names(raw, "first")
+    for machine in first:
+        if machine not in named:
+            raise OrderError(f"first: {machine} is not one of the order's machines")
+    order = Order(
+        id=order_id,
+        machines=named,
+        work=work,
+        takes_s=_parse_number(raw, "takes_s", MIN_WORK_S, MAX_WORK_S, None),
+        until_s=_parse_number(raw, "until_s", 0, MAX_UNIX_S, 0.0),
+        after=_parse_names(raw, "after"),
+        at_once=int(_parse_number(raw, "at_once", 1, MAX_AT_ONCE_COUNT, 1)),
+        spare=int(_parse_number(raw, "spare", 0, MAX_SPARE_COUNT, 1)),
+        first=first,
+    )
+    shortest_s = minimum_duration_s(order, machines)
+    if order.until_s and order.until_s < now_s + shortest_s:
+        raise OrderError(f"until_s: the work needs {shortest_s:.0f} s at the least")
+    return order
+
+
+def _parse_order_id(raw: dict[str, Any]) -> str:
+    order_id = raw.get("order")
+    if not isinstance(order_id, str) or not 0 < len(order_id) <= MAX_NAME_LENGTH:
+        raise OrderError("order: must be a name of letters, digits and dashes")
+    if not order_id.replace("-", "").isalnum():
+        raise OrderError("order: must be a name of letters, digits and dashes")
+    return order_id
+
+
+def _parse_machines(raw: dict[str, Any], machines: dict[str, Machine]) -> tuple[str, ...]:
+    """The machines that are named, then those that a label names, by name."""
+    named = list(_parse_names(raw, "machines"))
+    for label in LABEL_KEYS:
+        if label in raw:
+            labelled = [
+                machine.name for machine in machines.values() if machine.get_label(label) == raw[label]
+            ]
+            if not labelled:
+                raise OrderError(f"{label}: no machine has {raw[label]}")
+            named += [name for name in sorted(labelled) if name not in named]
+    if not named:
+        raise OrderError("machines: names none, and no label does")
+    for name in named:
+        if name not in machines:
+            raise OrderError(f"machines: there is no {name}")
+    return tuple(named)
+
+
+def _parse_number(raw: dict[str, Any], key: str, least: float, most: float, default: float | None) -> float:
     if key not in raw and default is not None:
         return default
     if key not in raw:
@@ -64,71 +150,38 @@
     return float(value)
 
 
-def _names(raw: dict[str, Any], key: str) -> tuple[str, ...]:
+def _parse_names(raw: dict[str, Any], key: str) -> tuple[str, ...]:
     value = raw.get(key, [])
     if not isinstance(value, list) or not all(isinstance(name, str) for name in value):
         raise OrderError(f"{key}: must be a list of names")
     if len(set(value)) != len(value):
-        raise OrderError(f"{key}: names {next(n for n in value if value.count(n) > 1)} twice")
+        raise OrderError(f"{key}: names {next(name for name in value if value.count(name) > 1)} twice")
     return tuple(value)
 
 
-def read_order(raw: dict[str, Any], machines: dict[str, Machine], now_s: float) -> Order:
-    """An order file as parsed, against the machines that there are; OrderError names what is off."""
-    for key in raw:
-        if key not in _KEYS:
-            raise OrderError(f"{key}: unknown key")
-    name = raw.get("order")
-    if not isinstance(name, str) or not name or len(name) > 64 or not name.replace("-", "").isalnum():
-        raise OrderError("order: must be a name of letters, digits and dashes")
-    named = list(_names(raw, "machines"))
-    for label in LABELS:
-        if label in raw:
-            found = [m.name for m in machines.values() if m.label(label) == raw[label]]
-            if not found:
-                raise OrderError(f"{label}: no machine has {raw[label]}")
-            named += [m for m in sorted(found) if m not in named]
-    if not named:
-        raise OrderError("machines: names none, and no label does")
-    for machine in named:
-        if machine not in machines:
-            raise OrderError(f"machines: there is no {machine}")
-    work: Any = raw.get("work")
-    if work not in get_args(Work):
-        raise OrderError(f"work: must be one of {', '.join(get_args(Work))}")
-    first = _names(raw, "first")
-    for machine in first:
-        if machine not in named:
-            raise OrderError(f"first: {machine} is not one of the order's machines")
-    takes_s = _number(raw, "takes_s", 0.1, 7 * 24 * HOUR_S, None)
-    until_s = _number(raw, "until_s", 0, 1e11, 0.0)
-    order = Order(
-        name, tuple(named), work, takes_s, until_s, _names(raw, "after"),
-        int(_number(raw, "at_once", 1, 1000, 1)), int(_number(raw, "spare", 0, 3, 1)), first,
-    )  # fmt: skip
-    if until_s and until_s < now_s + least_s(order, machines):
-        raise OrderError(f"until_s: the work needs {least_s(order, machines):.0f} s at the least")
-    return order
-
-
-def least_s(order: Order, machines: dict[str, Machine]) -> float:
-    """The least time that an order can take: its machines in as many turns as at_once and groups allow."""
-    groups: dict[str, int] = {}
+def minimum_duration_s(order: Order, machines: dict[str, Machine]) -> float:
+    """Return the shortest time that an order can take: as many turns as at_once and groups make of it."""
+    group_sizes: dict[str, int] = {}
     for name in order.machines:
         group = machines[name].group
         if group:
-            groups[group] = groups.get(group, 0) + 1
-    turns = max([-(-len(order.machines) // order.at_once), *groups.values()])
-    return turns * order.takes_s
+            group_sizes[group] = group_sizes.get(group, 0) + 1
+    turns_at_once = -(-len(order.machines) // order.at_once)
+    return max([turns_at_once, *group_sizes.values()]) * order.takes_s
+
 
+def find_cycle(order: Order, others: dict[str, Order]) -> list[str]:
+    """Return a cycle of `after` that this order would close, or an empty list.
 
-def cycle(order: Order, others: dict[str, Order]) -> list[str]:
-    """A ring of `after` that this order closes, or nothing."""
-    todo = [(name, [order.id, name]) for name in order.after]
-    while todo:
-        name, way = todo.pop()
+    :param others: the orders that there are, by id
+    """
+    paths = [(name, [order.id, name]) for name in order.after]
+    while paths:
+        name, path = paths.pop()
         if name == order.id:
-            return way
+            return path
         if name in others:
-            todo += [(further, [*way, further]) for further in others[name].after if further not in way[1:]]
+            paths += [
+                (further, [*path, further]) for further in others[name].after if further not in path[1:]
+            ]
     return []
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -20,44 +20,47 @@
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
 from harriertide.lab.fleet import Fleet, Verdict, play
-from harriertide.maintenance import planner as planners
-from harriertide.maintenance import view
-from harriertide.maintenance.orders import Machine, Order, OrderError, read_order
-from harriertide.maintenance.planner import Facts, Planner, Rules, forecast
-from harriertide.maintenance.state import (
-    SHUT,
-    Cancel,
+from harriertide.maintenance import confirmations, send_gate
+from harriertide.maintenance.capacity import available_units
+from harriertide.maintenance.commands import (
+    CancelOrder,
+    ChangePhase,
     Command,
-    Declare,
-    Failed,
-    Gone,
-    Hold,
-    Move,
-    Pattern,
-    Permit,
-    Phase,
-    Request,
-    Upkeep,
-    encode,
-    read_answer,
+    DeclareMachines,
+    GrantPermit,
+    MarkBrokerGone,
+    PausePermits,
+    RecordPeakLoad,
+    ReportFailure,
+    SubmitOrder,
+    decode_result,
+    encode_command,
 )
+from harriertide.maintenance.facts import LeaderFacts, PlannerSettings
+from harriertide.maintenance.forecast import forecast_order
+from harriertide.maintenance.orders import Machine, Order, OrderError, find_cycle, parse_order
+from harriertide.maintenance.permits import explain_refusal
+from harriertide.maintenance.phases import CLOSED_PHASES, Phase
+from harriertide.maintenance.planner import Planner
+from harriertide.maintenance.state import MaintenanceState
+from harriertide.maintenance.state_machine import MaintenanceStateMachine
 
 BOXES = [Machine(f"x{n}", "box", zone=f"z{n % 2}", group=f"g{n % 3}", units=10.0) for n in range(1, 7)]
 BROKERS = [Machine(f"b{n}", "broker", voter=True) for n in range(1, 6)]
 ALL = {machine.name: machine for machine in (*BOXES, *BROKERS)}
 
 
-def declared(*more: Command) -> Upkeep:
-    upkeep = Upkeep()
-    tell(upkeep, Declare(tuple(ALL.values()), tuple(b.name for b in BROKERS), 1.0), *more)
-    return upkeep
+def declared(*more: Command) -> MaintenanceStateMachine:
+    agreed = MaintenanceStateMachine()
+    submit(agreed, DeclareMachines(tuple(ALL.values()), tuple(b.name for b in BROKERS), 1.0), *more)
+    return agreed
 
 
-def tell(upkeep: Upkeep, *commands: Command) -> str:
+def submit(agreed: MaintenanceStateMachine, *commands: Command) -> str:
     """The last refusal, "" for none."""
     refused = ""
     for command in commands:
-        refused = read_answer(upkeep.apply(0, encode(command))).refused
+        refused = decode_result(agreed.apply(0, encode_command(command))).refusal
     return refused
 
 
@@ -85,106 +88,108 @@
 )  # fmt: skip
 def test_what_cannot_be_used_of_an_order_names_the_key(changed: dict[str, Any], said: str) -> None:
     with pytest.raises(OrderError, match=said) as fault:
-        read_order({**GOOD, **changed}, ALL, 1000.0)
+        parse_order({**GOOD, **changed}, ALL, 1000.0)
     assert "\n" not in str(fault.value)
 
 
 def test_a_label_names_its_machines() -> None:
-    found = read_order({"order": "z", "zone": "z1", "work": "replace", "takes_s": 1}, ALL, 0.0)
+    found = parse_order({"order": "z", "zone": "z1", "work": "replace", "takes_s": 1}, ALL, 0.0)
     assert found.machines == ("x1", "x3", "x5")
 
 
 def test_orders_that_can_never_be_done_are_refused_and_change_nothing() -> None:
-    upkeep = declared(Request(order("a"), 2.0))
-    before = upkeep.dump()
+    agreed = declared(SubmitOrder(order("a"), 2.0))
+    before = agreed.dump()
     refused = [
-        tell(upkeep, Request(order("b", ("nobody",)), 2.0)),
-        tell(upkeep, Request(order("b", after=("c",)), 2.0)),
-        tell(upkeep, Request(order("a", ("x4",)), 2.0)),
-        tell(upkeep, Request(order("b", ("b1",), spare=2), 2.0)),
-        tell(upkeep, Request(order("b", until_s=20.0), 2.0)),
-        tell(upkeep, Cancel("z", 2.0)),
-        tell(upkeep, Permit("x9", "a", 2.0)),
-        tell(upkeep, Gone("x1", True, 2.0)),
-        tell(upkeep, Failed("y", True, 2.0)),
+        submit(agreed, SubmitOrder(order("b", ("nobody",)), 2.0)),
+        submit(agreed, SubmitOrder(order("b", after=("c",)), 2.0)),
+        submit(agreed, SubmitOrder(order("a", ("x4",)), 2.0)),
+        submit(agreed, SubmitOrder(order("b", ("b1",), spare=2), 2.0)),
+        submit(agreed, SubmitOrder(order("b", until_s=20.0), 2.0)),
+        submit(agreed, CancelOrder("z", 2.0)),
+        submit(agreed, GrantPermit("x9", "a", 2.0)),
+        submit(agreed, MarkBrokerGone("x1", True, 2.0)),
+        submit(agreed, ReportFailure("y", True, 2.0)),
     ]
     assert all(refused), refused
-    assert upkeep.dump() == before
-    assert not tell(upkeep, Request(order("a"), 2.0))  # the same once more counts once
+    assert agreed.dump() == before
+    assert not submit(agreed, SubmitOrder(order("a"), 2.0))  # the same once more counts once
 
 
 def test_a_ring_of_orders_is_refused() -> None:
-    from harriertide.maintenance.orders import cycle
-
     known = {"a": order("a", after=("c",)), "b": order("b", after=("a",))}
-    assert cycle(order("c", after=("b",)), known) == ["c", "b", "a", "c"]
-    assert not cycle(order("d", after=("b",)), known)
+    assert find_cycle(order("c", after=("b",)), known) == ["c", "b", "a", "c"]
+    assert not find_cycle(order("d", after=("b",)), known)
 
 
 # --- what is agreed on --------------------------------------------------------------------------------
 
 
-def walk(upkeep: Upkeep, machine: str, order_name: str, *phases: Phase) -> str:
+def walk(agreed: MaintenanceStateMachine, machine: str, order_name: str, *phases: Phase) -> str:
     """A permit and moves; the last refusal."""
-    refused = tell(upkeep, Permit(machine, order_name, 3.0))
+    refused = submit(agreed, GrantPermit(machine, order_name, 3.0))
     for phase in phases:
-        step = upkeep.step_of(machine)
-        refused = tell(upkeep, Move(machine, step.fence if step else 0, phase, 3.0))
+        step = agreed.state.find_active_step(machine)
+        refused = submit(agreed, ChangePhase(machine, step.fence if step else 0, phase, 3.0))
     return refused
 
 
 def test_a_fence_never_goes_back_and_an_old_one_moves_nothing() -> None:
-    upkeep = declared(Request(order(), 2.0))
-    assert not walk(upkeep, "x1", "fw", "draining", "out", "returning", "back")
-    assert not walk(upkeep, "x2", "fw")
-    step = upkeep.step_of("x2")
+    agreed = declared(SubmitOrder(order(), 2.0))
+    assert not walk(agreed, "x1", "fw", "draining", "out", "returning", "back")
+    assert not walk(agreed, "x2", "fw")
+    step = agreed.state.find_active_step("x2")
     assert step is not None and step.fence == 2
-    assert tell(upkeep, Move("x2", 1, "draining", 3.0)) and step.phase == "permitted"
-    assert tell(upkeep, Move("x2", 2, "out", 3.0)) and step.phase == "permitted"  # not before it has drained
-    assert tell(upkeep, Permit("x1", "fw", 3.0))  # it has had its turn
+    assert submit(agreed, ChangePhase("x2", 1, "draining", 3.0)) and step.phase == "permitted"
+    assert (
+        submit(agreed, ChangePhase("x2", 2, "out", 3.0)) and step.phase == "permitted"
+    )  # not before it has drained
+    assert submit(agreed, GrantPermit("x1", "fw", 3.0))  # it has had its turn
 
 
 def test_never_two_of_a_group_nor_more_than_at_once_nor_the_last_spare_voter() -> None:
-    upkeep = declared(
-        Request(order("fw", ("x1", "x2", "x4"), at_once=2), 2.0),
-        Request(order("b", ("b1", "b2"), at_once=2), 2.0),
+    agreed = declared(
+        SubmitOrder(order("fw", ("x1", "x2", "x4"), at_once=2), 2.0),
+        SubmitOrder(order("b", ("b1", "b2"), at_once=2), 2.0),
     )
-    assert not walk(upkeep, "x1", "fw")
-    assert "group g1" in tell(upkeep, Permit("x4", "fw", 3.0))  # x1 and x4 are of one group
-    assert not walk(upkeep, "x2", "fw")
-    assert "under way" in tell(upkeep, Permit("x4", "fw", 3.0))
-    assert not walk(upkeep, "b1", "b")
-    assert "voters would be left" in tell(upkeep, Permit("b2", "b", 3.0))
-    tell(upkeep, Failed("b5", True, 3.0))
-    assert "voters" in tell(upkeep, Permit("b2", "b", 3.0))
+    assert not walk(agreed, "x1", "fw")
+    assert "group g1" in submit(agreed, GrantPermit("x4", "fw", 3.0))  # x1 and x4 are of one group
+    assert not walk(agreed, "x2", "fw")
+    assert "under way" in submit(agreed, GrantPermit("x4", "fw", 3.0))
+    assert not walk(agreed, "b1", "b")
+    assert "voters would be left" in submit(agreed, GrantPermit("b2", "b", 3.0))
+    submit(agreed, ReportFailure("b5", True, 3.0))
+    assert "voters" in submit(agreed, GrantPermit("b2", "b", 3.0))
 
 
 def test_held_cancelled_and_what_comes_first() -> None:
-    upkeep = declared(Request(order("a", ("x1",)), 2.0), Request(order("b", ("x2",), after=("a",)), 2.0))
-    assert "a comes first" in tell(upkeep, Permit("x2", "b", 3.0))
-    tell(upkeep, Hold(True, 3.0))
-    assert tell(upkeep, Permit("x1", "a", 3.0)) == "held"
-    tell(upkeep, Hold(False, 3.0))
-    assert not walk(upkeep, "x1", "a", "draining")
-    tell(upkeep, Cancel("a", 3.0))
-    assert upkeep.step_of("x1") is not None  # it drains; it has to come back in order
-    assert not walk_on(upkeep, "x1", "cancelled") and upkeep.step_of("x1") is None
-    assert not tell(upkeep, Permit("x2", "b", 3.0))
-
-
-def walk_on(upkeep: Upkeep, machine: str, *phases: Phase) -> str:
+    agreed = declared(
+        SubmitOrder(order("a", ("x1",)), 2.0), SubmitOrder(order("b", ("x2",), after=("a",)), 2.0)
+    )
+    assert "a comes first" in submit(agreed, GrantPermit("x2", "b", 3.0))
+    submit(agreed, PausePermits(True, 3.0))
+    assert submit(agreed, GrantPermit("x1", "a", 3.0)) == "held"
+    submit(agreed, PausePermits(False, 3.0))
+    assert not walk(agreed, "x1", "a", "draining")
+    submit(agreed, CancelOrder("a", 3.0))
+    assert agreed.state.find_active_step("x1") is not None  # it drains; it has to come back in order
+    assert not walk_on(agreed, "x1", "cancelled") and agreed.state.find_active_step("x1") is None
+    assert not submit(agreed, GrantPermit("x2", "b", 3.0))
+
+
+def walk_on(agreed: MaintenanceStateMachine, machine: str, *phases: Phase) -> str:
     refused = ""
     for phase in phases:
-        step = upkeep.step_of(machine)
+        step = agreed.state.find_active_step(machine)
         assert step is not None
-        refused = tell(upkeep, Move(machine, step.fence, phase, 3.0))
+        refused = submit(agreed, ChangePhase(machine, step.fence, phase, 3.0))
     return refused
 
 
 def test_a_snapshot_is_the_state_and_equal_states_are_equal_bytes() -> None:
-    one = declared(Request(order(), 2.0), Failed("x5", True, 2.0), Gone("b4", True, 2.0))
+    one = declared(SubmitOrder(order(), 2.0), ReportFailure("x5", True, 2.0), MarkBrokerGone("b4", True, 2.0))
     walk(one, "x1", "fw", "draining")
-    two = Upkeep()
+    two = MaintenanceStateMachine()
     two.load(one.dump())
     assert two.dump() == one.dump()
     for each in (one, two):
@@ -196,11 +201,11 @@
     """The load of three hours of the day was agreed on, each member keeps it, and a snapshot is asked for.
     That once raised an error, as soon as one hour was known. The order in which hours came does not show,
     and a state without any is written as before: `tests/test_stored_forms.py` holds its bytes."""
-    hours = [Pattern(9, 40.0, 2.0), Pattern(3, 12.5, 2.0), Pattern(23, 7.0, 2.0)]
-    one, two, three = declared(*hours), declared(*reversed(hours)), Upkeep()
+    hours = [RecordPeakLoad(9, 40.0, 2.0), RecordPeakLoad(3, 12.5, 2.0), RecordPeakLoad(23, 7.0, 2.0)]
+    one, two, three = declared(*hours), declared(*reversed(hours)), MaintenanceStateMachine()
     three.load(one.dump())
     assert one.dump() == two.dump() == three.dump()
-    assert three.state == one.state and three.state.pattern == {3: 12.5, 9: 40.0, 23: 7.0}
+    assert three.state == one.state and three.state.peak_load_by_hour == {3: 12.5, 9: 40.0, 23: 7.0}
     assert declared().dump() != one.dump()
 
 
@@ -210,8 +215,8 @@
     on, at all members at about the same entry: none of them took part any more. Every call is answered, and
     the snapshot holds the state."""
     me, now_us = Member("b1", "b1-1"), 5_000_000
-    upkeep = Upkeep()
-    replica = Replica(me, upkeep, Tuning(), Restored(), Random(1), 0, keep=4)
+    agreed = MaintenanceStateMachine()
+    replica = Replica(me, agreed, Tuning(), Restored(), Random(1), 0, keep=4)
     answered, snapshots = set(), []
 
     def carry_out(effects: Sequence[object]) -> None:
@@ -226,22 +231,25 @@
     carry_out(replica.node.form(0, "cluster-1", Members((me,))))
     carry_out(replica.step(now_us, Tick()))
     for number in range(1, 21):
-        command = encode(Pattern(number, 10.0 + number, 2.0))
+        command = encode_command(RecordPeakLoad(number, 10.0 + number, 2.0))
         carry_out(replica.call(now_us, number, "client-1", number, command, now_us + 1_000_000))
     assert answered == set(range(1, 21)) and not replica.broken
     assert len(snapshots) >= 3
-    again = Course(Upkeep())
+    again = Course(MaintenanceStateMachine())
     again.load(snapshots[-1].index, snapshots[-1].data)
-    assert isinstance(again.machine, Upkeep) and len(again.machine.state.pattern) >= 12
-    assert again.machine.state.pattern.items() <= upkeep.state.pattern.items()
+    assert (
+        isinstance(again.machine, MaintenanceStateMachine)
+        and len(again.machine.state.peak_load_by_hour) >= 12
+    )
+    assert again.machine.state.peak_load_by_hour.items() <= agreed.state.peak_load_by_hour.items()
 
 
 def test_orders_that_are_over_are_forgotten_after_a_hundred() -> None:
-    upkeep = declared()
+    agreed = declared()
     for number in range(130):
-        tell(upkeep, Request(order(f"o{number}", ("x1",)), 2.0))
-        walk(upkeep, "x1", f"o{number}", "draining", "out", "returning", "back")
-    assert len(upkeep.state.orders) <= 101
+        submit(agreed, SubmitOrder(order(f"o{number}", ("x1",)), 2.0))
+        walk(agreed, "x1", f"o{number}", "draining", "out", "returning", "back")
+    assert len(agreed.state.orders) <= 101
 
 
 # --- what the planner proposes ------------------------------------------------------------------------
@@ -249,199 +257,212 @@
 EVERY = set(range(5))
 
 
-def facts(**keys: Any) -> Facts:
-    found = Facts(alive=set(EVERY), granted_us=dict.fromkeys(EVERY, 10_000_000))
+def facts(**keys: Any) -> LeaderFacts:
+    found = LeaderFacts(alive_brokers=set(EVERY), last_grant_us=dict.fromkeys(EVERY, 10_000_000))
     for name, value in keys.items():
         setattr(found, name, value)
     return found
 
 
 def permits(found: list[Command]) -> list[str]:
-    return [command.machine for command in found if isinstance(command, Permit)]
+    return [command.machine for command in found if isinstance(command, GrantPermit)]
 
 
 def test_what_is_due_decides_how_many_may_be_away() -> None:
-    upkeep = declared(Request(order("fw", ("x1", "x2", "x3"), at_once=3), 2.0))
-    planner = Planner(upkeep, Rules())
-    assert permits(planner.look(facts(load=40.0), 10_000_000, 3.0)) == ["x1"]  # 50 left of 44 due
-    walk(upkeep, "x1", "fw", "draining", "out")
-    assert not permits(planner.look(facts(load=40.0), 10_000_000, 3.0))  # 40 would be left
-    assert permits(planner.look(facts(load=30.0), 10_000_000, 3.0)) == ["x2"]
-    assert not permits(planner.look(facts(reserve=40.0), 10_000_000, 3.0))
+    agreed = declared(SubmitOrder(order("fw", ("x1", "x2", "x3"), at_once=3), 2.0))
+    planner = Planner(agreed, PlannerSettings())
+    assert permits(planner.propose(facts(load_units=40.0), 10_000_000, 3.0)) == ["x1"]  # 50 left of 44 due
+    walk(agreed, "x1", "fw", "draining", "out")
+    assert not permits(planner.propose(facts(load_units=40.0), 10_000_000, 3.0))  # 40 would be left
+    assert permits(planner.propose(facts(load_units=30.0), 10_000_000, 3.0)) == ["x2"]
+    assert not permits(planner.propose(facts(reserved_units=40.0), 10_000_000, 3.0))
 
 
 def test_the_hours_to_come_count_as_they_were() -> None:
-    upkeep = declared(Request(Order("fw", ("x1",), "replace", 7200.0), 2.0))
-    upkeep.state.pattern[9] = 55.0
-    planner = Planner(upkeep, Rules())
-    assert not permits(planner.look(facts(), 10_000_000, 8 * 3600.0))  # at nine it would be missed
-    assert permits(planner.look(facts(), 10_000_000, 10 * 3600.0)) == ["x1"]
+    agreed = declared(SubmitOrder(Order("fw", ("x1",), "replace", 7200.0), 2.0))
+    agreed.state.peak_load_by_hour[9] = 55.0
+    planner = Planner(agreed, PlannerSettings())
+    assert not permits(planner.propose(facts(), 10_000_000, 8 * 3600.0))  # at nine it would be missed
+    assert permits(planner.propose(facts(), 10_000_000, 10 * 3600.0)) == ["x1"]
 
 
 def test_a_machine_that_comes_back_cold_into_a_surge_counts_as_what_it_bears() -> None:
-    upkeep = declared(Request(order("fw", ("x1", "x2"), at_once=2), 2.0))
-    planner, known = Planner(upkeep, Rules(cold_s=10.0)), facts(load=41.0)
-    walk(upkeep, "x1", "fw", "draining", "out", "returning")
-    assert not permits(planner.look(known, 10_000_000, 3.0))  # 40 and 3 of the cold one are under 45
-    assert planner.capacity(known, 10_000_000) == pytest.approx(53.0)
-    assert planner.capacity(known, 15_000_000) == pytest.approx(56.5)
-    assert permits(planner.look(known, 18_000_000, 3.0)) == ["x2"]
+    agreed = declared(SubmitOrder(order("fw", ("x1", "x2"), at_once=2), 2.0))
+    planner, known = Planner(agreed, PlannerSettings(warm_up_s=10.0)), facts(load_units=41.0)
+    walk(agreed, "x1", "fw", "draining", "out", "returning")
+    assert not permits(planner.propose(known, 10_000_000, 3.0))  # 40 and 3 of the cold one are under 45
+    assert available_units(planner.context(known, 10_000_000, 3.0)) == pytest.approx(53.0)
+    assert available_units(planner.context(known, 15_000_000, 3.0)) == pytest.approx(56.5)
+    assert permits(planner.propose(known, 18_000_000, 3.0)) == ["x2"]
 
 
 def test_a_failure_that_nobody_planned_uses_the_same_budget_and_calls_back_what_still_drains() -> None:
-    upkeep = declared(Request(order("fw", ("x1", "x2"), at_once=1), 2.0))
-    planner, known = Planner(upkeep, Rules()), facts(load=20.0, failed={"x5": 4})
-    planner.look(known, 10_000_000, 3.0)
-    found = planner.look(known, 11_500_000, 4.5)
-    assert Failed("x5", True, 4.5) in found and not permits(found)
-    tell(upkeep, *found)
-    assert not permits(planner.look(known, 10_000_000, 5.0))
-    assert "x5 is away" in planner.why_not("x1", upkeep.state.orders["fw"], known, 10_000_000, 5.0)
-    known.failed = {}
-    tell(upkeep, *planner.look(known, 10_000_000, 6.0))
-    assert permits(planner.look(known, 10_000_000, 6.0)) == ["x1"]
-    walk(upkeep, "x1", "fw", "draining")
-    known.failed, known.load = {"x2": 4}, 45.0
-    planner.look(known, 10_000_000, 7.0)
-    tell(upkeep, *planner.look(known, 12_500_000, 9.0))
-    known.clear = {}
-    back = planner.look(known, 12_600_000, 9.5)
-    assert any(isinstance(c, Move) and (c.machine, c.to) == ("x1", "waiting") for c in back)
+    agreed = declared(SubmitOrder(order("fw", ("x1", "x2"), at_once=1), 2.0))
+    planner, known = Planner(agreed, PlannerSettings()), facts(load_units=20.0, unreachable_counts={"x5": 4})
+    planner.propose(known, 10_000_000, 3.0)
+    found = planner.propose(known, 11_500_000, 4.5)
+    assert ReportFailure("x5", True, 4.5) in found and not permits(found)
+    submit(agreed, *found)
+    assert not permits(planner.propose(known, 10_000_000, 5.0))
+    context = planner.context(known, 10_000_000, 5.0)
+    assert "x5 is away" in explain_refusal(context, "x1", agreed.state.orders["fw"])
+    known.unreachable_counts = {}
+    submit(agreed, *planner.propose(known, 10_000_000, 6.0))
+    assert permits(planner.propose(known, 10_000_000, 6.0)) == ["x1"]
+    walk(agreed, "x1", "fw", "draining")
+    known.unreachable_counts, known.load_units = {"x2": 4}, 45.0
+    planner.propose(known, 10_000_000, 7.0)
+    submit(agreed, *planner.propose(known, 12_500_000, 9.0))
+    known.drained_brokers = {}
+    back = planner.propose(known, 12_600_000, 9.5)
+    assert any(isinstance(c, ChangePhase) and (c.machine, c.phase) == ("x1", "waiting") for c in back)
 
 
 def test_one_near_failing_goes_first_and_orders_take_turns() -> None:
-    upkeep = declared(
-        Request(order("a", ("x1", "x2", "x3"), first=("x3",)), 2.0), Request(order("b", ("x5", "x6")), 2.5)
+    agreed = declared(
+        SubmitOrder(order("a", ("x1", "x2", "x3"), first=("x3",)), 2.0),
+        SubmitOrder(order("b", ("x5", "x6")), 2.5),
     )
-    planner, gone = Planner(upkeep, Rules()), []
+    planner, gone = Planner(agreed, PlannerSettings()), []
     for turn in range(5):
-        for command in planner.look(facts(), 10_000_000, 3.0 + turn):
-            if isinstance(command, Permit):
+        for command in planner.propose(facts(), 10_000_000, 3.0 + turn):
+            if isinstance(command, GrantPermit):
                 gone.append(command.machine)
-                tell(upkeep, command)
-        for step in upkeep.under_way():
-            walk_on(upkeep, step.machine, "draining", "out", "returning", "back")
+                submit(agreed, command)
+        for step in agreed.state.active_steps():
+            walk_on(agreed, step.machine, "draining", "out", "returning", "back")
     assert gone == ["x3", "x5", "x1", "x6", "x2"]
 
 
 def test_draining_waits_for_all_to_know_and_out_for_all_to_be_done_or_gone_for_certain() -> None:
-    upkeep = declared(Request(order(), 2.0))
-    rules = Rules(lease_us=1_000_000, longest_us=500_000)
-    planner, known = Planner(upkeep, rules), facts()
-    walk(upkeep, "x1", "fw")
-    step = upkeep.step_of("x1")
+    agreed = declared(SubmitOrder(order(), 2.0))
+    rules = PlannerSettings(lease_us=1_000_000, longest_attempt_us=500_000)
+    planner, known = Planner(agreed, rules), facts()
+    walk(agreed, "x1", "fw")
+    step = agreed.state.find_active_step("x1")
     assert step is not None
-    known.known = {step.fence: {0, 1, 2, 3}}
+    known.informed_brokers = {step.fence: {0, 1, 2, 3}}
     for now in (10_000_000, 60_000_000):  # b5 may not know: no silence of whatever length makes up for that
-        assert planner.waits_known(step, known, now) == ["b5"]
-    blind = Planner(upkeep, Rules(lease_us=1_000_000, longest_us=500_000, blind_us=5_000_000))
-    assert blind.waits_known(step, known, 15_000_000) == ["b5"]
-    assert not blind.waits_known(step, known, 10_000_000 + 1_020_001 + 5_100_000 + 1_000_000)
-    known.known[step.fence].add(4)
-    assert not planner.waits_known(step, known, 10_000_000)
-    walk_on(upkeep, "x1", "draining")
-    known.clear = {step.fence: {0, 1, 2, 3}}
+        assert confirmations.brokers_not_informed(planner.context(known, now, 3.0), step) == ["b5"]
+    limited = PlannerSettings(lease_us=1_000_000, longest_attempt_us=500_000, isolation_limit_us=5_000_000)
+    blind = Planner(agreed, limited)
+    assert confirmations.brokers_not_informed(blind.context(known, 15_000_000, 3.0), step) == ["b5"]
+    assert not confirmations.brokers_not_informed(
+        blind.context(known, 10_000_000 + 1_020_001 + 5_100_000 + 1_000_000, 3.0), step
+    )
+    known.informed_brokers[step.fence].add(4)
+    assert not confirmations.brokers_not_informed(planner.context(known, 10_000_000, 3.0), step)
+    walk_on(agreed, "x1", "draining")
+    known.drained_brokers = {step.fence: {0, 1, 2, 3}}
     over = (
         10_000_000 + 1_020_001 + 500_000 + 1_000_000
     )  # its lease by any clock, its attempts, a write on its way
-    assert planner.waits_clear(step, known, over - 1) == ["b5"]
-    assert not planner.waits_clear(step, known, over)
-    known.led_us = 20_000_000  # a new leader does not know what the last one granted until then
-    assert planner.waits_clear(step, known, over) == ["b5"]
-    tell(upkeep, Gone("b5", True, 3.0))
-    assert not planner.waits_clear(step, known, 10_000_000)
+    assert confirmations.brokers_not_drained(planner.context(known, over - 1, 3.0), step) == ["b5"]
+    assert not confirmations.brokers_not_drained(planner.context(known, over, 3.0), step)
+    known.leading_since_us = 20_000_000  # a new leader does not know what the last one granted until then
+    assert confirmations.brokers_not_drained(planner.context(known, over, 3.0), step) == ["b5"]
+    submit(agreed, MarkBrokerGone("b5", True, 3.0))
+    assert not confirmations.brokers_not_drained(planner.context(known, 10_000_000, 3.0), step)
 
 
 def test_a_machine_that_never_comes_back_is_overdue_and_holds_up_nobody_else() -> None:
-    upkeep = declared(Request(order("fw", ("x1", "x2", "x3"), at_once=2), 2.0))
-    planner, known = Planner(upkeep, Rules()), facts()
-    walk(upkeep, "x1", "fw", "draining", "out")
-    found = planner.look(known, 10_000_000, 3.0)
+    agreed = declared(SubmitOrder(order("fw", ("x1", "x2", "x3"), at_once=2), 2.0))
+    planner, known = Planner(agreed, PlannerSettings()), facts()
+    walk(agreed, "x1", "fw", "draining", "out")
+    found = planner.propose(known, 10_000_000, 3.0)
     assert permits(found) == ["x2"]
-    tell(upkeep, *found)
-    tell(upkeep, *planner.look(known, 21_000_000, 14.0))
-    step = upkeep.step_of("x1")
+    submit(agreed, *found)
+    submit(agreed, *planner.propose(known, 21_000_000, 14.0))
+    step = agreed.state.find_active_step("x1")
     assert step is not None and step.overdue
-    assert planner.waits(step, known, 21_000_000, 14.0) == ["`maintenance done x1`, overdue"]
+    assert planner.describe_waits(step, known, 21_000_000, 14.0) == ["`maintenance done x1`, overdue"]
 
 
 def test_every_machine_that_is_not_done_names_what_it_waits_for_or_is_proposed() -> None:
     """No standstill while a step is possible: over drawn states, the same question both ways."""
     for seed in range(200):
-        random, upkeep = Random(seed), declared()
+        random, agreed = Random(seed), declared()
         for number in range(3):
             names = tuple(random.sample([b.name for b in BOXES], 3))
-            tell(upkeep, Request(order(f"o{number}", names, at_once=random.randint(1, 2)), 2.0))
-        planner, known = Planner(upkeep, Rules()), facts(load=random.uniform(0, 60))
+            submit(agreed, SubmitOrder(order(f"o{number}", names, at_once=random.randint(1, 2)), 2.0))
+        planner, known = Planner(agreed, PlannerSettings()), facts(load_units=random.uniform(0, 60))
         for _ in range(40):
-            for command in planner.look(known, 10_000_000, 3.0):
-                tell(upkeep, command)
-            known.known = {s.fence: set(EVERY) for s in upkeep.under_way()}
-            known.clear = dict(known.known) if random.random() < 0.7 else {}
-            for step in upkeep.under_way():
+            for command in planner.propose(known, 10_000_000, 3.0):
+                submit(agreed, command)
+            known.informed_brokers = {s.fence: set(EVERY) for s in agreed.state.active_steps()}
+            known.drained_brokers = dict(known.informed_brokers) if random.random() < 0.7 else {}
+            for step in agreed.state.active_steps():
                 if step.phase == "out" and random.random() < 0.5:
-                    tell(upkeep, Move(step.machine, step.fence, "returning", 3.0))
-            idle = not permits(planner.look(known, 10_000_000, 3.0))
-            for name, rows in upkeep.state.steps.items():
+                    submit(agreed, ChangePhase(step.machine, step.fence, "returning", 3.0))
+            idle = not permits(planner.propose(known, 10_000_000, 3.0))
+            for name, rows in agreed.state.steps.items():
                 for step in rows.values():
                     if step.phase == "waiting" and idle:
-                        assert planner.waits(step, known, 10_000_000, 3.0), (
+                        assert planner.describe_waits(step, known, 10_000_000, 3.0), (
                             f"seed {seed}: {name} {step.machine}"
                         )
 
 
 def test_the_forecast_is_the_order_that_comes_out_and_changes_nothing() -> None:
-    upkeep = declared()
-    before, asked = upkeep.dump(), order("fw", ("x1", "x2", "x4", "x6"), at_once=2)
-    found = forecast(upkeep, asked, Rules(cold_s=5.0), facts(), 3.0)
-    assert upkeep.dump() == before
-    assert sorted(name for _, name, _ in found) == ["x1", "x2", "x4", "x6"]
-    at = {name: when for when, name, _ in found}
+    agreed = declared()
+    before, asked = agreed.dump(), order("fw", ("x1", "x2", "x4", "x6"), at_once=2)
+    found = forecast_order(agreed, asked, PlannerSettings(warm_up_s=5.0), facts(), 3.0)
+    assert agreed.dump() == before
+    assert sorted(permit.machine for permit in found) == ["x1", "x2", "x4", "x6"]
+    at = {permit.machine: permit.after_s for permit in found}
     assert at["x4"] - at["x1"] >= 10.0 + 5.0  # of one group, one after the other
-    assert all(left >= 4 / 6 for _, _, left in found)
-    assert not forecast(upkeep, asked, Rules(), facts(load=100.0), 3.0)  # nothing may ever go
+    assert all(permit.capacity_ratio >= 4 / 6 for permit in found)
+    assert not forecast_order(
+        agreed, asked, PlannerSettings(), facts(load_units=100.0), 3.0
+    )  # nothing may ever go
 
 
 def test_the_forecast_can_be_asked_for_once_the_load_of_an_hour_was_agreed_on() -> None:
     """The forecast goes ahead on a copy of the state; `maintenance plan` was once refused from the first load
     on that brokers had agreed on ("can't be used: Only dicts with str keys are supported")."""
-    upkeep = declared(Pattern(0, 30.0, 2.0))
-    found = forecast(upkeep, order("fw", ("x1", "x2")), Rules(cold_s=5.0), facts(), 3.0)
-    assert [name for _, name, _ in found] == ["x1", "x2"]
+    agreed = declared(RecordPeakLoad(0, 30.0, 2.0))
+    found = forecast_order(agreed, order("fw", ("x1", "x2")), PlannerSettings(warm_up_s=5.0), facts(), 3.0)
+    assert [permit.machine for permit in found] == ["x1", "x2"]
 
 
 def test_a_forecast_of_weeks_takes_no_longer_than_one_of_seconds() -> None:
     """Guards against a broker that stands still for its clients while an operator looks ahead."""
-    upkeep = declared(Request(Order("other", ("x5",), "replace", 604_800.0), 2.0))
-    planner, looks = Planner, [0]
-    walk(upkeep, "x5", "other", "draining", "out")  # and nobody says done
-    look = planner.look
+    agreed = declared(SubmitOrder(Order("other", ("x5",), "replace", 604_800.0), 2.0))
+    looks = [0]
+    walk(agreed, "x5", "other", "draining", "out")  # and nobody says done
+    propose = Planner.propose
 
     def counted(self: Planner, *words: Any) -> list[Command]:
         looks[0] += 1
-        return look(self, *words)
+        return propose(self, *words)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(planner, "look", counted)
+        patch.setattr(Planner, "propose", counted)
         asked = Order("fw", tuple(box.name for box in BOXES[:4]), "replace", 604_800.0, at_once=1)
-        found = forecast(upkeep, asked, Rules(cold_s=3_600.0), facts(), 3.0)
-    assert [name for _, name, _ in found] == ["x1", "x2", "x3", "x4"]
-    assert found[-1][0] >= 3 * 604_800.0 and looks[0] <= 60
+        found = forecast_order(agreed, asked, PlannerSettings(warm_up_s=3_600.0), facts(), 3.0)
+    assert [permit.machine for permit in found] == ["x1", "x2", "x3", "x4"]
+    assert found[-1].after_s >= 3 * 604_800.0 and looks[0] <= 60
 
 
 # --- what a broker may send ---------------------------------------------------------------------------
 
 
 def test_what_a_broker_may_send_by_its_lease() -> None:
-    upkeep = declared(Request(order("fw", ("x1", "x2"), at_once=2), 2.0))
-    walk(upkeep, "x1", "fw", "draining")
-    walk(upkeep, "x2", "fw")
-    assert view.shut(upkeep, 5, 0, 0) is None  # never had one: it knows nothing
-    assert view.shut(upkeep, 5, 10, 0) == {"x1"}
-    assert view.shut(upkeep, 10, 10, 0) == {"x1", "x2"}  # the others may take x2 for drained by now
-    assert view.shut(upkeep, 19, 10, 10) == {"x1", "x2"}
-    assert view.shut(upkeep, 20, 10, 10) is None
-    assert view.shut(upkeep, 1 << 50, 10, 0) == {"x1", "x2"}  # it keeps serving all others
+    agreed = declared(SubmitOrder(order("fw", ("x1", "x2"), at_once=2), 2.0))
+    walk(agreed, "x1", "fw", "draining")
+    walk(agreed, "x2", "fw")
+    assert send_gate.closed_machines(agreed.state, 5, 0, 0) is None  # never had one: it knows nothing
+    assert send_gate.closed_machines(agreed.state, 5, 10, 0) == {"x1"}
+    assert send_gate.closed_machines(agreed.state, 10, 10, 0) == {
+        "x1",
+        "x2",
+    }  # the others may take x2 for drained by now
+    assert send_gate.closed_machines(agreed.state, 19, 10, 10) == {"x1", "x2"}
+    assert send_gate.closed_machines(agreed.state, 20, 10, 10) is None
+    assert send_gate.closed_machines(agreed.state, 1 << 50, 10, 0) == {
+        "x1",
+        "x2",
+    }  # it keeps serving all others
 
 
 # --- whole fleets in virtual time ---------------------------------------------------------------------
@@ -466,15 +487,15 @@
 
 
 def test_planted_faults_of_leases_and_confirmations_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    def blind(upkeep: Upkeep, now_us: int, end_us: int, blind_us: int) -> frozenset[str]:
+    def blind(state: MaintenanceState, now_us: int, end_us: int, limit_us: int) -> frozenset[str]:
         """A lease that is over changes nothing."""
-        return frozenset(step.machine for step in upkeep.under_way() if step.phase in SHUT)
+        return frozenset(step.machine for step in state.active_steps() if step.phase in CLOSED_PHASES)
 
     with monkeypatch.context() as patch:
-        patch.setattr(view, "shut", blind)
+        patch.setattr(send_gate, "closed_machines", blind)
         assert found_late()
     with monkeypatch.context() as patch:
-        patch.setattr(planners.Planner, "waits_clear", lambda *words: [])
+        patch.setattr(confirmations, "brokers_not_drained", lambda *words: [])
         assert found_late()
 
 
@@ -505,7 +526,7 @@
     ]
     assert served  # and serves on
     if known:
-        steps = [step for s in fleet.services.values() for step in s.upkeep.under_way()]
+        steps = [step for s in fleet.services.values() for step in s.upkeep.state.active_steps()]
         assert {step.phase for step in steps} <= {"permitted"}
     fleet.cut.clear()
     await asyncio.gather(*asked)
@@ -519,7 +540,7 @@
 def test_two_orders_for_one_zone_at_two_sides_of_a_split(monkeypatch: pytest.MonkeyPatch) -> None:
     verdict = virtual.run(split(known=True))
     assert not verdict.broken and verdict.finished == 2
-    monkeypatch.setattr(planners.Planner, "waits_known", lambda *words: [])
+    monkeypatch.setattr(confirmations, "brokers_not_informed", lambda *words: [])
     assert any("out from" in row for row in virtual.run(split(known=False)).broken)
 
 
@@ -609,5 +630,5 @@
     ]
     order_text = next(block for block in blocks if "order =" in block)
     machines = {"box-9": Machine("box-9", "box", zone="a"), "box-1": Machine("box-1", "box", zone="a")}
-    found = read_order(tomllib.loads(order_text), machines, 1.0)
+    found = parse_order(tomllib.loads(order_text), machines, 1.0)
     assert found.machines == ("box-1", "box-9") and found.first == ("box-9",)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -22,8 +22,8 @@
 from harriertide.decide.scheduler import Scheduler
 from harriertide.engine import workload as workloads
 from harriertide.lifecycle import record
-from harriertide.maintenance.state import Upkeep, encode
-from harriertide.maintenance.state import _commands as commands
+from harriertide.maintenance.commands import decode_command, encode_command
+from harriertide.maintenance.state_machine import MaintenanceStateMachine
 from harriertide.objects.catalogue import Catalogue, Part, Piece, Stored
 from tests.helpers import SETTINGS, START_US, BrokerUnderTest
 
@@ -134,20 +134,21 @@
 
 def test_a_maintenance_state_of_the_release_before_is_read_and_written_alike() -> None:
     snapshot = (STORED / "maintenance.state").read_bytes()
-    upkeep = Upkeep()
-    upkeep.load(snapshot)
-    assert upkeep.dump() == snapshot
-    assert {step.machine: step.phase for step in upkeep.under_way()} == {"x1": "out", "b0": "out"}
-    assert upkeep.state.held and upkeep.state.gone == {"b3"} and upkeep.state.fence == 2
+    machine = MaintenanceStateMachine()
+    machine.load(snapshot)
+    assert machine.dump() == snapshot
+    assert {step.machine: step.phase for step in machine.state.active_steps()} == {"x1": "out", "b0": "out"}
+    assert machine.state.permits_paused and machine.state.gone_brokers == {"b3"}
+    assert machine.state.last_fence == 2
 
 
 def test_a_log_of_the_release_before_comes_to_the_same_state() -> None:
-    upkeep = Upkeep()
+    machine = MaintenanceStateMachine()
     for index, (command, answer) in enumerate(stored_json("maintenance_log.json"), 1):
         data = bytes.fromhex(command)
-        assert upkeep.apply(index, data).hex() == answer
-        assert encode(commands.decode(data)) == data
-    assert upkeep.dump() == (STORED / "maintenance.state").read_bytes()
+        assert machine.apply(index, data).hex() == answer
+        assert encode_command(decode_command(data)) == data
+    assert machine.dump() == (STORED / "maintenance.state").read_bytes()
 
 
 # --- the catalogue ------------------------------------------------------------------------------------------
