--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:  # a broker of the platform does without the object front, and starts the sooner
     from harriertide.cli.replacement import Replacement
     from harriertide.config.model import Maintenance, Operator
-    from harriertide.control.maintenance_service import Service
+    from harriertide.control.maintenance_service import MaintenanceService
     from harriertide.lifecycle.operator_api import OperatorApi
     from harriertide.objects.service import ObjectService
 
@@ -103,13 +103,15 @@
             platform = names.plans if config is not None else None
             writes = config.writes if config is not None else ()
             self.objects = ObjectService(operator, self.runtime, self.client, platform, writes)
-        self.upkeep: Service | None = None
+        self.upkeep: MaintenanceService | None = None
         if operator is not None and operator.maintenance is not None and self.objects is not None:
             self.upkeep = self._agree(operator.maintenance, self.objects, hooks or {})
 
-    def _agree(self, settings: Maintenance, objects: ObjectService, hooks: dict[str, Any]) -> Service:
+    def _agree(
+        self, settings: Maintenance, objects: ObjectService, hooks: dict[str, Any]
+    ) -> MaintenanceService:
         """Take part in what brokers agree on. hooks: in place of the disk's sync and the wall's clock."""
-        from harriertide.control.maintenance_service import Service
+        from harriertide.control.maintenance_service import MaintenanceService
 
         def ready(on: bool) -> None:
             self.life.in_maintenance = not on
@@ -119,7 +121,7 @@
         def unix_us() -> int:
             return self.runtime.clock.now_us()
 
-        made = Service(settings, self.core, objects, unix_us, self.stopping.set, ready, **hooks)
+        made = MaintenanceService(settings, self.core, objects, unix_us, self.stopping.set, ready, **hooks)
         objects.admin.more["maintenance"] = made.handle
         return made
 
@@ -196,7 +198,7 @@
         if self.objects is not None:
             parts |= self.objects.counts()
         if self.upkeep is not None:
-            parts |= self.upkeep.broker.counters()
+            parts |= self.upkeep.counters()
         return fields(parts)
 
     async def start(self) -> None:
--- /dev/null
+++ b/harriertide/control/environment.py
@@ -0,0 +1,58 @@
+"""What a member stands on: a disk, a network, random numbers and a log of events, or a laboratory's."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from random import Random, SystemRandom
+from typing import Protocol
+
+from harriertide.consensus import events as ev
+from harriertide.consensus.store import Store
+from harriertide.consensus.transport import Transport
+from harriertide.control.event_log import EventLog, EventSink
+
+
+class Disk(Protocol):
+    """A store, or what stands for one. disk: its identity; found: what a start found on it."""
+
+    disk: str
+    found: ev.Restored
+
+    def write(self, works: list[ev.Persist]) -> None:
+        """Write and sync all of these, with one sync.
+
+        :raises StoreError: it is final for this process
+        """
+
+    def close(self) -> None:
+        """Close its files."""
+
+
+class Carrier(Protocol):
+    """What carries payloads to other members: a transport, or what stands for one."""
+
+    counts: Counter[str]
+
+    async def listen(self, address: tuple[str, int]) -> int:
+        """Take connections of other members, and return the port."""
+
+    def send(self, name: str, address: tuple[str, int], payload: bytes) -> None:
+        """Send a payload to a member; it may be lost."""
+
+    async def close(self) -> None:
+        """Close all connections."""
+
+
+@dataclass(frozen=True, slots=True)
+class Environment:
+    """What a member stands on. write_to_disk: carries out a store's write, off the event loop."""
+
+    disk: Callable[[Path], Disk] = Store.open
+    carrier: Callable[[Callable[[bytes], bool]], Carrier] = Transport
+    write_to_disk: Callable[[Callable[[], None]], Awaitable[None]] = asyncio.to_thread
+    random: Random = field(default_factory=SystemRandom)
+    event_log: Callable[[str], EventSink] = EventLog
--- /dev/null
+++ b/harriertide/control/follower_member.py
@@ -0,0 +1,119 @@
+"""The role of a broker that only follows: it has no vote and no disk, and hears of all by the tree."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from harriertide.consensus.fanout import ENTRIES, Feed
+from harriertide.consensus.follower import Follower
+from harriertide.consensus.messages import Entry, Member, Message, Proposal
+from harriertide.consensus.replica import AGAIN_US, Course, Machine
+from harriertide.consensus.roster import Found, Hello
+from harriertide.control.member_link import ClientCommand, MemberLink
+from harriertide.control.pending_calls import NOT_AGREED
+
+
+@dataclass(slots=True)
+class _ProposedCall:
+    proposal: Proposal
+    next_attempt_us: int
+    deadline_us: int
+
+
+class FollowerMember:
+    """Takes updates of its parent, and sends proposals to the leader."""
+
+    def __init__(self, link: MemberLink, machine: Machine) -> None:
+        self._link = link
+        self._follower = Follower(Course(machine))
+        self._calls: dict[int, _ProposedCall] = {}
+
+    # --- questions ------------------------------------------------------------------------------------
+
+    @property
+    def leader(self) -> str:
+        """The leader as the parent told it last; "" for none."""
+        return self._link.tree.leader
+
+    @property
+    def led_term(self) -> int:
+        """Always 0: it never leads."""
+        return 0
+
+    @property
+    def has_committed_own_term(self) -> bool:
+        """Always False: it never leads."""
+        return False
+
+    @property
+    def voter_names(self) -> list[str]:
+        """The voters of the operator's file: a follower hears of no membership."""
+        return list(self._link.voters)
+
+    @property
+    def halted(self) -> str:
+        """Always "": it has no disk that could refuse."""
+        return ""
+
+    @property
+    def applied_state(self) -> Course:
+        """The state machine, with the index up to which it is applied."""
+        return self._follower.course
+
+    def entries_after(self, index: int) -> tuple[Entry, ...] | None:
+        """Return applied entries after an index for a child; None where they are not kept any more."""
+        return self._follower.after(index, ENTRIES)
+
+    # --- events ---------------------------------------------------------------------------------------
+
+    def tick(self, now_us: int) -> None:
+        """Send proposals to the leader, and again after a while."""
+        for number, call in list(self._calls.items()):
+            if now_us >= call.deadline_us:
+                del self._calls[number]
+                self._link.calls.fail(number, NOT_AGREED)
+            elif now_us >= call.next_attempt_us and self.leader:
+                call.next_attempt_us = now_us + AGAIN_US
+                self._link.send(self.leader, call.proposal)
+
+    def on_message(self, now_us: int, message: Message | Hello | Found) -> None:
+        """Count a message that is for voters only."""
+        self._link.counts["not_for_a_follower"] += 1
+
+    def on_update(self, now_us: int, update: Feed) -> None:
+        """Apply what the parent sends, complete own calls, and send it on to the children."""
+        applied_before = self.applied_state.applied
+        for entry, result, fresh, digest in self._follower.take(update):
+            self._link.events.write("applied", index=entry.index, digest=digest, fresh=fresh)
+            self._complete_calls(entry, result)
+        if self.applied_state.applied != applied_before:
+            self._link.listener.on_applied()
+            self._link.distribute()
+
+    def _complete_calls(self, entry: Entry, result: bytes) -> None:
+        for number, call in list(self._calls.items()):
+            if (call.proposal.client, call.proposal.serial) == (entry.client, entry.serial):
+                del self._calls[number]
+                self._link.calls.complete(number, result)
+
+    def start_grant_round(self, now_us: int) -> bool:
+        """Do nothing: it never leads."""
+        return False
+
+    def submit(self, now_us: int, command: ClientCommand) -> None:
+        """Propose a command to the leader; its call is completed or failed later."""
+        me, nobody = Member(self._link.name, ""), Member("", "")
+        proposal = Proposal("", me, nobody, 0, command.client, command.serial, command.data)
+        self._calls[command.number] = _ProposedCall(proposal, now_us, command.deadline_us)
+        self.tick(now_us)
+
+    def withdraw(self, number: int) -> None:
+        """Stop attempts for a call that nobody awaits any more."""
+        self._calls.pop(number, None)
+
+    async def read(self, within_s: float) -> bool:
+        """Whether it holds a lease: only then does its state hold all that was agreed on before."""
+        return self._link.tree.lease_end_us > self._link.now_us()
+
+    def transfer_leadership(self) -> None:
+        """Do nothing: it never leads."""
--- /dev/null
+++ b/harriertide/control/leader_facts.py
@@ -0,0 +1,54 @@
+"""What the leader gathers from the reports of all brokers, for the planner."""
+
+from __future__ import annotations
+
+from harriertide.config.model import State
+from harriertide.consensus.fanout import Round, Sums
+from harriertide.maintenance.facts import LeaderFacts
+
+
+def update_facts(
+    facts: LeaderFacts,
+    now_us: int,
+    granted: Round,
+    totals: Sums,
+    active_fences: set[int],
+    operator_state: State,
+) -> None:
+    """Take in what was reported until a round of leases was granted.
+
+    :param granted: the round: who was in it holds a lease from its own report on
+    :param totals: the sums of all reports
+    :param active_fences: fences of the active steps
+    :param operator_state: grades, volumes and nodes, as in force here
+    """
+    for broker_index in granted.alive:
+        facts.last_grant_us[broker_index] = now_us
+    facts.alive_brokers = totals.alive
+    facts.load_units = totals.load
+    facts.learned_units = totals.units
+    facts.unreachable_counts = totals.failed
+    facts.incarnations.update(totals.lives)
+    for fence, brokers in totals.known.items():
+        facts.informed_brokers.setdefault(fence, set()).update(brokers)
+    for fence, brokers in totals.clear.items():
+        facts.drained_brokers.setdefault(fence, set()).update(brokers)
+    facts.forget_fences(active_fences)
+    facts.reserved_units = total_reserved_units(operator_state)
+
+
+def total_reserved_units(operator_state: State) -> float:
+    """Return the units a second that all volumes have reserved."""
+    total = 0.0
+    for volume in operator_state["volumes"].values():
+        total += operator_state["grades"][volume["grade"]]["reserve"]
+    return total
+
+
+def reserved_units_by_grade(operator_state: State) -> dict[str, float]:
+    """Return the units a second that volumes have reserved, by grade."""
+    reserved = dict.fromkeys(operator_state["grades"], 0.0)
+    for volume in operator_state["volumes"].values():
+        grade = volume["grade"]
+        reserved[grade] += operator_state["grades"][grade]["reserve"]
+    return reserved
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -1,499 +1,249 @@
-"""Maintenance in a running broker: what is agreed on becomes what it may send, and what people may ask.
+"""Maintenance in one broker: what is agreed on becomes what it may send, and the leader plans what comes
+next.
 
-The rules are the pure rooms'; this hands them facts and carries out what they say.
+The pure packages decide; this hands them facts and carries out what they say.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import time
-import tomllib
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Protocol
 
-import msgspec
-import xxhash
 from aiohttp import web
 
-from harriertide.config.model import Maintenance, State
+from harriertide.config.model import Maintenance
 from harriertide.consensus.events import Tuning
-from harriertide.consensus.fanout import Report, Round, Sums, bits
-from harriertide.control.member import Broker, CallError, Events, Outside
-from harriertide.decide import api
+from harriertide.consensus.fanout import Report, Round
+from harriertide.control.broker_report import BrokerReporter
+from harriertide.control.environment import Environment
+from harriertide.control.leader_facts import update_facts
+from harriertide.control.member import AgreementMember
+from harriertide.control.node_barrier import NodeBarrier
+from harriertide.control.operator_api import MaintenanceApi
+from harriertide.control.order_preview import OrderPreview
+from harriertide.control.ports import NodeDirectory, RequestCore
+from harriertide.control.proposals import Proposals
+from harriertide.control.step_observer import StepObserver
 from harriertide.engine.log import log
-from harriertide.maintenance import orders, send_gate
-from harriertide.maintenance.capacity import available_units
-from harriertide.maintenance.commands import (
-    CancelOrder,
-    ChangePhase,
-    Command,
-    DeclareMachines,
-    MarkBrokerGone,
-    PausePermits,
-    SubmitOrder,
-    command_name,
-    decode_result,
-    encode_command,
-)
+from harriertide.maintenance.commands import DeclareMachines
 from harriertide.maintenance.facts import LeaderFacts, PlannerSettings
-from harriertide.maintenance.forecast import forecast_order
-from harriertide.maintenance.orders import Machine, Order, OrderError
+from harriertide.maintenance.orders import Machine
+from harriertide.maintenance.phases import CLOSED_PHASES
 from harriertide.maintenance.planner import Planner
-from harriertide.maintenance.state import Step, encode_state
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 from harriertide.platform.peers import address
 
-LOOK_US = 200_000
-CALL_S = 5.0
-WINDOW_US = 2_000_000  # over which rates are taken
-YOUNG_US = 60_000_000  # of a process: so long it says which one it is
-STALE_US = 10_000_000  # nothing was tried there since: it may be back
-LIFELESS = 2  # attempts in a row without a sign of life, or one failed connection: it is away, seen from here
+TICK_S = 0.025  # a lease that ends is seen this late by the object front; writes ask by the clock
+LOOK_INTERVAL_US = 200_000  # of the planner, where nothing new has come
 
 
-class Boxes(Protocol):
-    """What may get requests here."""
+class MaintenanceService:
+    """One broker's maintenance.
 
-    state: State
-
-    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
-        """These get nothing new; None: none gets any."""
-
-
-class Core(Protocol):
-    """What of a reducer is asked and told here."""
-
-    settings: api.Settings
-    offered_units: float
-    lifeless: Counter[str]
-    barred: Callable[[str], bool] | None
-
-    def out_at(self, node: str) -> int:
-        """Attempts that are out there."""
-
-    def learned(self) -> dict[str, float]:
-        """What nodes under pressure do by now."""
-
-    def owed(self) -> int:
-        """Requests without a final answer."""
-
-
-class Service:
-    """One broker's maintenance. leave: ends this process in order; ready: whether it takes requests."""
+    :param settings: the section of the operator's file
+    :param unix_us: the reducer's clock
+    :param leave: ends this process in order
+    :param set_ready: whether this process takes requests
+    :param environment: what the member stands on; a laboratory's in simulations
+    :param wall_s: the wall clock, in Unix seconds
+    """
 
     def __init__(
         self,
         settings: Maintenance,
-        core: Core,
-        boxes: Boxes,
+        core: RequestCore,
+        nodes: NodeDirectory,
         unix_us: Callable[[], int],
         leave: Callable[[], None],
-        ready: Callable[[bool], None],
-        outside: Outside | None = None,
+        set_ready: Callable[[bool], None],
+        environment: Environment | None = None,
         wall_s: Callable[[], float] = time.time,
         tuning: Tuning | None = None,
     ) -> None:
-        self.settings, self.core, self._boxes = settings, core, boxes
-        self._unix_us, self._leave, self._ready, self._wall_s = unix_us, leave, ready, wall_s
-        self.upkeep = MaintenanceStateMachine()
-        longest_us = max(kind.deadline_us for kind in core.settings.classes)
-        self.rules = PlannerSettings(
-            1000 * settings.lease_ms, longest_us, 1_000_000 * settings.blind_s, float(settings.cold_s)
+        environment = environment or Environment()
+        self.settings = settings
+        self.machine = MaintenanceStateMachine()
+        self.planner_settings = PlannerSettings(
+            lease_us=1000 * settings.lease_ms,
+            longest_attempt_us=max(kind.deadline_us for kind in core.settings.classes),
+            isolation_limit_us=1_000_000 * settings.blind_s,
+            warm_up_s=float(settings.cold_s),
+        )
+        self.facts = LeaderFacts()
+        self.planner = Planner(self.machine, self.planner_settings)
+        self._nodes = nodes
+        self._leave = leave
+        self._set_ready = set_ready
+        self._wall_s = wall_s
+        self._events = environment.event_log(settings.events)
+        self.member = AgreementMember(
+            name=settings.name,
+            addresses={name: address(row["address"]) for name, row in settings.brokers.items()},
+            voters=tuple(name for name, row in settings.brokers.items() if row["voter"] == "yes"),
+            folder=Path(settings.folder),
+            machine=self.machine,
+            lease_us=self.planner_settings.lease_us,
+            events=self._events,
+            listener=self,
+            environment=environment,
+            tuning=tuning,
+        )
+        isolation_limit_us = self.planner_settings.isolation_limit_us
+        self.barrier = NodeBarrier(
+            self.machine, self.member, nodes, self._events, isolation_limit_us, unix_us
         )
-        self.planner, self.facts = Planner(self.upkeep, self.rules), LeaderFacts()
-        addresses = {name: address(row["address"]) for name, row in settings.brokers.items()}
-        voters = tuple(name for name, row in settings.brokers.items() if row["voter"] == "yes")
-        self.events = Events(settings.events, time.monotonic)
-        self.broker = Broker(
-            settings.name, addresses, voters, Path(settings.folder), self.upkeep, self.rules.lease_us,
-            self.events, self._own, self._changed, outside or Outside(), tuning,
-        )  # fmt: skip
-        self.broker.granted = self._granted
-        self._shut: frozenset[str] | None = frozenset()
-        self._lease_us = self._until_us = 0  # the lease that _shut goes by, and when time alone changes that
-        self._started_us: dict[str, int] = {}
-        self._began_us = self.broker.now_us()
-        self._led = 0  # the term in which it leads, as far as is seen here; 0: it does not
-        self._look_us = 0
-        self._proposed: dict[bytes, int] = {}  # what is on its way, so that one look does not repeat another
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._window: deque[tuple[int, float]] = deque()
-        self._leaving = False
-        self._away: dict[str, tuple[int, int]] = {}  # lifeless attempts there, and since when
-        self._seen: dict[tuple[str, str], tuple[tuple[str, int], int]] = {}
-        self.counts: Counter[str] = Counter()
+        self._counts: Counter[str] = Counter()
+        self._reporter = BrokerReporter(self.machine, self.member, core, self.barrier)
+        self._proposals = Proposals(self.member, self._events, self._counts)
+        self._observer = StepObserver(self.machine, self.member, self._events)
+        preview = OrderPreview(self.machine, self.member, self.planner, self.planner_settings, nodes)
+        self._api = MaintenanceApi(self.machine, self.member, self._observer, preview, self._events, self)
+        self._led_term = 0  # the term in which this broker plans; 0: it does not
+        self._next_look_us = 0
+        self._is_leaving = False
+        self._is_ending = False
         self._timer: asyncio.Task[None] | None = None
-        core.barred = self.barred
-        self._look_at(self.broker.now_us())  # nothing is sent before the first lease
+        core.barred = self.barrier.is_barred
+
+    def wall_s(self) -> float:
+        """Return the wall clock, in Unix seconds."""
+        return self._wall_s()
 
     # --- life -----------------------------------------------------------------------------------------
 
     async def start(self) -> None:
         """Take part."""
-        await self.broker.start()
+        await self.member.start()
         self._timer = asyncio.get_running_loop().create_task(self._run())
-        log("agrees with others", name=self.settings.name, voter=self.settings.name in self.broker.voters)
+        log("takes part in the agreement", name=self.settings.name, voter=self.member.is_voter)
+
+    def cancel_tasks(self) -> list[asyncio.Task[None]]:
+        """End at once, as a process that is killed does; return the tasks that end."""
+        return [*self._cancel_own_tasks(), *self.member.cancel_tasks()]
+
+    def _cancel_own_tasks(self) -> list[asyncio.Task[None]]:
+        tasks = self._proposals.cancel_tasks()
+        if self._timer is not None:
+            self._timer.cancel()
+            tasks.append(self._timer)
+        return tasks
 
     async def close(self) -> None:
         """Hand over, and end."""
-        tasks = [*self._tasks, *([self._timer] if self._timer else [])]
-        for task in tasks:
-            task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)
-        self.events.say("ends")
-        await self.broker.close()
+        await asyncio.gather(*self._cancel_own_tasks(), return_exceptions=True)
+        self._events.write("ends")
+        await self.member.close()
 
     async def _run(self) -> None:
         while True:
-            now = self.broker.now_us()
-            if self._lease_us != self.broker.fan.lease_end_us or (self._until_us and now >= self._until_us):
-                self._look_at(now)
-            led = self.broker.led
-            if led != self._led:
-                self._led = led
-                self.facts = LeaderFacts(leading_since_us=now)
-                self._proposed.clear()
-            if self._led and now >= self._look_us:
-                self._look_us = now + LOOK_US
-                self._plan(now)
-            await asyncio.sleep(0.025)
+            now_us = self.member.now_us()
+            self.barrier.refresh_when_due(now_us)
+            self._follow_leadership(now_us)
+            if self._led_term and now_us >= self._next_look_us:
+                self._next_look_us = now_us + LOOK_INTERVAL_US
+                self.plan(now_us)
+            await asyncio.sleep(TICK_S)
+
+    def counters(self) -> dict[str, Counter[str]]:
+        """Return the counters, by part."""
+        return self.member.counters()
 
-    # --- what may be sent -----------------------------------------------------------------------------
-
-    def barred(self, node: str) -> bool:
-        """Asked right before each write, by the clock of that moment."""
-        now = self.broker.now_us()
-        if self._until_us and now >= self._until_us:
-            self._look_at(now)  # a lease is over that nothing has looked at since: this process stood still
-        return self._shut is None or node in self._shut
-
-    def _may(self, now: int) -> frozenset[str] | None:
-        return send_gate.closed_machines(
-            self.upkeep.state, now, self.broker.fan.lease_end_us, self.rules.isolation_limit_us
-        )
-
-    def _changed(self) -> None:
-        """Something was agreed on."""
-        for rows in self.upkeep.state.steps.values():
-            for step in rows.values():
-                name, now = (step.order, step.machine), (step.phase, step.fence)
-                if self._seen.get(name, (now, 0))[0] != now or name not in self._seen:
-                    self._seen[name] = now, self.broker.now_us()
-                    self.broker.fan.hurry()
-                    self._look_us = 0
-                    self.events.say(
-                        "step", order=step.order, machine=step.machine, phase=step.phase, fence=step.fence,
-                        index=self.broker.course.applied,
-                    )  # fmt: skip
-        self._look_at(self.broker.now_us())
-        self._own_step()
-
-    def _look_at(self, now: int) -> None:
-        lease = self.broker.fan.lease_end_us
-        self._lease_us, self._until_us = (
-            lease,
-            send_gate.next_change_us(now, lease, self.rules.isolation_limit_us),
-        )
-        shut = self._may(now)
-        returned = self._returned()
-        if shut == self._shut and not returned:
-            return
-        self._shut = shut
-        said = ["*"] if shut is None else sorted(shut)
-        self.events.say("shut", machines=said, leased=now < self.broker.fan.lease_end_us)
-        self._boxes.bar(shut, dict(self._started_us))
-
-    def _returned(self) -> bool:
-        """Boxes on their way back are cold from when it was agreed on."""
-        found = {
-            step.machine: self._started_us.get(step.machine) or self._unix_us()
-            for step in self.upkeep.state.active_steps()
-            if step.phase == "returning"
-        }
-        changed = found != self._started_us
-        self._started_us = found
-        return changed
-
-    def _own_step(self) -> None:
-        """This broker itself goes, or comes back."""
-        step = self.upkeep.state.find_active_step(self.settings.name)
-        leaving = step is not None and step.phase in ("draining", "out")
-        if leaving and not self._leaving:
-            self.events.say("leaving", phase=step.phase if step else "")
-        if step is not None and step.phase == "out" and step.incarnation == self.broker.life:
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer an operator's call: GET /maintenance, POST /maintenance/ACTION."""
+        return await self._api.handle(request)
+
+    # --- what the member says -------------------------------------------------------------------------
+
+    def build_report(self) -> Report:
+        """Return what this broker reports of itself now."""
+        return self._reporter.build()
+
+    def on_applied(self) -> None:
+        """Something was agreed on: notice new phases, close or open nodes, leave where it is this broker."""
+        if self._observer.notice_changes():
+            self._next_look_us = 0
+        self.barrier.refresh(self.member.now_us())
+        self._follow_own_step()
+
+    def on_leases_granted(self, granted: Round) -> None:
+        """As leader: take in what was reported, and look soon: what a step waits for may have come."""
+        totals = self.member.subtree_totals(self.build_report())
+        active_fences = {step.fence for step in self.machine.state.active_steps()}
+        now_us = self.member.now_us()
+        update_facts(self.facts, now_us, granted, totals, active_fences, self._nodes.state)
+        self._next_look_us = 0
+
+    def _follow_own_step(self) -> None:
+        """Follow the step of this broker itself: it is taken out of service, or comes back."""
+        step = self.machine.state.find_active_step(self.settings.name)
+        is_leaving = step is not None and step.phase in CLOSED_PHASES
+        if step is not None and is_leaving and not self._is_leaving:
+            self._events.write("leaving", phase=step.phase)
+            log("takes no requests, this broker is taken out for maintenance", fence=step.fence)
+        if step is not None and step.phase == "out" and step.incarnation == self.member.incarnation:
+            if not self._is_ending:
+                log("ends in order, it is this broker's turn of maintenance", fence=step.fence)
+            self._is_ending = True
             self._leave()
-        if leaving != self._leaving:
-            self._leaving = leaving
-            self._ready(not leaving)
-            if leaving:
-                self.broker.hand_over()
-
-    # --- facts ----------------------------------------------------------------------------------------
-
-    def _load(self, now: int) -> float:
-        """Units a second that came in the last window, seen at each report."""
-        self._window.append((now, self.core.offered_units))
-        while now - self._window[0][0] > WINDOW_US:
-            self._window.popleft()
-        began, offered = self._window[0]
-        return (self.core.offered_units - offered) * 1_000_000 / max(1, now - began)
-
-    def _own(self, broker: Broker) -> Report:
-        """What this broker says of itself."""
-        now = broker.now_us()
-        place = broker.fan.place[broker.name]
-        known: dict[int, bytes] = {}
-        clear: dict[int, bytes] = {}
-        mine = bits({place})
-        shut = self._may(now)
-        for step in self.upkeep.state.active_steps():
-            known[step.fence] = mine
-            done = shut is None or step.machine in shut
-            if step.machine == broker.name:
-                done = done and self.core.owed() == 0
-            if step.phase in ("draining", "out") and done and self.core.out_at(step.machine) == 0:
-                clear[step.fence] = mine
-        load, lives = self._load(now), {}
-        if now - self._began_us < YOUNG_US or self.upkeep.state.find_active_step(broker.name) is not None:
-            lives = {broker.name: broker.life}
-        failed = {}
-        for name, number in self.core.lifeless.items():
-            if self._away.get(name, (0, 0))[0] != number:
-                self._away[name] = number, now
-            if number >= LIFELESS and now - self._away[name][1] < STALE_US:
-                failed[name] = 1
-        units = {name: round(rate, 2) for name, rate in self.core.learned().items() if rate}
-        applied = broker.course.applied
-        return Report(broker.name, 0, applied, mine, lives, known, clear, load, units, failed)
-
-    def _granted(self, asked: Round) -> None:
-        """As leader: a majority has confirmed it; who was in that round holds a lease from its report on."""
-        broker, now = self.broker, self.broker.now_us()
-        found: Sums = broker.fan.sums(now, self._own(broker))
-        facts = self.facts
-        for place in asked.alive:
-            facts.last_grant_us[place] = now
-        facts.alive_brokers, facts.load_units = found.alive, found.load
-        facts.learned_units, facts.unreachable_counts = found.units, found.failed
-        facts.incarnations.update(found.lives)
-        fences = {step.fence for step in self.upkeep.state.active_steps()}
-        for mine, theirs in ((facts.informed_brokers, found.known), (facts.drained_brokers, found.clear)):
-            for fence, who in theirs.items():
-                mine.setdefault(fence, set()).update(who)
-        facts.forget_fences(fences)
-        self._look_us = 0  # what the next step waits for may have come
-        state, due = self._boxes.state, 0.0
-        for volume in state["volumes"].values():
-            due += state["grades"][volume["grade"]]["reserve"]
-        facts.reserved_units = due
+        if is_leaving != self._is_leaving:
+            self._is_leaving = is_leaving
+            self._set_ready(not is_leaving)
+            if is_leaving:
+                self.member.transfer_leadership()
 
     # --- planning, as leader --------------------------------------------------------------------------
 
-    def _declared(self) -> DeclareMachines:
-        state, settings = self._boxes.state, self.settings
-        found = []
-        for name in state["boxes"]:
-            found.append(Machine(name, "box", **settings.labels.get(name, {})))
-        for name, row in settings.brokers.items():
-            labels = {key: row[key] for key in ("zone", "rack", "release", "group")}
-            found.append(Machine(name, "broker", **labels, voter=row["voter"] == "yes"))
-        return DeclareMachines(tuple(found), tuple(settings.brokers), self._wall_s())
-
-    def _plan(self, now: int) -> None:
-        replica = self.broker.replica
-        if replica is None or not replica.node.settled:
+    def _follow_leadership(self, now_us: int) -> None:
+        """Begin with nothing where the leader is new: what an earlier one heard is not known here."""
+        led_term = self.member.led_term
+        if led_term == self._led_term:
             return
-        declared = self._declared()
-        state = self.upkeep.state
-        if state.machines != {m.name: m for m in declared.machines} or state.brokers != declared.brokers:
-            self._propose(now, declared)
+        if led_term:
+            log("plans maintenance, this broker leads", term=led_term)
+        else:
+            log("plans no maintenance, not the leader", leader=self.member.leader)
+        self._led_term = led_term
+        self.facts = LeaderFacts(leading_since_us=now_us)
+        self._proposals.forget()
+
+    def plan(self, now_us: int) -> None:
+        """Propose what comes next. First of all the inventory, where it is not as in the operator's file."""
+        if not self.member.can_propose:
             return
-        for command in self.planner.propose(self.facts, now, self._wall_s()):
-            self._propose(now, command)
-        self.broker.waits = self._waits(now)
-
-    def _waits(self, now: int) -> dict[str, list[str]]:
-        """What machines under way wait for, and the next of each order. It goes with each grant: no more."""
-        found: dict[str, list[str]] = {}
-        for name, rows in self.upkeep.state.steps.items():
-            waiting = False
-            for step in rows.values():
-                if step.phase == "waiting" and waiting:
-                    continue
-                waiting = waiting or step.phase == "waiting"
-                if said := self.planner.describe_waits(step, self.facts, now, self._wall_s()):
-                    found[f"{name}/{step.machine}"] = said
-        return found
-
-    def _propose(self, now: int, command: Command) -> None:
-        name = encode_command(msgspec.structs.replace(command, at_s=0.0))
-        self._proposed = {n: until for n, until in self._proposed.items() if until > now}
-        if name in self._proposed:
+        declared = self._inventory()
+        state = self.machine.state
+        machines = {machine.name: machine for machine in declared.machines}
+        if state.machines != machines or state.brokers != declared.brokers:
+            self._proposals.propose(now_us, declared)
             return
-        self._proposed[name] = now + 1_000_000
-
-        async def call() -> None:
-            try:
-                answer = decode_result(await self.broker.call(encode_command(command), CALL_S))
-                self.events.say("planned", what=command_name(command), refused=answer.refusal)
-            except CallError:
-                self.counts["unsettled"] += 1
-            self._proposed.pop(name, None)
-
-        task = asyncio.get_running_loop().create_task(call())
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
-    # --- people ---------------------------------------------------------------------------------------
-
-    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """GET /maintenance, POST /maintenance/WHAT."""
-        what = request.raw_path.partition("?")[0].removeprefix("/maintenance").strip("/")
-        if request.method == "GET" and not what:
-            return web.json_response(await self.status())
-        try:
-            asked = json.loads(await request.read() or b"{}")
-            if not isinstance(asked, dict):
-                raise ValueError("not an object")
-            if request.method != "POST":
-                return web.json_response({"reason": "no such route"}, status=404)
-            if what == "plan":
-                return web.json_response(await self.forecast(_parsed(asked)))
-            return await self._ask(what, asked)
-        except OrderError as fault:
-            return web.json_response({"reason": str(fault)}, status=400)
-        except (ValueError, KeyError, TypeError) as fault:
-            return web.json_response({"reason": f"can't be used: {fault}"}, status=400)
-        except CallError as fault:
-            return web.json_response({"reason": str(fault)}, status=503)
-
-    async def _ask(self, what: str, asked: dict[str, Any]) -> web.StreamResponse:
-        now_s = self._wall_s()
-        if what == "request":
-            if "from" in asked and asked["from"] != self._mark():
-                return web.json_response(
-                    {"reason": "the state has moved since the plan was made"}, status=409
-                )
-            order = orders.parse_order(_parsed(asked), await self._machines(), now_s)
-            command: Command = SubmitOrder(order, now_s)
-        elif what == "done":
-            step = self.upkeep.state.find_active_step(str(asked["machine"]))
-            if step is None or step.phase != "out":
-                return web.json_response({"reason": f"{asked['machine']} is not out"}, status=409)
-            command = ChangePhase(step.machine, step.fence, "returning", now_s, "done")
-        elif what == "cancel":
-            command = CancelOrder(str(asked["order"]), now_s)
-        elif what in ("hold", "resume"):
-            command = PausePermits(what == "hold", now_s)
-        elif what == "gone":
-            command = MarkBrokerGone(str(asked["broker"]), True, now_s)
-        else:
-            return web.json_response({"reason": "no such route"}, status=404)
-        answer = decode_result(await self.broker.call(encode_command(command), CALL_S))
-        self.events.say("told", what=what, refused=answer.refusal)
-        if answer.refusal:
-            return web.json_response({"reason": answer.refusal}, status=409)
-        return web.json_response({"agreed": True, "index": self.broker.course.applied})
-
-    async def _machines(self) -> dict[str, Machine]:
-        await self.broker.read(1.0)
-        if not self.upkeep.state.machines:
-            raise CallError("which machines there are is not agreed on yet; ask again")
-        return self.upkeep.state.machines
-
-    def _mark(self) -> str:
-        """Of the agreed state, less its clock: a plan holds for this one only."""
-        state = msgspec.structs.replace(self.upkeep.state, command_time_s=0.0, peak_load_by_hour={})
-        return xxhash.xxh3_64_hexdigest(encode_state(state))
-
-    async def forecast(self, raw: dict[str, Any]) -> dict[str, Any]:
-        """The order that would come out, how long it takes, and what it costs each grade."""
-        now_s = self._wall_s()
-        order: Order = orders.parse_order(raw, await self._machines(), now_s)
-        found = forecast_order(self.upkeep, order, self.rules, self._copy(), now_s)
-        least = min((permit.capacity_ratio for permit in found if permit.capacity_ratio >= 0), default=1.0)
-        going = [permit.machine for permit in found]
-        return {
-            "from": self._mark(),
-            "steps": [
-                {
-                    "after_s": round(permit.after_s, 1),
-                    "machine": permit.machine,
-                    "left": round(permit.capacity_ratio, 3),
-                }
-                for permit in found
-            ],
-            "never": [name for name in order.machines if name not in going],
-            "takes_s": round(max((permit.after_s for permit in found), default=0.0) + order.takes_s, 1),
-            "least_s": round(orders.minimum_duration_s(order, self.upkeep.state.machines), 1),
-            "grades": self._cost(least),
-        }
-
-    def _copy(self) -> LeaderFacts:
-        facts = self.facts
-        return LeaderFacts(
-            learned_units=dict(facts.learned_units),
-            load_units=facts.load_units,
-            reserved_units=facts.reserved_units,
-            alive_brokers=set(facts.alive_brokers),
-        )
-
-    def _cost(self, left: float) -> dict[str, float]:
-        """The part of each grade's reserves that could not be served while least is left: the least worth
-        first."""
-        state = self._boxes.state
-        due = {grade: 0.0 for grade in state["grades"]}
-        for volume in state["volumes"].values():
-            due[volume["grade"]] += state["grades"][volume["grade"]]["reserve"]
-        context = self.planner.context(self.facts, self.broker.now_us(), self._wall_s())
-        room = left * available_units(context) or sum(due.values())
-        cost = {}
-        for grade in sorted(due, key=lambda g: -state["grades"][g]["worth"]):
-            served = min(room, due[grade])
-            room -= served
-            cost[grade] = round(1 - served / due[grade], 3) if due[grade] else 0.0
-        return cost
-
-    def _for_s(self, step: Step, now: int) -> float:
-        """How long this broker has seen a step, by its own clock."""
-        return round((now - self._seen.get((step.order, step.machine), (None, now))[1]) / 1_000_000, 1)
-
-    async def status(self) -> dict[str, Any]:
-        """For people and scripts; `knows` says whether this broker can tell how things stand."""
-        now = self.broker.now_us()
-        knows = await self.broker.read(1.0)
-        state, broker = self.upkeep.state, self.broker
-        rows = []
-        for name in state.orders:
-            steps = []
-            for step in state.steps[name].values():
-                row: dict[str, Any] = {
-                    "machine": step.machine, "phase": step.phase, "fence": step.fence,
-                    "for_s": self._for_s(step, now), "overdue": step.overdue,
-                }  # fmt: skip
-                row["waits"] = broker.waits.get(f"{name}/{step.machine}", [])
-                steps.append(row)
-            over = not state.is_open(name)
-            rows.append({"order": name, "over": over, "cancelled": name in state.cancelled, "steps": steps})
-        members = broker.replica.node.members if broker.replica is not None else None
-        return {
-            "name": broker.name, "knows": knows, "leader": broker.leader, "held": state.permits_paused,
-            "leased": now < broker.fan.lease_end_us, "applied": broker.course.applied,
-            "halted": broker.halted, "failed": sorted(state.failed_since_s),
-            "gone": sorted(state.gone_brokers),
-            "voters": sorted(m.name for m in members.voters) if members else list(broker.voters),
-            "orders": rows,
-        }  # fmt: skip
-
-
-def _parsed(asked: dict[str, Any]) -> dict[str, Any]:
-    """An order as it comes: the text of its file, or its keys."""
-    if "text" in asked:
-        try:
-            return tomllib.loads(str(asked["text"]))
-        except tomllib.TOMLDecodeError as fault:
-            raise OrderError(f"not TOML: {fault}") from None
-    return {key: value for key, value in asked.items() if key != "from"}
+        for command in self.planner.propose(self.facts, now_us, self._wall_s()):
+            self._proposals.propose(now_us, command)
+        self.member.wait_reasons = self._wait_reasons(now_us)
+
+    def _inventory(self) -> DeclareMachines:
+        settings = self.settings
+        machines = [
+            Machine(name, "box", **settings.labels.get(name, {})) for name in self._nodes.state["boxes"]
+        ]
+        for name, row in settings.brokers.items():
+            labels = {key: row[key] for key in ("zone", "rack", "release", "group")}
+            machines.append(Machine(name, "broker", **labels, voter=row["voter"] == "yes"))
+        return DeclareMachines(tuple(machines), tuple(settings.brokers), self._wall_s())
+
+    def _wait_reasons(self, now_us: int) -> dict[str, list[str]]:
+        """What active machines wait for, and the next of each order. It goes with each grant: no more."""
+        reasons: dict[str, list[str]] = {}
+        for order, steps in self.machine.state.steps.items():
+            has_waiting = False
+            for step in steps.values():
+                is_waiting = step.phase == "waiting"
+                if is_waiting and has_waiting:
+                    continue
+                has_waiting = has_waiting or is_waiting
+                waits = self.planner.describe_waits(step, self.facts, now_us, self._wall_s())
+                if waits:
+                    reasons[f"{order}/{step.machine}"] = waits
+        return reasons
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -1,529 +1,273 @@
-"""One broker among those that agree, on an event loop: disk, wire, timers and calls. It decides nothing."""
+"""One broker among those that agree, on an event loop: timers, network and calls. It decides nothing."""
 
 from __future__ import annotations
 
 import asyncio
-import json
-import os
 from collections import Counter
-from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, field
-from functools import partial
+from contextlib import nullcontext
 from pathlib import Path
-from random import Random, SystemRandom
-from typing import Any, Protocol
 
 import msgspec
-import xxhash
 
-from harriertide.consensus import events as ev
 from harriertide.consensus.events import Tuning
-from harriertide.consensus.fanout import ENTRIES, FEED_BYTES, REPORT_US, Fan, Feed, Report, Round
-from harriertide.consensus.follower import Follower
-from harriertide.consensus.messages import Member, Message, Proposal
-from harriertide.consensus.replica import (
-    AGAIN_US,
-    Applied,
-    Course,
-    Done,
-    Effect,
-    GaveUp,
-    Machine,
-    Readable,
-    Replica,
-)
-from harriertide.consensus.roster import Found, Hello, Roster
-from harriertide.consensus.store import DamagedError, Store, StoreError, set_aside
-from harriertide.consensus.transport import Transport
+from harriertide.consensus.fanout import Fan, Feed, Report, Sums
+from harriertide.consensus.replica import Machine
+from harriertide.control.environment import Environment
+from harriertide.control.event_log import EventSink
+from harriertide.control.follower_member import FollowerMember
+from harriertide.control.member_link import ClientCommand, MemberLink, MemberListener, Role
+from harriertide.control.pending_calls import NOT_AGREED, CallError, PendingCalls
+from harriertide.control.tree_updates import TreeUpdates
+from harriertide.control.voter import Voter
+from harriertide.control.wire import WireMessage, decode_message, encode_message
 from harriertide.engine.clock import until
-from harriertide.engine.log import log
 
-BEAT_S = 0.025
-Wire = Message | Hello | Found | Report | Feed
-_wire = msgspec.msgpack.Decoder(Wire)
-_encode = msgspec.msgpack.Encoder().encode
+TICK_S = 0.025  # a quarter of a heartbeat: timers are late by no more
+TRANSFER_S = 0.1  # that a leader which ends leaves for its handing over
+CALL_MARGIN_S = 0.5  # beyond a call's time, within which it is failed by its role
 
 
-class Disk(Protocol):
-    """A store, or what stands for one."""
+class AgreementMember:
+    """A broker with its role: a voter with a disk, or a follower without.
 
-    disk: str
-    found: ev.Restored
-
-    def write(self, works: list[ev.Persist]) -> None:
-        """With one sync; StoreError is final."""
-
-    def close(self) -> None:
-        """Let go."""
-
-
-class Carrier(Protocol):
-    """What carries payloads to others: a transport, or what stands for one."""
-
-    counts: Counter[str]
-
-    async def listen(self, address: tuple[str, int]) -> int:
-        """Hear others there."""
-
-    def send(self, name: str, address: tuple[str, int], payload: bytes) -> None:
-        """It may be lost."""
-
-    async def close(self) -> None:
-        """Let go."""
-
-
-@dataclass(frozen=True, slots=True)
-class Outside:
-    """What a broker stands on: disk and wire, or a laboratory's. write: carries out a store's write."""
-
-    disk: Callable[[Path], Disk] = Store.open
-    carrier: Callable[[Callable[[bytes], bool]], Carrier] = Transport
-    write: Callable[[Callable[[], None]], Awaitable[None]] = asyncio.to_thread
-    random: Random = field(default_factory=SystemRandom)
-
-
-class CallError(Exception):
-    """A call that was not agreed on in time: it may be later, or never."""
-
-
-class Events:
-    """A log for judges: a line each, whole, as it happens."""
-
-    def __init__(self, path: str, now: Callable[[], float]) -> None:
-        self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600) if path else -1
-        self._now = now
-
-    def say(self, event: str, **fields: Any) -> None:
-        """One more."""
-        if self._file >= 0:
-            row = {"event": event, "at": round(self._now(), 6), **fields}
-            os.write(self._file, (json.dumps(row) + "\n").encode())
-
-    def close(self) -> None:
-        """No more."""
-        if self._file >= 0:
-            os.close(self._file)
-            self._file = -1
-
-
-class Broker:
-    """A voter with its disk, or a follower without. own: what this broker reports of itself."""
+    :param name: of this broker
+    :param addresses: where each broker listens for the others, by name, in the order of the operator's file
+    :param voters: names of those with a vote
+    :param folder: of the store, for a voter
+    :param machine: the state machine behind the log
+    :param lease_us: how long a lease lasts
+    """
 
     def __init__(
         self,
         name: str,
-        brokers: dict[str, tuple[str, int]],
+        addresses: dict[str, tuple[str, int]],
         voters: tuple[str, ...],
         folder: Path,
         machine: Machine,
         lease_us: int,
-        events: Events,
-        own: Callable[[Broker], Report],
-        applied: Callable[[], None],
-        outside: Outside,
+        events: EventSink,
+        listener: MemberListener,
+        environment: Environment,
         tuning: Tuning | None = None,
     ) -> None:
-        self.name, self.addresses, self.voters = name, brokers, voters
-        self.counts: Counter[str] = Counter()
-        self._outside = outside
-        self.life = outside.random.getrandbits(31) | 1
-        self.events, self._own, self._applied = events, own, applied
-        self._client, self._serial = f"{name}-{outside.random.getrandbits(48):x}", 0
-        self._numbers = 0
-        self._waiting: dict[int, asyncio.Future[bytes]] = {}
-        self._transport = outside.carrier(self._hear)
-        self._works: list[ev.Persist] = []
-        self._work = asyncio.Event()
-        self._writing = asyncio.Lock()  # held while the store's thread is at work
+        random = environment.random
+        self.name = name
+        self.voters = voters
+        self.incarnation = random.getrandbits(31) | 1  # of this process; never 0
+        self.wait_reasons: dict[str, list[str]] = {}  # by "order/machine", as the leader told it last
+        self._addresses = addresses
+        self._listener = listener
+        self._events = events
+        self._counts: Counter[str] = Counter()
+        self._calls = PendingCalls()
+        self._client = f"{name}-{random.getrandbits(48):x}"
+        self._serial = 0
         self._tasks: list[asyncio.Task[None]] = []
-        self._rounds: dict[int, Round] = {}
-        self._folder = folder
-        self.halted = ""
-        self.waits: dict[str, list[str]] = {}  # as the leader told it last
-        first = outside.random.getrandbits(48)
-        self.fan = Fan(name, tuple(brokers), voters, lease_us, self.now_us(), first)
-        self.replica: Replica | None = None
-        self.follower: Follower | None = None
-        self._calls: dict[int, tuple[Proposal, int, float]] = {}  # as a follower: again when, until when
-        self._snapshot: tuple[int, bytes, int] = (0, b"", 0)  # for children: index, data, checksum
-        if name not in voters:
-            self.follower = Follower(Course(machine))
-            return
-        try:
-            self.store = outside.disk(folder)
-        except DamagedError as fault:
-            aside = set_aside(folder)
-            log("store damaged, kept aside; joins as a new member", reason=str(fault), aside=str(aside))
-            events.say("damaged", reason=str(fault))
-            self.store = outside.disk(folder)
-        me = Member(name, self.store.disk)
-        random = Random(outside.random.getrandbits(64))
-        self.replica = Replica(me, machine, tuning or Tuning(), self.store.found, random, self.now_us())
-        self.roster = Roster(me, voters)
-        self._found: Found | None = None
+        self._carrier = environment.carrier(self._on_payload)
+        self._tree = Fan(name, tuple(addresses), voters, lease_us, self.now_us(), random.getrandbits(48))
+        self._updates = TreeUpdates(name, voters, self._tree, self._send, self._counts)
+        link = MemberLink(
+            name=name,
+            voters=voters,
+            tree=self._tree,
+            calls=self._calls,
+            events=events,
+            counts=self._counts,
+            environment=environment,
+            listener=listener,
+            now_us=self.now_us,
+            send=self._send,
+            distribute=self._distribute,
+        )
+        self._voter = Voter(link, machine, folder, tuning or Tuning()) if name in voters else None
+        self._role: Role = self._voter or FollowerMember(link, machine)
 
     # --- questions ------------------------------------------------------------------------------------
 
     def now_us(self) -> int:
-        """Of the loop's clock, which never goes back and goes on while the process is stopped."""
+        """Return the loop's clock, which never goes back and goes on while the process is stopped."""
         return round(asyncio.get_running_loop().time() * 1_000_000)
 
     @property
-    def leads(self) -> bool:
-        """Whether this broker leads, as far as it knows."""
-        return self.replica is not None and self.replica.node.leads
+    def is_voter(self) -> bool:
+        """Whether it has a vote, by the operator's file."""
+        return self._voter is not None
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether it leads, as far as it knows."""
+        return self._role.led_term > 0
+
+    @property
+    def led_term(self) -> int:
+        """The term in which it leads; 0 where it does not."""
+        return self._role.led_term
 
     @property
-    def led(self) -> int:
-        """The term in which it leads, 0 where it does not."""
-        return self.replica.node.term if self.replica is not None and self.replica.node.leads else 0
+    def can_propose(self) -> bool:
+        """Whether it leads and knows all that was agreed on before its election."""
+        return self._role.has_committed_own_term
 
     @property
     def leader(self) -> str:
-        """Whom it takes for the leader; "" for nobody."""
-        if self.replica is not None:
-            leader = self.replica.node.leader
-            return leader.name if leader else ""
-        return self.fan.leader
+        """The broker that it takes for the leader; "" for none."""
+        return self._role.leader
+
+    @property
+    def voter_names(self) -> list[str]:
+        """The voters as far as it knows, by name."""
+        return self._role.voter_names
+
+    @property
+    def halted(self) -> str:
+        """Why it takes no part in the agreement any more; "" while it does."""
+        return self._role.halted
+
+    @property
+    def applied_index(self) -> int:
+        """The index up to which the log is applied here."""
+        return self._role.applied_state.applied
 
     @property
-    def course(self) -> Course:
-        """The state as applied here."""
-        if self.replica is not None:
-            return self.replica.course
-        assert self.follower is not None
-        return self.follower.course
+    def lease_end_us(self) -> int:
+        """When its last lease ends, by now_us; 0 where it had none since its start."""
+        return self._tree.lease_end_us
+
+    @property
+    def broker_index(self) -> int:
+        """Its index in the operator's file."""
+        return self._tree.place[self.name]
+
+    def has_lease(self) -> bool:
+        """Whether it holds a lease now."""
+        return self.now_us() < self._tree.lease_end_us
+
+    def subtree_totals(self, own_report: Report) -> Sums:
+        """Return what is known of this broker and of those below it in the tree; as leader: of all."""
+        return self._tree.sums(self.now_us(), own_report)
 
     # --- life -----------------------------------------------------------------------------------------
 
     async def start(self) -> None:
         """Listen, and take part."""
-        await self._transport.listen(self.addresses[self.name])
+        await self._carrier.listen(self._addresses[self.name])
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._beats())]
-        if self.replica is not None:
-            self._tasks.append(loop.create_task(self._writes()))
-            disk, cluster = self.replica.node.me.disk, self.replica.node.cluster
-            self.events.say("starts", disk=disk, cluster=cluster, life=self.life)
-        else:
-            self.events.say("starts", disk="", cluster="", life=self.life)
-
-    def hand_over(self) -> None:
-        """To the best of the others, if this broker leads."""
-        if self.replica is not None and self.leads:
-            self._do(self.replica.step(self.now_us(), ev.Transfer()))
+        self._tasks = [loop.create_task(self._run_ticks())]
+        disk = cluster = ""
+        if self._voter is not None:
+            self._tasks.append(loop.create_task(self._voter.writer.run()))
+            disk, cluster = self._voter.disk, self._voter.cluster
+        self._events.write("starts", disk=disk, cluster=cluster, life=self.incarnation)
+
+    def transfer_leadership(self) -> None:
+        """If it leads, hand over to the best of the others."""
+        self._role.transfer_leadership()
+
+    def cancel_tasks(self) -> list[asyncio.Task[None]]:
+        """End at once, as a process that is killed does; return the tasks that end."""
+        for task in self._tasks:
+            task.cancel()
+        return self._tasks
 
     async def close(self) -> None:
-        """Hand over, and let go of all."""
-        if self.leads:
-            self.hand_over()
-            await until(asyncio.get_running_loop().time() + 0.1)
-        async with self._writing:  # guards against a file that is closed under a write
-            for task in self._tasks:
-                task.cancel()
+        """Hand over, and close the network and the store."""
+        if self.is_leader:
+            self.transfer_leadership()
+            await until(asyncio.get_running_loop().time() + TRANSFER_S)
+        no_write = nullcontext() if self._voter is None else self._voter.writer.busy
+        async with no_write:
+            self.cancel_tasks()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._transport.close()
-        for waiting in self._waiting.values():
-            if not waiting.done():
-                waiting.set_exception(CallError("this broker ends"))
-        if self.replica is not None:
-            self.store.close()
-        self.events.close()
-
-    async def _beats(self) -> None:
+        await self._carrier.close()
+        self._calls.fail_all("this broker ends")
+        if self._voter is not None:
+            self._voter.close()
+        self._events.close()
+
+    async def _run_ticks(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self._beat()
-            await until(loop.time() + BEAT_S)
-
-    def _beat(self) -> None:
-        now = self.now_us()
-        if self.replica is not None:
-            if self.replica.due_us <= now:
-                self._do(self.replica.step(now, ev.Tick()))
-            self._roster(now)
-            self.fan.leader = self.leader
-        else:
-            self._again(now)
-        if self.fan.due(now):
-            self._report(now)
-        self._feed(now)
-        self.fan.settle(self.course.applied)
-
-    def _roster(self, now: int) -> None:
-        assert self.replica is not None
-        node = self.replica.node
-        hello = self.roster.hello(now, node)
-        if hello is not None:
-            for name in self.voters:
-                if name != self.name:
-                    self._send(name, hello)
-        if not node.cluster and node.role != "halted":
-            found = self.roster.found(now, f"{self._outside.random.getrandbits(48):x}")
-            if found is not None and self.roster.accepts(found, node):
-                self._found = found
-                self._do(node.form(now, found.cluster, found.members))
-        elif (
-            self._found is not None and now - self._hello_us > 300_000 and not node.leads and not node.leader
-        ):
-            self._hello_us = now
-            for name in self.voters:
-                if name != self.name:
-                    self._send(name, self._found)
-        step = self.roster.next(now, node)
-        if step is not None:
-            self._do(self.replica.step(now, step))
-
-    _hello_us = 0
-
-    # --- the wire -------------------------------------------------------------------------------------
-
-    def _send(self, name: str, message: Wire) -> None:
-        address = self.addresses.get(name)
+            self.tick()
+            await until(loop.time() + TICK_S)
+
+    def tick(self) -> None:
+        """Do what is due by time alone: the role's timers, a report or grant round, updates for children."""
+        now_us = self.now_us()
+        self._role.tick(now_us)
+        if self._tree.due(now_us) and not self._role.start_grant_round(now_us):
+            self._send_report(now_us)
+        self._distribute()
+        self._tree.settle(self.applied_index)
+
+    # --- network --------------------------------------------------------------------------------------
+
+    def report_soon(self) -> None:
+        """Send the next report at the next tick: others wait for what it says."""
+        self._tree.hurry()
+
+    def _send_report(self, now_us: int) -> None:
+        addressed = self._tree.report(now_us, self._listener.build_report())
+        if addressed is not None:
+            self._send(*addressed)
+
+    def _distribute(self) -> None:
+        self._updates.send_all(self.now_us(), self._role, self.wait_reasons)
+
+    def _send(self, name: str, message: WireMessage) -> None:
+        address = self._addresses.get(name)
         if address is not None:
-            self._transport.send(name, address, _encode(message))
+            self._carrier.send(name, address, encode_message(message))
 
-    def _hear(self, payload: bytes) -> bool:
+    def _on_payload(self, payload: bytes) -> bool:
+        """Take a payload of the carrier; return whether it was a message."""
         try:
-            message = _wire.decode(payload)
+            message = decode_message(payload)
         except msgspec.MsgspecError:
             return False
-        now = self.now_us()
+        now_us = self.now_us()
         if isinstance(message, Report):
-            self.fan.hear_report(now, message)
+            self._tree.hear_report(now_us, message)
         elif isinstance(message, Feed):
-            self._fed(now, message)
-        elif self.replica is None:
-            self.counts["not_for_a_follower"] += 1
-        elif isinstance(message, Hello):
-            self.roster.hear(now, message)
-            self._tell_found(message)
-        elif isinstance(message, Found):
-            if self.roster.accepts(message, self.replica.node):
-                self._do(self.replica.node.form(now, message.cluster, message.members))
+            self._on_update(now_us, message)
         else:
-            node = self.replica.node
-            if isinstance(message, Proposal) and not message.to.name:  # a follower's, who knows no disks
-                message = msgspec.structs.replace(message, to=node.me, cluster=node.cluster)
-            self._do(self.replica.step(now, ev.Received(message)))
+            self._role.on_message(now_us, message)
         return True
 
-    def _tell_found(self, hello: Hello) -> None:
-        """One that stands there on a fresh disk which the first list names has missed the founding."""
-        if self._found is not None and not hello.cluster and hello.sender in self._found.members.voters:
-            self._send(hello.sender.name, self._found)
-
-    # --- reports, leases, feeds -----------------------------------------------------------------------
-
-    def _report(self, now: int) -> None:
-        if self.leads:
-            assert self.replica is not None
-            self._numbers += 1
-            self._rounds = {n: r for n, r in self._rounds.items() if n > self._numbers - 32}
-            self._rounds[self._numbers] = self.fan.round(now)
-            self._do(self.replica.query(now, self._numbers, now + 10 * REPORT_US))
-            return
-        said = self.fan.report(now, self._own(self))
-        if said is not None:
-            self._send(*said)
-
-    def _fed(self, now: int, feed: Feed) -> None:
-        self.fan.hear_feed(now, feed)
-        if feed.granted and not self.leads:
-            self.waits = feed.waits
-        if self.follower is not None:
-            was = self.follower.course.applied
-            for entry, answer, fresh, digest in self.follower.take(feed):
-                self.events.say("applied", index=entry.index, digest=digest, fresh=fresh)
-                for number, (proposal, _, _) in list(self._calls.items()):
-                    if (proposal.client, proposal.serial) == (entry.client, entry.serial):
-                        del self._calls[number]
-                        self._answer(number, answer)
-            if self.follower.course.applied != was:
-                self._applied()
-                self._feed(now)
-        self.fan.settle(self.course.applied)
-
-    def _feed(self, now: int) -> None:
-        """Grants, and what children lack."""
-        for name, number, index in self.fan.grants(now):
-            self._send(name, Feed(self.name, self.leader, number, index, waits=self.waits))
-        applied = self.course.applied
-        for name, child in self.fan.children.items():
-            if name in self.voters:
-                continue
-            child.fed = max(child.fed, child.report.applied)
-            while child.fed < applied:
-                entries = self._after(child.fed)
-                if entries is None:
-                    self._feed_snapshot(name)
-                    child.fed = max(self._snapshot[0], child.fed + 1)
-                else:
-                    if not entries:
-                        break
-                    said = Feed(self.name, self.leader, child.told, child.index, child.fed, entries)
-                    self._send(name, said)
-                    child.fed = entries[-1].index
-                child.fed_us = now
-
-    def _after(self, index: int) -> tuple[Any, ...] | None:
-        if self.follower is not None:
-            return self.follower.after(index, ENTRIES)
-        assert self.replica is not None
-        node = self.replica.node
-        if index < node.log.base_index:
-            return None
-        found = node.log.after(index, ENTRIES, FEED_BYTES)
-        return tuple(entry for entry in found if entry.index <= self.replica.applied)
-
-    def _feed_snapshot(self, name: str) -> None:
-        if self._snapshot[0] < self.course.applied - ENTRIES or not self._snapshot[0]:
-            data = self.course.dump()
-            self._snapshot = self.course.applied, data, xxhash.xxh3_64_intdigest(data)
-        index, data, check = self._snapshot
-        self.counts["snapshots_out"] += 1
-        for offset in range(0, max(1, len(data)), FEED_BYTES):
-            piece = data[offset : offset + FEED_BYTES]
-            self._send(
-                name, Feed(self.name, self.leader, 0, 0, 0, (), index, len(data), check, offset, piece)
-            )
+    def _on_update(self, now_us: int, update: Feed) -> None:
+        self._tree.hear_feed(now_us, update)
+        if update.granted and not self.is_leader:
+            self.wait_reasons = update.waits
+        self._role.on_update(now_us, update)
+        self._tree.settle(self.applied_index)
 
     # --- calls ----------------------------------------------------------------------------------------
 
     async def call(self, data: bytes, within_s: float) -> bytes:
-        """Agree on a command: its answer. CallError where that is not known in time."""
-        now = self.now_us()
-        self._numbers += 1
+        """Have a command agreed on and applied here.
+
+        :returns: the result of the state machine
+        :raises CallError: it was not agreed on in time; it may be later, or never
+        """
+        now_us = self.now_us()
         self._serial += 1
-        number, limit = self._numbers, now + int(within_s * 1_000_000)
-        waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
+        number, future = self._calls.open()
+        deadline_us = now_us + int(within_s * 1_000_000)
+        command = ClientCommand(number, self._client, self._serial, data, deadline_us)
         try:
-            if self.replica is not None:
-                self._do(self.replica.call(now, number, self._client, self._serial, data, limit))
-            else:
-                me, nobody = Member(self.name, ""), Member("", "")
-                proposal = Proposal("", me, nobody, 0, self._client, self._serial, data)
-                self._calls[number] = (proposal, now, limit)
-                self._again(now)
-            async with asyncio.timeout(within_s + 0.5):
-                answer: bytes = await waiting
-                return answer
+            self._role.submit(now_us, command)
+            async with asyncio.timeout(within_s + CALL_MARGIN_S):
+                return await future
         except TimeoutError:
-            raise CallError("not agreed on in time; it may be later, or never") from None
+            raise CallError(NOT_AGREED) from None
         finally:
-            self._waiting.pop(number, None)
-            self._calls.pop(number, None)
-
-    def _again(self, now: int) -> None:
-        """As a follower: calls go to the leader, and again after a while."""
-        for number, (proposal, again, limit) in list(self._calls.items()):
-            if now >= limit:
-                del self._calls[number]
-                self._fail(number, "not agreed on in time; it may be later, or never")
-            elif now >= again and self.fan.leader:
-                self._calls[number] = (proposal, now + AGAIN_US, limit)
-                self._send(self.fan.leader, proposal)
+            self._calls.discard(number)
+            self._role.withdraw(number)
 
     async def read(self, within_s: float) -> bool:
         """Wait until the state holds all that was agreed on by now; False where that can't be known."""
-        if self.replica is None:
-            return self.fan.lease_end_us > self.now_us()
-        self._numbers += 1
-        number = self._numbers
-        waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
-        try:
-            now = self.now_us()
-            self._do(self.replica.query(now, number, now + int(within_s * 1_000_000)))
-            async with asyncio.timeout(within_s + 0.5):
-                await waiting
-            return True
-        except (TimeoutError, CallError):
-            return False
-        finally:
-            self._waiting.pop(number, None)
-
-    def _answer(self, number: int, answer: bytes) -> None:
-        waiting = self._waiting.get(number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer)
-
-    def _fail(self, number: int, why: str) -> None:
-        waiting = self._waiting.get(number)
-        if waiting is not None and not waiting.done():
-            waiting.set_exception(CallError(why))
-
-    # --- effects --------------------------------------------------------------------------------------
-
-    def _do(self, effects: list[Any] | list[Effect]) -> None:
-        changed = False
-        for effect in effects:
-            if isinstance(effect, ev.Transmit):
-                self._send(effect.message.to.name, effect.message)
-            elif isinstance(effect, ev.Persist):
-                self._works.append(effect)
-                self._work.set()
-            elif isinstance(effect, Applied):
-                changed = True
-                self.events.say("applied", index=effect.index, digest=effect.digest, fresh=effect.fresh)
-            elif isinstance(effect, Done):
-                self._answer(effect.number, effect.answer)
-            elif isinstance(effect, Readable):
-                self._readable(effect.number)
-            elif isinstance(effect, GaveUp):
-                self._rounds.pop(effect.number, None)
-                self._fail(effect.number, "not agreed on in time; it may be later, or never")
-            elif isinstance(effect, ev.Noted):
-                self._noted(effect)
-        if changed:
-            self.fan.settle(self.course.applied)
-            self._applied()
-            self._feed(self.now_us())
-
-    def _readable(self, number: int) -> None:
-        asked = self._rounds.pop(number, None)
-        if asked is None:
-            self._answer(number, b"")
-            return
-        if self.leads:  # the own round: all reports of then are granted
-            self.fan.confirm(asked, self.course.applied)
-            self.granted(asked)
-            self._feed(self.now_us())
-
-    granted: Callable[[Round], None] = staticmethod(lambda asked: None)
-
-    def _noted(self, effect: ev.Noted) -> None:
-        self.counts[effect.what.replace(" ", "_")] += 1
-        self.events.say("noted", what=effect.what, term=effect.term, detail=effect.detail)
-        if effect.what in ("leads", "halted", "broken", "hands over", "stepped down", "members"):
-            log("agreement", what=effect.what, term=effect.term, detail=effect.detail)
-        if effect.what in ("halted", "broken"):
-            self.halted = effect.detail
-
-    async def _writes(self) -> None:
-        """Group commit: what came while the disk was busy goes with the next sync."""
-        loop = asyncio.get_running_loop()
-        assert self.replica is not None
-        while True:
-            await self._work.wait()
-            self._work.clear()
-            works, self._works = self._works, []
-            if not works:
-                continue
-            begun = loop.time()
-            try:
-                async with self._writing:
-                    await self._outside.write(partial(self.store.write, works))
-            except StoreError as fault:
-                log(
-                    "the disk refused; this broker is out of the agreement until it is started again",
-                    reason=str(fault),
-                )
-                self.events.say("sync failed", reason=str(fault))
-                self._do(self.replica.step(self.now_us(), ev.SyncFailed()))
-                return
-            took = max(1, round((loop.time() - begun) * 1_000_000))
-            self._do(self.replica.step(self.now_us(), ev.Synced(works[-1].number, took)))
+        return await self._role.read(within_s)
 
     def counters(self) -> dict[str, Counter[str]]:
-        """By part."""
-        return {"agreement": self.counts, "agreement_wire": self._transport.counts}
+        """Return the counters, by part."""
+        return {"agreement": self._counts, "agreement_wire": self._carrier.counts}
--- /dev/null
+++ b/harriertide/control/ports.py
@@ -0,0 +1,37 @@
+"""What maintenance asks of the rest of a broker: of the reducer, and of the object front."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Protocol
+
+from harriertide.config.model import State
+from harriertide.decide import api
+
+
+class NodeDirectory(Protocol):
+    """The object front: the operator's state, and which nodes may get requests."""
+
+    state: State
+
+    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
+        """Send nothing new to these nodes; None: to none at all. started_us: when others came back."""
+
+
+class RequestCore(Protocol):
+    """The reducer: what it is offered, what it has open, and what it learns of nodes."""
+
+    settings: api.Settings
+    offered_units: float
+    lifeless: Counter[str]
+    barred: Callable[[str], bool] | None
+
+    def out_at(self, node: str) -> int:
+        """Return how many attempts are open at a node."""
+
+    def learned(self) -> dict[str, float]:
+        """Return what overloaded nodes serve a second, by node."""
+
+    def owed(self) -> int:
+        """Return how many requests have no final answer yet."""
--- /dev/null
+++ b/harriertide/control/tree_updates.py
@@ -0,0 +1,94 @@
+"""What a member sends to its children in the tree: grants of leases, and entries or a snapshot that they
+lack.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Protocol
+
+import xxhash
+
+from harriertide.consensus.fanout import ENTRIES, FEED_BYTES, Fan, Feed
+from harriertide.consensus.messages import Entry
+from harriertide.consensus.replica import Course
+
+
+class UpdateSource(Protocol):
+    """Where updates come from: the member's role."""
+
+    @property
+    def leader(self) -> str:
+        """The broker that it takes for the leader."""
+
+    @property
+    def applied_state(self) -> Course:
+        """The state machine, with the index up to which it is applied."""
+
+    def entries_after(self, index: int) -> tuple[Entry, ...] | None:
+        """Return applied entries after an index; None where they are not kept any more."""
+
+
+class TreeUpdates:
+    """Sends updates to the children of one member.
+
+    :param send: sends an update to a broker by name; it may be lost
+    :param counts: counts snapshots that were sent
+    """
+
+    def __init__(
+        self,
+        name: str,
+        voters: tuple[str, ...],
+        tree: Fan,
+        send: Callable[[str, Feed], None],
+        counts: Counter[str],
+    ) -> None:
+        self._name = name
+        self._voters = voters
+        self._tree = tree
+        self._send = send
+        self._counts = counts
+        self._snapshot_index = 0  # of the snapshot that is kept for children; 0: none
+        self._snapshot = b""
+        self._snapshot_checksum = 0
+
+    def send_all(self, now_us: int, source: UpdateSource, wait_reasons: dict[str, list[str]]) -> None:
+        """Send new grants to all children, and to those that are no voters the entries that they lack.
+
+        :param wait_reasons: what machines wait for, as the leader sees it
+        """
+        for name, number, index in self._tree.grants(now_us):
+            self._send(name, Feed(self._name, source.leader, number, index, waits=wait_reasons))
+        applied = source.applied_state.applied
+        for name, child in self._tree.children.items():
+            if name in self._voters:
+                continue
+            child.fed = max(child.fed, child.report.applied)
+            while child.fed < applied:
+                entries = source.entries_after(child.fed)
+                if entries is None:
+                    self._send_snapshot(name, source)
+                    child.fed = max(self._snapshot_index, child.fed + 1)
+                elif entries:
+                    update = Feed(self._name, source.leader, child.told, child.index, child.fed, entries)
+                    self._send(name, update)
+                    child.fed = entries[-1].index
+                else:
+                    break
+                child.fed_us = now_us
+
+    def _send_snapshot(self, name: str, source: UpdateSource) -> None:
+        state = source.applied_state
+        if self._snapshot_index < state.applied - ENTRIES or not self._snapshot_index:
+            self._snapshot = state.dump()
+            self._snapshot_index = state.applied
+            self._snapshot_checksum = xxhash.xxh3_64_intdigest(self._snapshot)
+        self._counts["snapshots_out"] += 1
+        total = len(self._snapshot)
+        for offset in range(0, max(1, total), FEED_BYTES):
+            chunk = self._snapshot[offset : offset + FEED_BYTES]
+            index, checksum = self._snapshot_index, self._snapshot_checksum
+            update = Feed(self._name, source.leader, 0, 0, 0, (), index, total, checksum, offset, chunk)
+            self._send(name, update)
--- /dev/null
+++ b/harriertide/control/voter.py
@@ -0,0 +1,266 @@
+"""The role of a broker with a vote: a replica of the agreed log on a disk of its own."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+from pathlib import Path
+from random import Random
+
+import msgspec
+
+from harriertide.consensus import events as ev
+from harriertide.consensus.events import Tuning
+from harriertide.consensus.fanout import ENTRIES, FEED_BYTES, REPORT_US, Feed, Round
+from harriertide.consensus.messages import Entry, Member, Message, Proposal
+from harriertide.consensus.replica import (
+    Applied,
+    Course,
+    Done,
+    Effect,
+    GaveUp,
+    Machine,
+    Readable,
+    Replica,
+)
+from harriertide.consensus.roster import Found, Hello
+from harriertide.consensus.store import DamagedError, StoreError, set_aside
+from harriertide.control.cluster_membership import ClusterMembership
+from harriertide.control.disk_writer import DiskWriter
+from harriertide.control.environment import Disk
+from harriertide.control.member_link import ClientCommand, MemberLink
+from harriertide.control.pending_calls import NOT_AGREED, CallError
+from harriertide.engine.log import log
+
+GRANT_ROUND_COUNT = 32  # that wait for a majority at once; older ones grant nothing that counts any more
+GRANT_ROUND_US = 10 * REPORT_US  # after that a round is given up: newer ones are under way
+
+# What an operator reads of an event of the agreement, and which ones.
+_LOG_LINES = {
+    "leads": "elected leader of the agreement",
+    "hands over": "transfers leadership of the agreement",
+    "stepped down": "stepped down as leader of the agreement",
+    "members": "membership of the agreement changes",
+    "halted": "out of the agreement until this broker is started again",
+    "broken": "out of the agreement, an invariant does not hold",
+}
+
+
+class Voter:
+    """A replica with its store, on the member's network and clock.
+
+    :param machine: the state machine behind the log
+    :param folder: of the store; one that is damaged is kept aside, and this broker joins as a new member
+    """
+
+    def __init__(self, link: MemberLink, machine: Machine, folder: Path, tuning: Tuning) -> None:
+        self._link = link
+        self._store = self._open_store(folder)
+        me = Member(link.name, self._store.disk)
+        random = Random(link.environment.random.getrandbits(64))
+        self._replica = Replica(me, machine, tuning, self._store.found, random, link.now_us())
+        self._membership = ClusterMembership(link, me, self._replica, self._carry_out)
+        self.writer = DiskWriter(
+            self._store, link.environment.write_to_disk, self._on_synced, self._on_disk_failure
+        )
+        self._grant_rounds: dict[int, Round] = {}
+        self._halted = ""
+
+    def _open_store(self, folder: Path) -> Disk:
+        try:
+            return self._link.environment.disk(folder)
+        except DamagedError as fault:
+            aside = set_aside(folder)
+            log("store damaged, kept aside; joins as a new member", reason=str(fault), aside=str(aside))
+            self._link.events.write("damaged", reason=str(fault))
+            return self._link.environment.disk(folder)
+
+    # --- questions ------------------------------------------------------------------------------------
+
+    @property
+    def disk(self) -> str:
+        """The identity of its disk."""
+        return self._replica.node.me.disk
+
+    @property
+    def cluster(self) -> str:
+        """The cluster that its disk is of; "" for an empty disk."""
+        return self._replica.node.cluster
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether it leads, as far as it knows."""
+        return self._replica.node.leads
+
+    @property
+    def leader(self) -> str:
+        """The broker that it takes for the leader; "" for none."""
+        leader = self._replica.node.leader
+        return leader.name if leader else ""
+
+    @property
+    def led_term(self) -> int:
+        """The term in which it leads; 0 where it does not."""
+        return self._replica.node.term if self.is_leader else 0
+
+    @property
+    def has_committed_own_term(self) -> bool:
+        """Whether it leads and knows all that was agreed on before its election."""
+        return self._replica.node.settled
+
+    @property
+    def voter_names(self) -> list[str]:
+        """The voters of the membership that counts now."""
+        return sorted(member.name for member in self._replica.node.members.voters)
+
+    @property
+    def halted(self) -> str:
+        """Why it takes no part in the agreement any more; "" while it does."""
+        return self._halted
+
+    @property
+    def applied_state(self) -> Course:
+        """The state machine, with the index up to which it is applied."""
+        return self._replica.course
+
+    def entries_after(self, index: int) -> tuple[Entry, ...] | None:
+        """Return applied entries after an index for a child; None where the log begins later."""
+        node = self._replica.node
+        if index < node.log.base_index:
+            return None
+        entries = node.log.after(index, ENTRIES, FEED_BYTES)
+        return tuple(entry for entry in entries if entry.index <= self._replica.applied)
+
+    # --- events ---------------------------------------------------------------------------------------
+
+    def tick(self, now_us: int) -> None:
+        """Do what is due by time alone."""
+        if self._replica.due_us <= now_us:
+            self._carry_out(self._replica.step(now_us, ev.Tick()))
+        self._membership.tick(now_us)
+        self._link.tree.leader = self.leader
+
+    def on_message(self, now_us: int, message: Message | Hello | Found) -> None:
+        """Take a message of the agreement."""
+        if isinstance(message, Hello):
+            self._membership.on_hello(now_us, message)
+            return
+        if isinstance(message, Found):
+            self._membership.on_founding(now_us, message)
+            return
+        if isinstance(message, Proposal) and not message.to.name:
+            # A follower's, which knows neither disks nor the cluster.
+            node = self._replica.node
+            message = msgspec.structs.replace(message, to=node.me, cluster=node.cluster)
+        self._carry_out(self._replica.step(now_us, ev.Received(message)))
+
+    def on_update(self, now_us: int, update: Feed) -> None:
+        """Take a grant of the leader's: the tree has it; entries come by the agreement itself."""
+
+    def start_grant_round(self, now_us: int) -> bool:
+        """As leader, ask a majority to confirm it, so that all reports of now are granted a lease."""
+        if not self.is_leader:
+            return False
+        number = self._link.calls.next_number()
+        oldest = number - GRANT_ROUND_COUNT
+        self._grant_rounds = {n: granted for n, granted in self._grant_rounds.items() if n > oldest}
+        self._grant_rounds[number] = self._link.tree.round(now_us)
+        self._carry_out(self._replica.query(now_us, number, now_us + GRANT_ROUND_US))
+        return True
+
+    def submit(self, now_us: int, command: ClientCommand) -> None:
+        """Have a command agreed on; its call is completed or failed later."""
+        effects = self._replica.call(
+            now_us, command.number, command.client, command.serial, command.data, command.deadline_us
+        )
+        self._carry_out(effects)
+
+    def withdraw(self, number: int) -> None:
+        """Stop attempts for a call: the replica gives it up at its deadline by itself."""
+
+    async def read(self, within_s: float) -> bool:
+        """Wait until the state holds all that was agreed on by now; False where that can't be known."""
+        number, future = self._link.calls.open()
+        try:
+            now_us = self._link.now_us()
+            self._carry_out(self._replica.query(now_us, number, now_us + int(within_s * 1_000_000)))
+            async with asyncio.timeout(within_s + 0.5):
+                await future
+            return True
+        except (TimeoutError, CallError):
+            return False
+        finally:
+            self._link.calls.discard(number)
+
+    def transfer_leadership(self) -> None:
+        """If it leads, hand over to the best of the others."""
+        if self.is_leader:
+            self._carry_out(self._replica.step(self._link.now_us(), ev.Transfer()))
+
+    def close(self) -> None:
+        """Close the store."""
+        self._store.close()
+
+    # --- effects --------------------------------------------------------------------------------------
+
+    def _carry_out(self, effects: Sequence[Effect]) -> None:
+        has_applied = False
+        for effect in effects:
+            if isinstance(effect, Applied):
+                has_applied = True
+                self._link.events.write(
+                    "applied", index=effect.index, digest=effect.digest, fresh=effect.fresh
+                )
+            else:
+                self._carry_out_one(effect)
+        if has_applied:
+            self._link.tree.settle(self.applied_state.applied)
+            self._link.listener.on_applied()
+            self._link.distribute()
+
+    def _carry_out_one(self, effect: Effect) -> None:
+        match effect:
+            case ev.Transmit():
+                self._link.send(effect.message.to.name, effect.message)
+            case ev.Persist():
+                self.writer.submit(effect)
+            case Done():
+                self._link.calls.complete(effect.number, effect.answer)
+            case Readable():
+                self._on_readable(effect.number)
+            case GaveUp():
+                self._grant_rounds.pop(effect.number, None)
+                self._link.calls.fail(effect.number, NOT_AGREED)
+            case ev.Noted():
+                self._on_noted(effect)
+
+    def _on_readable(self, number: int) -> None:
+        granted = self._grant_rounds.pop(number, None)
+        if granted is None:
+            self._link.calls.complete(number, b"")
+            return
+        if self.is_leader:
+            self._link.tree.confirm(granted, self.applied_state.applied)
+            self._link.listener.on_leases_granted(granted)
+            self._link.distribute()
+
+    def _on_noted(self, effect: ev.Noted) -> None:
+        self._link.counts[effect.what.replace(" ", "_")] += 1
+        self._link.events.write("noted", what=effect.what, term=effect.term, detail=effect.detail)
+        if effect.what in _LOG_LINES:
+            log(_LOG_LINES[effect.what], term=effect.term, reason=effect.detail)
+        if effect.what in ("halted", "broken"):
+            self._halted = effect.detail
+
+    # --- the disk -------------------------------------------------------------------------------------
+
+    def _on_synced(self, number: int, took_us: int) -> None:
+        self._carry_out(self._replica.step(self._link.now_us(), ev.Synced(number, took_us)))
+
+    def _on_disk_failure(self, fault: StoreError) -> None:
+        log(
+            "the disk refused; this broker is out of the agreement until it is started again",
+            reason=str(fault),
+        )
+        self._link.events.write("sync failed", reason=str(fault))
+        self._carry_out(self._replica.step(self._link.now_us(), ev.SyncFailed()))
--- a/harriertide/lab/bench_upkeep.py
+++ b/harriertide/lab/bench_upkeep.py
@@ -216,7 +216,7 @@
         )
         for name, carrier in fleet.carriers.items()
     }
-    led = next(name for name, service in fleet.services.items() if service.broker.leads)
+    led = next(name for name, service in fleet.services.items() if service.member.is_leader)
     found = {
         "leader": {"messages_s": round(rates[led][0]), "bytes_s": round(rates[led][1])},
         "median": {
--- a/harriertide/lab/child.py
+++ b/harriertide/lab/child.py
@@ -18,7 +18,7 @@
 
 from harriertide.cli.daemon import run
 from harriertide.consensus.store import Store
-from harriertide.control.member import Outside
+from harriertide.control.environment import Environment
 
 
 class Faults:
@@ -54,8 +54,8 @@
 def main(file: str, faults: str) -> int:
     """Serve as the daemon does."""
     made = Faults(faults)
-    outside = Outside(disk=partial(Store.open, sync=made.sync))
-    return run({}, file, hooks={"outside": outside, "wall_s": made.wall_s})
+    environment = Environment(disk=partial(Store.open, sync=made.sync))
+    return run({}, file, hooks={"environment": environment, "wall_s": made.wall_s})
 
 
 if __name__ == "__main__":
--- a/harriertide/lab/fleet.py
+++ b/harriertide/lab/fleet.py
@@ -22,8 +22,9 @@
 from harriertide.config.model import Maintenance, State
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import Entry, Snapshot
-from harriertide.control.maintenance_service import Service
-from harriertide.control.member import CallError, Outside
+from harriertide.control.environment import Environment
+from harriertide.control.maintenance_service import MaintenanceService
+from harriertide.control.pending_calls import CallError
 from harriertide.decide import api
 from harriertide.engine.clock import until
 from harriertide.lab import virtual
@@ -141,7 +142,7 @@
     def __init__(self, rows: list[dict[str, Any]], name: str) -> None:
         self._rows, self._name = rows, name
 
-    def say(self, event: str, **fields: Any) -> None:
+    def write(self, event: str, **fields: Any) -> None:
         """One more."""
         at = asyncio.get_running_loop().time()
         self._rows.append({"event": event, "by": self._name, "at": at, **fields})
@@ -175,7 +176,7 @@
         self.boxes = [f"x{place + 1}" for place in range(boxes)]
         self.cut: set[tuple[str, str]] = set()
         self.carriers: dict[str, Carrier] = {}
-        self.services: dict[str, Service] = {}
+        self.services: dict[str, MaintenanceService] = {}
         self.requests: dict[str, Requests] = {}
         self.disks = {name: MemoryDisk(f"{name}-1") for name in self.names}
         self.lives: Counter[str] = Counter()
@@ -248,22 +249,21 @@
             return self.disks[name]
 
         seed = Random(f"{name} {self.lives[name]} {self.random.random()}")
-        outside = Outside(disk, carrier, write, seed)  # type: ignore[arg-type]
+        environment = Environment(disk, carrier, write, seed, lambda path: Log(self.rows, name))
         core = self.requests[name] = Requests()
         leave = partial(self._leave, name)
-        made = Service(
+        made = MaintenanceService(
             settings,
             core,
             Boxes(self.state),
             lambda: 0,
             leave,
             core.take,
-            outside,
+            environment,
             partial(self._wall, name),
         )
-        made.events = made.broker.events = Log(self.rows, name)  # type: ignore[assignment]
-        made.broker._beat = partial(self._still, name, made.broker._beat)  # type: ignore[method-assign]
-        made._plan = partial(self._still, name, made._plan)  # type: ignore[method-assign]
+        made.member.tick = partial(self._still, name, made.member.tick)  # type: ignore[method-assign]
+        made.plan = partial(self._still, name, made.plan)  # type: ignore[method-assign]
         self.services[name] = made
         await made.start()
         loop = asyncio.get_running_loop()
@@ -278,10 +278,10 @@
         if made is None:
             return
         self.carriers[name].open = False
-        tasks = [*self._tasks.pop(name), *made._tasks, *made.broker._tasks]
-        tasks += [made._timer] if made._timer else []
+        tasks = self._tasks.pop(name)
         for task in tasks:
             task.cancel()
+        tasks += made.cancel_tasks()
         await asyncio.gather(*tasks, return_exceptions=True)
         loop = asyncio.get_running_loop()
         for place, (begun, end, box, by) in enumerate(self.tries):
@@ -333,7 +333,7 @@
             if made is not None:
                 try:
                     command = SubmitOrder(order, self._wall(made.settings.name))
-                    answer = decode_result(await made.broker.call(encode_command(command), 2.0))
+                    answer = decode_result(await made.member.call(encode_command(command), 2.0))
                     if not answer.refusal:
                         self.agreed[order.id] = order
                         return True
@@ -347,8 +347,8 @@
         loop = asyncio.get_running_loop()
         while loop.time() < end:
             made = self.services.get(self.random.choice(self.names))
-            if made is not None and made.broker.fan.lease_end_us > made.broker.now_us():
-                state = made.upkeep.state
+            if made is not None and made.member.has_lease():
+                state = made.machine.state
                 if self.agreed and all(n in state.orders and not state.is_open(n) for n in self.agreed):
                     return True
                 for step in state.active_steps():
@@ -357,7 +357,7 @@
             await until(loop.time() + 0.2)
         return False
 
-    async def _done(self, made: Service, machine: str) -> None:
+    async def _done(self, made: MaintenanceService, machine: str) -> None:
         class Body:
             method, raw_path = "POST", "/maintenance/done"
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -519,14 +519,14 @@
     tried = len(fleet.tries)
     await until(loop.time() + 6.0)
     lone = fleet.services["b5"]
-    assert lone.broker.now_us() > lone.broker.fan.lease_end_us and not lone.broker.leads
-    assert not lone.upkeep.state.orders  # it permits nothing, and does not know what was agreed on
+    assert lone.member.now_us() > lone.member.lease_end_us and not lone.member.is_leader
+    assert not lone.machine.state.orders  # it permits nothing, and does not know what was agreed on
     served = [
         box for begun, _, box, by in fleet.tries[tried:] if by.startswith("b5") and begun > loop.time() - 1.0
     ]
     assert served  # and serves on
     if known:
-        steps = [step for s in fleet.services.values() for step in s.upkeep.state.active_steps()]
+        steps = [step for s in fleet.services.values() for step in s.machine.state.active_steps()]
         assert {step.phase for step in steps} <= {"permitted"}
     fleet.cut.clear()
     await asyncio.gather(*asked)
@@ -550,7 +550,7 @@
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
     await until(loop.time() + 6.0)
-    leased = sum(s.broker.fan.lease_end_us > s.broker.now_us() for s in fleet.services.values())
+    leased = sum(s.member.lease_end_us > s.member.now_us() for s in fleet.services.values())
     sent = {name: carrier.counts["frames_out"] for name, carrier in fleet.carriers.items()}
     await until(loop.time() + 1.0)
     rates = {name: carrier.counts["frames_out"] - sent[name] for name, carrier in fleet.carriers.items()}
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -17,7 +17,7 @@
 from harriertide.consensus import events as consensus_events
 from harriertide.consensus.messages import Entry, Member, Members
 from harriertide.consensus.store import Store
-from harriertide.control import member as control_member
+from harriertide.control.wire import decode_message, encode_message
 from harriertide.decide import api, handover, peer_messages
 from harriertide.decide.scheduler import Scheduler
 from harriertide.engine import workload as workloads
@@ -129,7 +129,7 @@
     frames = [bytes.fromhex(text) for text in stored_json("member_frames.json")]
     assert len(frames) == 14
     for frame in frames:
-        assert control_member._encode(control_member._wire.decode(frame)) == frame
+        assert encode_message(decode_message(frame)) == frame
 
 
 def test_a_maintenance_state_of_the_release_before_is_read_and_written_alike() -> None:
