--- a/Makefile
+++ b/Makefile
@@ -24,7 +24,7 @@
 
 # two minutes of attempts with ends of every kind against boxes that read late: docs/measurements/second-copy.md
 probe-second-copy: build
-	$(PYTHON) -m harriertide.lab.second_copy --attempts 200000
+	$(PYTHON) -m harriertide.lab.experiments.duplicate_attempts --attempts 200000
 
 # how much of a limit heads use that lose messages and die: docs/measurements/deployments.md
 measure-limits: build
--- a/harriertide/cli/lab.py
+++ b/harriertide/cli/lab.py
@@ -24,17 +24,17 @@
 from harriertide.decide.settings import SettingsError
 
 EXPERIMENTS = {
-    "bench-library": "bench_library",
-    "bench-maintenance": "bench_upkeep",
+    "bench-library": "benchmarks.library_overhead",
+    "bench-maintenance": "benchmarks.maintenance_cost",
     "consensus-check": "check",
-    "drains": "drains",
-    "limits": "limits",
-    "maintenance": "upkeep",
-    "operator-calls": "operator_calls",
-    "parity": "parity",
-    "processes": "processes",
-    "second-copy": "second_copy",
-    "upgrades": "upgrades",
+    "drains": "experiments.drains",
+    "limits": "experiments.limits",
+    "maintenance": "experiments.maintenance",
+    "operator-calls": "benchmarks.operator_calls",
+    "parity": "experiments.parity",
+    "processes": "experiments.processes",
+    "second-copy": "experiments.duplicate_attempts",
+    "upgrades": "experiments.upgrades",
 }
 
 
--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/benchmarks/library_overhead.py
@@ -34,13 +34,13 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.http.limits import Limits
 from harriertide.http.nodes import NodeClient
-from harriertide.lab import plant
+from harriertide.lab.simulation import stand_in_nodes
 from harriertide.library import Ask, Attempt, Box, Broker, Fixed
 from harriertide.platform.configuration import Config
 
 WAYS = ("direct", "library", "daemon")
 FIGURES = ("p50", "p99", "p99.9", "cpu")
-SETTINGS = replace(plant.SETTINGS, shard_count=1)
+SETTINGS = replace(stand_in_nodes.SETTINGS, shard_count=1)
 CONNECT_US, IDLE_US = 250_000, 15_000_000
 
 
@@ -48,7 +48,7 @@
     """A box that answers as fast as it can."""
 
     async def main() -> None:
-        box = plant.Box("box-0", 0, 1, speed=1e6)
+        box = stand_in_nodes.Box("box-0", 0, 1, speed=1e6)
         server = await asyncio.start_server(box.serve, "127.0.0.1", 0)
         pipe.send(server.sockets[0].getsockname()[1])
         async with server:
@@ -198,7 +198,7 @@
     found: dict[int, list[float]] = {count: [] for count in counts}
     for _ in range(3):
         for count in counts:
-            settings = replace(plant.SETTINGS, shard_count=count)
+            settings = replace(stand_in_nodes.SETTINGS, shard_count=count)
             source = Fixed(Box(f"box-{n}", n) for n in range(count))
 
             async def empty(attempt: Attempt) -> None:
--- a/harriertide/lab/bench_upkeep.py
+++ b/harriertide/lab/benchmarks/maintenance_cost.py
@@ -34,10 +34,10 @@
 from harriertide.consensus.store import Store
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab import virtual
-from harriertide.lab.fleet import Fleet
-from harriertide.lab.rig import Rig
-from harriertide.lab.upkeep import Run
+from harriertide.lab.experiments.maintenance import Run
+from harriertide.lab.rigs.maintenance_rig import Rig
+from harriertide.lab.simulation import virtual_time
+from harriertide.lab.simulation.maintenance_fleet import Fleet
 
 BOXES, BROKERS, TAKES_S = 8, 5, 0.5
 FIXED_S = 3.0  # that an operator waits for a drain by hand
@@ -246,7 +246,7 @@
     if only in ("all", "kill"):
         found["without_a_leader"] = asyncio.run(_kills(kills))
     if only in ("all", "fleet"):
-        found["fleet"] = {str(n): virtual.run(_fleet(n)) for n in (5, 50, 200)}
+        found["fleet"] = {str(n): virtual_time.run(_fleet(n)) for n in (5, 50, 200)}
     if only in ("all", "work"):
         found["work"] = work(rounds, float(rate))
     print(json.dumps(found, indent=1))
--- a/harriertide/lab/operator_calls.py
+++ b/harriertide/lab/benchmarks/operator_calls.py
@@ -29,16 +29,16 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.folders import kept_or_temporary
-from harriertide.lab.script import HOST
-from harriertide.lab.upgrade_world import Called, World, call
+from harriertide.lab.rigs.fault_script import HOST
+from harriertide.lab.rigs.folders import kept_or_temporary
+from harriertide.lab.rigs.single_broker import Called, World, call
 
 CALL_EVERY_S = 0.1
 WARM_UP_S = 2.0  # of load before the first call
 LATE_S = 1.0
 SILENT_CALLERS = 12
 NEVER_RESTS = "while True: pass"
-THREADED = "harriertide.lab.operator_thread"
+THREADED = "harriertide.lab.rigs.threaded_operators"
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/lab/upgrade_judge.py
+++ b/harriertide/lab/checkers/upgrade_checker.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from harriertide.lab.upgrade_world import BURST, COLD_S, COLD_UNITS, FALL_S, LIMIT
+from harriertide.lab.rigs.single_broker import BURST, COLD_S, COLD_UNITS, FALL_S, LIMIT
 
 SLACK = 6.0  # units that a limit may be passed by: one of the largest requests
 LATE_S = 0.15  # what the limit allows in so long is slack too, on sockets
--- a/harriertide/lab/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -22,11 +22,11 @@
 from docopt import docopt
 
 from harriertide.engine.clock import until
-from harriertide.lab.folders import kept_or_temporary
-from harriertide.lab.processes import status_of
-from harriertide.lab.script import HOST
-from harriertide.lab.upgrade_judge import IDLE_S, LATE_REQUEST_S, REJOIN_S, Found, conclude, judge
-from harriertide.lab.upgrade_world import Called, Process, World, call
+from harriertide.lab.checkers.upgrade_checker import IDLE_S, LATE_REQUEST_S, REJOIN_S, Found, conclude, judge
+from harriertide.lab.experiments.processes import status_of
+from harriertide.lab.rigs.fault_script import HOST
+from harriertide.lab.rigs.folders import kept_or_temporary
+from harriertide.lab.rigs.single_broker import Called, Process, World, call
 
 ASK_S, FURTHER_S = 0.1, 0.2  # the front's
 BAD_CALLERS = 12
--- a/harriertide/lab/upkeep.py
+++ b/harriertide/lab/experiments/maintenance.py
@@ -35,9 +35,9 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.folders import kept_or_temporary
-from harriertide.lab.rig import VERBS, Rig, draw
-from harriertide.lab.script import Fault, load
+from harriertide.lab.rigs.fault_script import Fault, load
+from harriertide.lab.rigs.folders import kept_or_temporary
+from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
 
 AT_ONCE = {"boxes": 2, "brokers": 1}
 END_S = 60.0  # after all was healed
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/experiments/parity.py
@@ -33,7 +33,7 @@
 from harriertide.engine.clock import until
 from harriertide.engine.runtime import Runtime
 from harriertide.engine.workload import Workload, absolute_event, load
-from harriertide.lab import plant, virtual
+from harriertide.lab.simulation import stand_in_nodes, virtual_time
 from harriertide.library import Ask, Attempt, Box, Broker, FailedError, Fixed, RefusedError
 from harriertide.library.exchange import Exchange, Loopback
 from harriertide.platform.configuration import Config
@@ -100,7 +100,7 @@
     return max(1, -(-(arrival.deadline_at_us - now_us + SENT_BEFORE_US) // 1000))
 
 
-async def _boxes(boxes: list[plant.Box], begin: float) -> dict[str, str]:
+async def _boxes(boxes: list[stand_in_nodes.Box], begin: float) -> dict[str, str]:
     """Bring them up; where each listens."""
     found = {}
     for box in boxes:
@@ -111,7 +111,7 @@
     return found
 
 
-async def through_daemon(workload: Workload, boxes: list[plant.Box], brokers: int = 1) -> Played:
+async def through_daemon(workload: Workload, boxes: list[stand_in_nodes.Box], brokers: int = 1) -> Played:
     """The platform's front, over HTTP, as a client of the platform sees it; brokers take requests in turn."""
     played, loop = Played(), asyncio.get_running_loop()
     settings = workload.header.settings
@@ -165,7 +165,7 @@
 
 async def through_library(
     workload: Workload,
-    boxes: list[plant.Box],
+    boxes: list[stand_in_nodes.Box],
     brokers: int = 1,
     seat: Seats = lambda place: None,
     beside: Kill | None = None,
@@ -252,15 +252,17 @@
     return max(len(one.decisions), len(other.decisions)) - len(differ), differ
 
 
-def play(workload: Workload, make: Callable[[], list[plant.Box]], brokers: int = 1) -> tuple[Played, Played]:
+def play(
+    workload: Workload, make: Callable[[], list[stand_in_nodes.Box]], brokers: int = 1
+) -> tuple[Played, Played]:
     """Through both, each with boxes of its own."""
 
     def seat(place: int) -> Exchange | None:
         return Loopback(FIRST_PORT, brokers) if brokers > 1 else None
 
     return (
-        virtual.run(through_daemon(workload, make(), brokers)),
-        virtual.run(through_library(workload, make(), brokers, seat)),
+        virtual_time.run(through_daemon(workload, make(), brokers)),
+        virtual_time.run(through_library(workload, make(), brokers, seat)),
     )
 
 
@@ -269,7 +271,7 @@
     scores: dict[str, list[float]] = {"daemon": [], "library": []}
     for place in range(pairs):
         for name, through in (("daemon", through_daemon), ("library", through_library)):
-            workload, boxes = plant.draw("surge", seed + place, seconds, SOCKET_UNIT_S)
+            workload, boxes = stand_in_nodes.draw("surge", seed + place, seconds, SOCKET_UNIT_S)
             played = asyncio.run(through(workload, boxes))
             scores[name].append(worth(workload, played) / due(workload))
         last = {name: f"{held[-1]:.3f}" for name, held in scores.items()}
@@ -282,7 +284,7 @@
 def main(arguments: list[str]) -> int:
     """Print what matched."""
     given = docopt(__doc__ or "", arguments)
-    known = [*plant.KINDS, "pair"]
+    known = [*stand_in_nodes.KINDS, "pair"]
     kinds = [given["--kind"]] if given["--kind"] else known
     if not set(kinds) <= set(known):
         raise SettingsError(f"--kind: {given['--kind']} is none of {', '.join(known)}")
@@ -290,7 +292,7 @@
         return on_sockets(int(given["--seed"]), float(given["--seconds"]))
     seed, seconds = int(given["--seed"]), float(given["--seconds"])
     matched, differed = 0, 0
-    plays = [(given["FILE"], "first")] if given["FILE"] else list(product(kinds, plant.SHAPES))
+    plays = [(given["FILE"], "first")] if given["FILE"] else list(product(kinds, stand_in_nodes.SHAPES))
     for kind, shape in plays:
         brokers = 2 if kind == "pair" else 1
         if given["FILE"]:
@@ -302,14 +304,14 @@
                 for e in row.endpoint_update.entries
             }
 
-            def make(names: dict[str, int] = names) -> list[plant.Box]:
-                return [plant.Box(name, shard, seed) for name, shard in sorted(names.items())]
+            def make(names: dict[str, int] = names) -> list[stand_in_nodes.Box]:
+                return [stand_in_nodes.Box(name, shard, seed) for name, shard in sorted(names.items())]
         else:
             drawn = "surge" if kind == "pair" else kind
-            workload, _ = plant.draw(drawn, seed, seconds, hosts=brokers, shape=shape)
+            workload, _ = stand_in_nodes.draw(drawn, seed, seconds, hosts=brokers, shape=shape)
 
-            def make(drawn: str = drawn, shape: str = shape) -> list[plant.Box]:  # type: ignore[misc]
-                return plant.draw(drawn, seed, seconds, shape=shape)[1]
+            def make(drawn: str = drawn, shape: str = shape) -> list[stand_in_nodes.Box]:  # type: ignore[misc]
+                return stand_in_nodes.draw(drawn, seed, seconds, shape=shape)[1]
 
         daemon, library = play(workload, make, brokers)
         same, differ = compare(daemon, library, brokers)
--- a/harriertide/lab/processes.py
+++ b/harriertide/lab/experiments/processes.py
@@ -38,8 +38,8 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.folders import kept_or_temporary
-from harriertide.lab.script import HOST, Fault, load, ports
+from harriertide.lab.rigs.fault_script import HOST, Fault, load, ports
+from harriertide.lab.rigs.folders import kept_or_temporary
 
 LIMIT, BURST, MOST, SLACK = 20.0, 24.0, 3, 6.0
 LATE_S = 0.15  # what the limit allows in so long is slack too, on sockets
--- a/harriertide/lab/upgrades.py
+++ b/harriertide/lab/experiments/upgrades.py
@@ -25,9 +25,9 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.folders import kept_or_temporary
-from harriertide.lab.upgrade_judge import Found, conclude, judge
-from harriertide.lab.upgrade_world import COLD_S, Process, World, call
+from harriertide.lab.checkers.upgrade_checker import Found, conclude, judge
+from harriertide.lab.rigs.folders import kept_or_temporary
+from harriertide.lab.rigs.single_broker import COLD_S, Process, World, call
 
 SETTLE_S = 0.3  # of load between upgrades
 APART_S = 1.0  # between two upgrades in a row
--- a/harriertide/lab/rig_clients.py
+++ b/harriertide/lab/rigs/clients.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from harriertide.engine.clock import until
-from harriertide.lab.rig_nodes import LONG_BYTES, Logs
+from harriertide.lab.rigs.nodes import LONG_BYTES, Logs
 
 SLOW_STEPS = 64  # parts in which a slow client reads a long answer
 PLANS = ("free", "capped")
--- a/harriertide/lab/rig.py
+++ b/harriertide/lab/rigs/maintenance_rig.py
@@ -28,7 +28,7 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.script import HOST, Fault, ports
+from harriertide.lab.rigs.fault_script import HOST, Fault, ports
 
 READY_S = 15.0
 # a is the broker, or the link from a to b; frames: this part lost, late, doubled and put behind, from now on
@@ -235,7 +235,7 @@
         said = (self.folder / f"{name}.err").open("ab")
         self._said.append(said)
         words = [
-            sys.executable, "-m", "harriertide.lab.child", str(self.folder / f"{name}.toml"),
+            sys.executable, "-m", "harriertide.lab.rigs.faulty_broker", str(self.folder / f"{name}.toml"),
             str(self.folder / f"{name}.faults"),
         ]  # fmt: skip
         environment = {"PYTHONPATH": ":".join(sys.path)}
--- a/harriertide/lab/rig_nodes.py
+++ b/harriertide/lab/rigs/nodes.py
@@ -14,7 +14,7 @@
 from typing import IO, Any
 
 from harriertide.engine.clock import until
-from harriertide.lab.script import HOST
+from harriertide.lab.rigs.fault_script import HOST
 
 SERVICE_S = 0.008
 LONG_BYTES = 4 << 20  # of a long answer
--- a/harriertide/lab/upgrade_world.py
+++ b/harriertide/lab/rigs/single_broker.py
@@ -19,10 +19,10 @@
 from typing import Any
 
 from harriertide.engine.clock import until
-from harriertide.lab import processes
-from harriertide.lab.rig_clients import DEADLINE_MS, Clients
-from harriertide.lab.rig_nodes import Discovery, Logs, Node
-from harriertide.lab.script import HOST, ports
+from harriertide.lab.experiments import processes
+from harriertide.lab.rigs.clients import DEADLINE_MS, Clients
+from harriertide.lab.rigs.fault_script import HOST, ports
+from harriertide.lab.rigs.nodes import Discovery, Logs, Node
 
 LIMIT, BURST = 40.0, 48.0  # units a second of the plan with a limit
 COLD_UNITS, COLD_S, FALL_S = 24.0, 2.0, 1.0
--- a/harriertide/lab/fleet.py
+++ b/harriertide/lab/simulation/maintenance_fleet.py
@@ -27,7 +27,7 @@
 from harriertide.control.pending_calls import CallError
 from harriertide.decide import api
 from harriertide.engine.clock import until
-from harriertide.lab import virtual
+from harriertide.lab.simulation import virtual_time
 from harriertide.maintenance.commands import SubmitOrder, decode_result, encode_command
 from harriertide.maintenance.orders import Order
 
@@ -467,4 +467,4 @@
 
 def play(seed: int, brokers: int = 5, voters: int = 5, boxes: int = 8, seconds: float = 8.0) -> Verdict:
     """One course, on a clock of its own."""
-    return virtual.run(course(seed, brokers, voters, boxes, seconds))
+    return virtual_time.run(course(seed, brokers, voters, boxes, seconds))
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -15,7 +15,7 @@
 from harriertide.http.limits import read_limits
 from harriertide.http.node_connection import NodeConnection
 from harriertide.http.nodes import NodeClient
-from harriertide.lab import second_copy
+from harriertide.lab.experiments import duplicate_attempts
 from tests.helpers import SETTINGS
 from tests.scenario import Stand
 from tests.test_reducer import HELD, Scripted
@@ -138,7 +138,7 @@
 
 def test_attempts_with_ends_of_every_kind_are_never_two_at_work_for_one_request() -> None:
     """The probe of docs/measurements/second-copy.md, in small: a box that is late and reads in any order."""
-    seen = second_copy.look(attempts=6_000, width=64, late_ms=0.5, seed=1)
-    assert seen["attempts"] > 5_000 and all(seen[name] > 20 for name in second_copy.ENDS)
+    seen = duplicate_attempts.look(attempts=6_000, width=64, late_ms=0.5, seed=1)
+    assert seen["attempts"] > 5_000 and all(seen[name] > 20 for name in duplicate_attempts.ENDS)
     assert seen["open"] == 0
     assert seen["unread"] <= 6  # 60 to 130 of them without the gap
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -15,7 +15,7 @@
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire
 from harriertide.engine.clock import until
-from harriertide.lab import virtual
+from harriertide.lab.simulation import virtual_time
 from harriertide.platform.configuration import BadConfigError, read_config
 from harriertide.platform.discovery import Directory, Watch
 from tests.test_net import OK, WIRE, play
@@ -486,4 +486,4 @@
 
 
 def test_an_agent_that_is_silent_for_thirty_seconds_and_comes_back_with_a_late_drain() -> None:
-    virtual.run(thirty_silent_seconds())
+    virtual_time.run(thirty_silent_seconds())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
     Leases,
 )
 from harriertide.decide.peer_messages import CALL, GRANT, VOTE, WANT, decode
-from harriertide.lab.limits import COURSES, PLANS, Fleet, allowed, course
+from harriertide.lab.experiments.limits import COURSES, PLANS, Fleet, allowed, course
 from tests.helpers import BrokerUnderTest, refusals, sends, tells
 
 SECOND = 1_000_000
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -18,8 +18,8 @@
 from harriertide.consensus.replica import Course, Done, Replica
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab import virtual
-from harriertide.lab.fleet import Fleet, Verdict, play
+from harriertide.lab.simulation import virtual_time
+from harriertide.lab.simulation.maintenance_fleet import Fleet, Verdict, play
 from harriertide.maintenance import confirmations, send_gate
 from harriertide.maintenance.capacity import available_units
 from harriertide.maintenance.commands import (
@@ -538,10 +538,10 @@
 
 
 def test_two_orders_for_one_zone_at_two_sides_of_a_split(monkeypatch: pytest.MonkeyPatch) -> None:
-    verdict = virtual.run(split(known=True))
+    verdict = virtual_time.run(split(known=True))
     assert not verdict.broken and verdict.finished == 2
     monkeypatch.setattr(confirmations, "brokers_not_informed", lambda *words: [])
-    assert any("out from" in row for row in virtual.run(split(known=False)).broken)
+    assert any("out from" in row for row in virtual_time.run(split(known=False)).broken)
 
 
 async def many() -> tuple[Verdict, dict[str, float], int]:
@@ -569,7 +569,7 @@
 
 
 def test_200_brokers_with_a_zone_away_for_5_s() -> None:
-    verdict, rates, leased = virtual.run(many())
+    verdict, rates, leased = virtual_time.run(many())
     assert not verdict.broken, verdict.broken[:3]
     assert verdict.finished == 1 and leased == 200
     assert max(rates.values()) < 200  # messages a second: fewer than there are brokers, at the leader too
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -11,7 +11,7 @@
 from harriertide.decide import api
 from harriertide.decide import scheduler as scheduler_module
 from harriertide.decide.scheduler import ASK_FIRST_US, NEAR
-from harriertide.lab.plant import OTHER
+from harriertide.lab.simulation.stand_in_nodes import OTHER
 from harriertide.platform import discovery
 from tests.helpers import SETTINGS, START_US
 from tests.plant import Plant
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -10,10 +10,11 @@
 import pytest
 
 from harriertide.decide.settings import SettingsError
-from harriertide.lab import drains, operator_calls, upgrades
-from harriertide.lab.rig_clients import Wanted
-from harriertide.lab.upgrade_judge import IDLE_S, Found, judge
-from harriertide.lab.upgrade_world import BURST, COLD_UNITS, Called
+from harriertide.lab.benchmarks import operator_calls
+from harriertide.lab.checkers.upgrade_checker import IDLE_S, Found, judge
+from harriertide.lab.experiments import drains, upgrades
+from harriertide.lab.rigs.clients import Wanted
+from harriertide.lab.rigs.single_broker import BURST, COLD_UNITS, Called
 
 COURSES = {
     "replaced, in a drain, from a bad configuration": ["plain", "in-a-drain", "bad-configuration"],
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -10,17 +10,18 @@
 
 from harriertide.engine import workload as workloads
 from harriertide.engine.clock import until
-from harriertide.lab import parity, plant, virtual
+from harriertide.lab.experiments import parity
+from harriertide.lab.simulation import stand_in_nodes, virtual_time
 from harriertide.library import Ask, Box, Broker
 
 
 def both(kind: str, seed: int, seconds: float, shape: str) -> tuple[parity.Played, parity.Played]:
-    workload, _ = plant.draw(kind, seed, seconds, shape=shape)
-    return parity.play(workload, lambda: plant.draw(kind, seed, seconds, shape=shape)[1])
+    workload, _ = stand_in_nodes.draw(kind, seed, seconds, shape=shape)
+    return parity.play(workload, lambda: stand_in_nodes.draw(kind, seed, seconds, shape=shape)[1])
 
 
-@pytest.mark.parametrize("shape", plant.SHAPES)
-@pytest.mark.parametrize("kind", plant.KINDS)
+@pytest.mark.parametrize("shape", stand_in_nodes.SHAPES)
+@pytest.mark.parametrize("kind", stand_in_nodes.KINDS)
 def test_every_decision_is_the_same(kind: str, shape: str) -> None:
     daemon, library = both(kind, 7, 5.5, shape)
     matched, differ = parity.compare(daemon, library)
@@ -30,10 +31,10 @@
     assert kind in ("calm", "cold", "drains") or ends.count("rejected") > 50
 
 
-@pytest.mark.parametrize("shape", plant.SHAPES)
+@pytest.mark.parametrize("shape", stand_in_nodes.SHAPES)
 def test_two_brokers_that_share_decide_as_two_daemons_do(shape: str) -> None:
-    workload, _ = plant.draw("surge", 7, 4.0, hosts=2, shape=shape)
-    daemon, library = parity.play(workload, lambda: plant.draw("surge", 7, 4.0, shape=shape)[1], 2)
+    workload, _ = stand_in_nodes.draw("surge", 7, 4.0, hosts=2, shape=shape)
+    daemon, library = parity.play(workload, lambda: stand_in_nodes.draw("surge", 7, 4.0, shape=shape)[1], 2)
     matched, differ = parity.compare(daemon, library, 2)
     assert not differ, differ[:3]
     assert matched > 2000
@@ -41,11 +42,11 @@
 
 def test_a_silent_box_is_probed_by_daemon_and_library_and_both_use_it_again() -> None:
     """The library had nothing that performs a probe: a box once silent would have stayed so to it."""
-    workload, _ = plant.draw("failing", 7, 8.0, shape="other")
-    made: list[list[plant.Box]] = []
+    workload, _ = stand_in_nodes.draw("failing", 7, 8.0, shape="other")
+    made: list[list[stand_in_nodes.Box]] = []
 
-    def make() -> list[plant.Box]:
-        made.append(plant.draw("failing", 7, 8.0, shape="other")[1])
+    def make() -> list[stand_in_nodes.Box]:
+        made.append(stand_in_nodes.draw("failing", 7, 8.0, shape="other")[1])
         return made[-1]
 
     daemon, library = parity.play(workload, make)
@@ -58,19 +59,19 @@
 def test_a_difference_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The comparison must be able to fail: a library that keeps 1 ms less of the client's time."""
     monkeypatch.setattr(parity, "SENT_BEFORE_US", parity.SENT_BEFORE_US + 1_000)
-    workload, _ = plant.draw("calm", 7, 1.0)
-    daemon, library = parity.play(workload, lambda: plant.draw("calm", 7, 1.0)[1])
+    workload, _ = stand_in_nodes.draw("calm", 7, 1.0)
+    daemon, library = parity.play(workload, lambda: stand_in_nodes.draw("calm", 7, 1.0)[1])
     matched, differ = parity.compare(daemon, library)
     assert differ and matched < len(daemon.decisions)
 
 
 def test_one_seed_gives_one_run_and_another_another() -> None:
-    workload, _ = plant.draw("surge", 3, 3.0)
+    workload, _ = stand_in_nodes.draw("surge", 3, 3.0)
 
     def run(seed: int) -> list[parity.Decision]:
-        boxes = plant.draw("surge", 3, 3.0)[1]
+        boxes = stand_in_nodes.draw("surge", 3, 3.0)[1]
         own = replace_seed(workload, seed)
-        return virtual.run(parity.through_library(own, boxes)).decisions
+        return virtual_time.run(parity.through_library(own, boxes)).decisions
 
     assert run(1) == run(1) != run(2)
 
@@ -87,13 +88,13 @@
         await until(begin + 3_600)
         return loop.time() - begin
 
-    assert virtual.run(main()) == pytest.approx(3_600)
+    assert virtual_time.run(main()) == pytest.approx(3_600)
 
     async def never() -> None:
         await asyncio.Event().wait()
 
-    with pytest.raises(virtual.NothingLeftError):
-        virtual.run(never())
+    with pytest.raises(virtual_time.NothingLeftError):
+        virtual_time.run(never())
 
 
 def test_bytes_arrive_in_order_after_the_networks_delay_and_ends_are_heard() -> None:
@@ -123,7 +124,7 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", port)
 
-    virtual.run(main(), virtual.Network(lambda here, there: 0.25))
+    virtual_time.run(main(), virtual_time.Network(lambda here, there: 0.25))
     assert heard == [(0.25, b"a"), (0.35, b"b")]
 
 
@@ -142,11 +143,11 @@
         transport.sendto(b"y", ("127.0.0.1", 9))
         await until(loop.time() + 1)
 
-    virtual.run(main())
+    virtual_time.run(main())
     assert got == [(b"x", ("127.0.0.1", 2))]
 
 
-SETTINGS = replace(plant.SETTINGS, shard_count=2)
+SETTINGS = replace(stand_in_nodes.SETTINGS, shard_count=2)
 
 
 def recorded(folder: Path) -> Path:
@@ -154,12 +155,12 @@
     path = folder / "workload"
 
     async def main() -> None:
-        boxes = [Box("b0", 0), Box("b1", 1, started_us=virtual.WALL_US - 60_000_000)]
+        boxes = [Box("b0", 0), Box("b1", 1, started_us=virtual_time.WALL_US - 60_000_000)]
         async with Broker(SETTINGS, boxes, seed=5, record=str(path)) as broker:
             for shard in (0, 1, 0):
                 await broker.call(Ask("v", shard=shard, units=2.0), lambda attempt: asyncio.sleep(0.01))
 
-    virtual.run(main())
+    virtual_time.run(main())
     return path
 
 
@@ -216,10 +217,10 @@
 
 
 def test_a_recorded_workload_plays_alike_through_both(tmp_path: Path) -> None:
-    workload, boxes = plant.draw("failing", 2, 4.5)
+    workload, boxes = stand_in_nodes.draw("failing", 2, 4.5)
     path = tmp_path / "workload"
     workloads.save(str(path), workload)
     loaded = workloads.load(str(path))
     assert loaded.events == workload.events
-    daemon, library = parity.play(loaded, lambda: plant.draw("failing", 2, 4.5)[1])
+    daemon, library = parity.play(loaded, lambda: stand_in_nodes.draw("failing", 2, 4.5)[1])
     assert not parity.compare(daemon, library)[1]
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -11,8 +11,8 @@
 import pytest
 
 from harriertide.decide.settings import SettingsError
-from harriertide.lab import processes
-from harriertide.lab.script import Fault, load
+from harriertide.lab.experiments import processes
+from harriertide.lab.rigs.fault_script import Fault, load
 
 
 def test_a_limit_holds_while_brokers_die_stand_still_and_do_not_hear_each_other(tmp_path: Path) -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -16,7 +16,8 @@
 import pytest
 
 from harriertide.engine.clock import until
-from harriertide.lab import parity, plant, virtual
+from harriertide.lab.experiments import parity
+from harriertide.lab.simulation import stand_in_nodes, virtual_time
 from harriertide.library import Ask, Box, Broker, Hub, Loopback, blocking
 from harriertide.library.exchange import Exchange
 from harriertide.library.places import BEAT_US, SILENT_US, Places, View
@@ -82,8 +83,8 @@
     seat: parity.Seats,
     beside: Callable[[list[Broker]], Awaitable[None]] | None = None,
 ) -> parity.Played:
-    workload, boxes = plant.draw(kind, 5, 8.0)
-    return virtual.run(parity.through_library(workload, boxes, brokers, seat, beside))
+    workload, boxes = stand_in_nodes.draw(kind, 5, 8.0)
+    return virtual_time.run(parity.through_library(workload, boxes, brokers, seat, beside))
 
 
 def loopback(place: int) -> Exchange:
@@ -91,7 +92,7 @@
 
 
 def test_two_instances_in_one_process_get_together_what_one_gets() -> None:
-    workload, _ = plant.draw("surge", 5, 8.0)
+    workload, _ = stand_in_nodes.draw("surge", 5, 8.0)
     one = parity.worth(workload, share("surge", 1, lambda place: None))
     seats = Hub()
     two = parity.worth(workload, share("surge", 2, lambda place: seats.seat()))
@@ -102,7 +103,7 @@
 
 def test_a_dead_instances_part_is_in_use_by_the_others_soon() -> None:
     """One of three dies without a word amid the surge; its requests go to the others from then on."""
-    workload, _ = plant.draw("surge", 5, 8.0)
+    workload, _ = stand_in_nodes.draw("surge", 5, 8.0)
     seen: list[tuple[float, int]] = []
 
     async def kill(taking: list[Broker]) -> None:
@@ -128,16 +129,16 @@
 
 
 def test_a_box_that_starts_cold_beside_four_instances_gets_no_more_than_from_one() -> None:
-    workload, _ = plant.draw("cold", 5, 8.0)
+    workload, _ = stand_in_nodes.draw("cold", 5, 8.0)
     units = {row.arrival.request_id: row.arrival.units for row in workload.events if row.arrival}
     limit = (
-        plant.SETTINGS.slow_start_units / plant.SETTINGS.slow_start_initial_ratio
+        stand_in_nodes.SETTINGS.slow_start_units / stand_in_nodes.SETTINGS.slow_start_initial_ratio
     )  # what it can do warm, in the window
     for brokers, seat in ((1, lambda place: None), (4, loopback)):
         played = share("cold", brokers, seat)
         begin = 2_000_000  # box-3 starts
         sent = [(d[0], units[d[2]]) for d in played.decisions if d[1] == "attempt" and d[4] == "box-3"]
-        window = [n for at, n in sent if begin <= at < begin + plant.SETTINGS.collapse_window_us]
+        window = [n for at, n in sent if begin <= at < begin + stand_in_nodes.SETTINGS.collapse_window_us]
         assert sum(window) <= limit, (brokers, sum(window))
 
 
@@ -145,7 +146,9 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         boxes = [Box("b0", 0)]
-        first, second = (Broker(plant.SETTINGS, boxes, seed=n, exchange=Loopback(FIRST, 8)) for n in (1, 2))
+        first, second = (
+            Broker(stand_in_nodes.SETTINGS, boxes, seed=n, exchange=Loopback(FIRST, 8)) for n in (1, 2)
+        )
         async with first, second:
             stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 40_000))
             for number in range(5_000):
@@ -157,14 +160,14 @@
             assert await first.call(Ask("v", shard=0), lambda attempt: asyncio.sleep(0, "done")) == "done"
         assert isinstance(first.exchange, Loopback) and first.exchange.counts["junk"] == 5_000
 
-    virtual.run(main())
+    virtual_time.run(main())
 
 
 def test_instances_on_threads_of_one_process_see_each_other_come_and_go() -> None:
     seats = Hub()
 
     def make() -> blocking.Broker:
-        return blocking.Broker(lambda: Broker(plant.SETTINGS, [Box("b0", 0)], exchange=seats.seat()))
+        return blocking.Broker(lambda: Broker(stand_in_nodes.SETTINGS, [Box("b0", 0)], exchange=seats.seat()))
 
     def sees(broker: blocking.Broker, count: int) -> None:
         end = time.monotonic() + 3
@@ -184,11 +187,11 @@
 
 WORKER = """
 import asyncio, json, sys, time
-from harriertide.lab import plant
+from harriertide.lab.simulation import stand_in_nodes
 from harriertide.library import Ask, Box, Broker, Loopback
 
 async def main():
-    broker = Broker(plant.SETTINGS, [Box("b0", 0)], exchange=Loopback(int(sys.argv[1]), 8))
+    broker = Broker(stand_in_nodes.SETTINGS, [Box("b0", 0)], exchange=Loopback(int(sys.argv[1]), 8))
     async with broker:
         seen = None
         while True:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -15,7 +15,7 @@
 from harriertide.decide import scheduler as scheduler_module
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.runtime import Runtime
-from harriertide.lab import virtual
+from harriertide.lab.simulation import virtual_time
 from harriertide.platform.discovery import CONNECT_S, HEAD_S, QUIET_S, TOLD_S, Directory, Objects, Watch
 from tests.helpers import SETTINGS
 
@@ -58,7 +58,7 @@
         server.close()
         return silent.asked
 
-    return virtual.run(main()), told
+    return virtual_time.run(main()), told
 
 
 def test_a_watch_that_falls_silent_is_opened_anew_in_time_and_without_the_core() -> None:
@@ -215,7 +215,7 @@
         await place.close(watch)
         return told - due
 
-    assert max(virtual.run(play(seed)) for seed in range(12)) < TOLD_S
+    assert max(virtual_time.run(play(seed)) for seed in range(12)) < TOLD_S
 
 
 @pytest.mark.parametrize("heads", [4, 200])
@@ -237,7 +237,7 @@
         await place.close(watch)
         return told - moved
 
-    assert max(virtual.run(play(seed)) for seed in range(12)) < 4.0
+    assert max(virtual_time.run(play(seed)) for seed in range(12)) < 4.0
 
 
 def test_the_longest_ways_to_hear_of_a_change_end_in_time() -> None:
