--- a/harriertide/lab/benchmarks/maintenance_cost.py
+++ b/harriertide/lab/benchmarks/maintenance_cost.py
@@ -201,7 +201,7 @@
 
 async def _fleet(brokers: int) -> dict[str, Any]:
     """Idle for 10 s of virtual time, all with their leases."""
-    fleet = Fleet(1, brokers, 5, 4, lease_ms=3_000, load=1e6)
+    fleet = Fleet(1, brokers, 5, 4, lease_ms=3_000, load_s=1e6)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
     await until(loop.time() + 6.0)
@@ -225,8 +225,7 @@
         },
         "cpu_ms_a_second_each": round(1000 * cpu / span / brokers, 2),
     }
-    for name in list(fleet.services):
-        await fleet.kill(name)
+    await fleet.kill_all()
     return found
 
 
--- a/harriertide/lab/experiments/maintenance.py
+++ b/harriertide/lab/experiments/maintenance.py
@@ -21,12 +21,8 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import sys
 import time
-from collections import defaultdict
-from contextlib import suppress
-from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -35,6 +31,7 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
+from harriertide.lab.checkers.maintenance_checker import Verdict, judge
 from harriertide.lab.rigs.fault_script import Fault, load
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
@@ -44,159 +41,6 @@
 GROUPS = 4
 
 
-# --- the judgement ------------------------------------------------------------------------------------
-
-
-@dataclass
-class Verdict:
-    """What the logs of one run, or of many, say. standstill_s: between two steps while something was to
-    do."""
-
-    runs: int = 0
-    orders: int = 0
-    finished: int = 0
-    two_at_once: int = 0
-    late_sends: int = 0
-    order_differs: int = 0
-    lost: int = 0
-    answered_twice: int = 0
-    standstill_s: float = 0.0
-    writes: int = 0
-    written: int = 0
-    rows: list[str] = field(default_factory=list)
-
-    def add(self, other: Verdict) -> None:
-        """One run more."""
-        for name in ("runs", "orders", "finished", "two_at_once", "late_sends", "order_differs", "lost",
-                     "answered_twice", "writes", "written"):  # fmt: skip
-            setattr(self, name, getattr(self, name) + getattr(other, name))
-        self.standstill_s = max(self.standstill_s, other.standstill_s)
-        self.rows += other.rows
-
-    @property
-    def broken(self) -> bool:
-        """Whether a bound breaks."""
-        bad = self.two_at_once + self.late_sends + self.order_differs + self.lost + self.answered_twice
-        return bool(bad) or self.finished < self.orders
-
-    def line(self) -> str:
-        """The sums."""
-        return (
-            f"runs {self.runs} orders {self.orders} finished {self.finished} two-at-once {self.two_at_once} "
-            f"late-sends {self.late_sends} order-differs {self.order_differs} lost {self.lost} "
-            f"answered-twice {self.answered_twice} longest-standstill {self.standstill_s:.1f}"
-        )
-
-
-def _lines(path: Path) -> list[dict[str, Any]]:
-    rows = []
-    if path.exists():
-        for line in path.read_text(encoding="utf-8").splitlines():
-            with suppress(ValueError):  # the last line of one that was killed as it wrote
-                rows.append(json.loads(line))
-    return rows
-
-
-def judge(folder: Path, groups: dict[str, str], at_once: dict[str, int]) -> Verdict:
-    """Read the logs of one run. Shares nothing with what it judges."""
-    found = Verdict(runs=1)
-    digests: dict[int, int] = {}
-    owners: dict[int, tuple[str, str]] = {}
-    first: dict[tuple[int, str], float] = {}  # by fence and phase: when the first broker knew
-    last: dict[tuple[str, str], tuple[float, str]] = {}  # by machine of an order: the latest phase
-    for path in sorted(folder.glob("*.events")):
-        for row in _lines(path):
-            if row["event"] == "applied":
-                if digests.setdefault(row["index"], row["digest"]) != row["digest"]:
-                    found.order_differs += 1
-                    found.rows.append(f"{path.name}: another state at index {row['index']}")
-            elif row["event"] == "step":
-                machine = row["order"], row["machine"]
-                if row["at"] >= last.get(machine, (0.0, ""))[0]:
-                    last[machine] = row["at"], row["phase"]
-                if row["fence"] and row["phase"] != "waiting":
-                    if owners.setdefault(row["fence"], machine) != machine:
-                        found.order_differs += 1
-                        found.rows.append(f"fence {row['fence']}: {owners[row['fence']]} and {machine}")
-                    key = row["fence"], row["phase"]
-                    first[key] = min(first.get(key, row["at"]), row["at"])
-    spans: list[tuple[float, float, str, str, int]] = []
-    outs: dict[tuple[str, str], int] = defaultdict(int)
-    for fence, (order, name) in sorted(owners.items()):
-        begun = first.get((fence, "draining"))
-        if begun is None:
-            continue
-        end = min(first.get((fence, "returning"), 1e18), first.get((fence, "back"), 1e18))
-        spans.append((begun, end, order, name, fence))
-        outs[order, name] += (fence, "out") in first
-    for place, (begun, _, order, name, _) in enumerate(spans):
-        beside = [s for s in spans[:place] + spans[place + 1 :] if s[0] <= begun < s[1]]
-        same = [s for s in beside if s[2] == order]
-        kin = [s for s in beside if groups.get(name) and groups.get(s[3]) == groups[name]]
-        if len(same) + 1 > at_once.get(order, 1) or kin:
-            found.two_at_once += 1
-            found.rows.append(f"{name} drains beside {[s[3] for s in (*same, *kin)]}")
-    _late(folder, spans, first, found)
-    for (order, name), number in outs.items():
-        if number > 1:
-            found.answered_twice += 1
-            found.rows.append(f"{name} of {order} was out {number} times")
-    _orders(folder, last, first, found)
-    return found
-
-
-def _late(
-    folder: Path,
-    spans: list[tuple[float, float, str, str, int]],
-    first: dict[tuple[int, str], float],
-    found: Verdict,
-) -> None:
-    """What came to a box between the word that it is out and the word that it comes back."""
-    came: dict[str, list[float]] = defaultdict(list)
-    for row in _lines(folder / "boxes.log"):
-        if row["event"] == "came":
-            came[row["box"]].append(row["at"])
-    for _, end, _, name, fence in spans:
-        out = first.get((fence, "out"))
-        if out is not None:
-            late = [at for at in came[name] if out < at < end]
-            found.late_sends += len(late)
-            found.rows += [f"{name}: {at - out:.3f} s after it was out" for at in late[:3]]
-
-
-def _orders(
-    folder: Path,
-    last: dict[tuple[str, str], tuple[float, str]],
-    first: dict[tuple[int, str], float],
-    found: Verdict,
-) -> None:
-    """Orders that were agreed on, their end, and the longest time in which nothing moved."""
-    agreed: dict[str, tuple[float, list[str]]] = {}
-    for row in _lines(folder / "clients.log"):
-        if row["event"] == "agreed":
-            agreed[row["order"]] = row["at"], row["machines"]
-        elif row["event"] == "write":
-            found.writes += 1
-            found.written += row["status"] == 200
-    for order, (_, machines) in agreed.items():
-        found.orders += 1
-        phases = {name: last.get((order, name), (0.0, ""))[1] for name in machines}
-        if "" in phases.values():
-            found.lost += 1
-            found.rows.append(f"{order}: agreed on, and no broker has it")
-        if all(phase in ("back", "cancelled") for phase in phases.values()):
-            found.finished += 1
-        else:
-            found.rows.append(f"{order}: ends with {phases}")
-    if agreed:
-        moves = sorted([min(at for at, _ in agreed.values()), *first.values()])
-        gaps = [b - a for a, b in zip(moves, moves[1:], strict=False)]
-        found.standstill_s = max(gaps, default=0.0)
-
-
-# --- a run --------------------------------------------------------------------------------------------
-
-
 class Run:
     """One rig with its operator and its clients."""
 
--- a/harriertide/lab/simulation/maintenance_fleet.py
+++ b/harriertide/lab/simulation/maintenance_fleet.py
@@ -1,10 +1,10 @@
 """Whole brokers of a fleet with their maintenance, in virtual time: only sockets, disks and requests are
-stood in for.
+stood in.
 
-Each broker tries a box each few milliseconds: if its rule lets it, an attempt is open there for a while, as
-a write that was decided and checked would be. What comes to a box from the moment on that any broker knew
-it to be out, or is still open then, is late. The judge reads what brokers said and what they tried; seeds
-play alike.
+Each broker tries a node each few milliseconds: if its rule lets it, an attempt is open there for a while, as
+a write that was decided and checked would be. What comes to a node from the moment on that any broker knew it
+to be out, or is still open then, is late: `checkers/fleet_checker` reads what brokers wrote and what they
+tried. One seed gives one run.
 """
 
 from __future__ import annotations
@@ -13,193 +13,98 @@
 import json
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from random import Random
 from typing import Any
 
 from harriertide.config.model import Maintenance, State
-from harriertide.consensus import events as ev
-from harriertide.consensus.messages import Entry, Snapshot
 from harriertide.control.environment import Environment
 from harriertide.control.maintenance_service import MaintenanceService
 from harriertide.control.pending_calls import CallError
-from harriertide.decide import api
 from harriertide.engine.clock import until
-from harriertide.lab.simulation import virtual_time
+from harriertide.lab.simulation.memory_parts import (
+    LONGEST_ATTEMPT_S,
+    MemoryCarrier,
+    MemoryDisk,
+    MemoryEvents,
+    StandInCore,
+    StandInNodes,
+)
 from harriertide.maintenance.commands import SubmitOrder, decode_result, encode_command
 from harriertide.maintenance.orders import Order
 
-LONGEST_S = 0.3  # of an attempt
-
-
-class MemoryDisk:
-    """A disk that outlives its process, as a store would."""
-
-    def __init__(self, name: str) -> None:
-        self.disk = name
-        self.cluster, self.term, self.vote = "", 0, None
-        self.snapshot: Snapshot | None = None
-        self.entries: list[Entry] = []
-
-    @property
-    def found(self) -> ev.Restored:
-        """As a start reads it."""
-        return ev.Restored(self.cluster, self.term, self.vote, self.snapshot, tuple(self.entries))
-
-    def write(self, works: list[ev.Persist]) -> None:
-        """All of these."""
-        for work in works:
-            vote: Any = work.vote
-            self.cluster, self.term, self.vote = work.cluster, work.term, vote
-            if work.cut:
-                self.entries = [entry for entry in self.entries if entry.index < work.cut]
-            self.entries += work.entries
-            if work.snapshot is not None:
-                self.snapshot, base = work.snapshot, work.snapshot.index
-                self.entries = [entry for entry in self.entries if entry.index > base]
-
-    def close(self) -> None:
-        """Nothing to let go of."""
-
-
-class Carrier:
-    """Payloads by the loop's timers, through the fleet's links."""
-
-    def __init__(self, fleet: Fleet, name: str, take: Callable[[bytes], bool]) -> None:
-        self.fleet, self.name, self.take, self.open = fleet, name, take, False
-        self.counts: Counter[str] = Counter()
-
-    async def listen(self, address: tuple[str, int]) -> int:
-        """From now on it hears."""
-        self.open = True
-        self.fleet.carriers[self.name] = self
-        return address[1]
-
-    def send(self, name: str, address: tuple[str, int], payload: bytes) -> None:
-        """Late, or never."""
-        fleet = self.fleet
-        self.counts["frames_out"] += 1
-        self.counts["bytes_out"] += len(payload)
-        if not self.open or (self.name, name) in fleet.cut or fleet.random.random() < fleet.lost:
-            return
-        late_s = fleet.random.uniform(0.0002, 0.004)
-        asyncio.get_running_loop().call_later(late_s, fleet.deliver, name, payload)
-
-    async def close(self) -> None:
-        """Deaf."""
-        self.open = False
-
-
-class Requests:
-    """In place of a reducer: attempts that are open at boxes."""
-
-    def __init__(self) -> None:
-        self.settings = api.Settings(
-            broker_index=0,
-            broker_count=1,
-            shard_count=1,
-            classes=(api.RequestClass(100_000, int(LONGEST_S * 1_000_000)),),
-            plans=(api.Plan(),),
-        )
-        self.offered_units = 0.0
-        self.barred: Callable[[str], bool] | None = None
-        self.lifeless: Counter[str] = Counter()
-        self.open: Counter[str] = Counter()
-        self.ready = True
-
-    def take(self, on: bool) -> None:
-        """Whether clients are served."""
-        self.ready = on
-
-    def out_at(self, node: str) -> int:
-        """Attempts that are out there."""
-        return self.open[node]
-
-    def learned(self) -> dict[str, float]:
-        """Nothing is under pressure here."""
-        return {}
-
-    def owed(self) -> int:
-        """All of them."""
-        return sum(self.open.values())
-
-
-class Boxes:
-    """In place of the object front."""
-
-    def __init__(self, state: State) -> None:
-        self.state = state
-
-    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
-        """The check at the write is what counts here."""
-
+WRITE_S = 0.0005  # of a synced write
+SHORTEST_ATTEMPT_S = 0.002
+LEAST_DELAY_S, MOST_DELAY_S = 0.0002, 0.004  # of a payload between two brokers
+ENDING_S, STARTING_S = 0.1, 0.3  # of a broker whose turn it is, and of its next process
+POLL_S = 0.2  # between an operator's looks
+CALL_S = 2.0
+WALL_S = 1e9  # the wall clock at the begin of a run, in Unix seconds
 
-class Log:
-    """In place of an event log: lines in memory."""
 
-    def __init__(self, rows: list[dict[str, Any]], name: str) -> None:
-        self._rows, self._name = rows, name
+@dataclass(slots=True)
+class NodeAttempt:
+    """An attempt that a process made at a node. process: the broker's name and its incarnation."""
 
-    def write(self, event: str, **fields: Any) -> None:
-        """One more."""
-        at = asyncio.get_running_loop().time()
-        self._rows.append({"event": event, "by": self._name, "at": at, **fields})
-
-    def close(self) -> None:
-        """No more."""
-
-
-@dataclass
-class Verdict:
-    """What a course showed."""
-
-    broken: list[str] = field(default_factory=list)
-    tried: int = 0
-    steps: int = 0
-    finished: int = 0
-    orders: int = 0
-    standstill_s: float = 0.0
+    began_s: float
+    ended_s: float
+    node: str
+    process: str
 
 
 class Fleet:
-    """Brokers b1 to bN, the first of them voters, and boxes."""
+    """Brokers b1 to bN, the first of them voters, and nodes x1 to xM.
+
+    :param seed: of delays, losses, load and the operators' choices
+    :param load_s: the mean time between two attempts of one broker
+    """
 
     def __init__(
-        self, seed: int, brokers: int, voters: int, boxes: int, lease_ms: int = 1_000, blind_s: int = 0,
-        zones: int = 1, load: float = 0.02,
-    ) -> None:  # fmt: skip
-        self.random, self.lost, self.load_s = Random(seed), 0.0, load
+        self,
+        seed: int,
+        brokers: int,
+        voters: int,
+        nodes: int,
+        lease_ms: int = 1_000,
+        blind_s: int = 0,
+        zones: int = 1,
+        load_s: float = 0.02,
+    ) -> None:
+        self.random = Random(seed)
+        self.loss_ratio = 0.0
         self.names = [f"b{place + 1}" for place in range(brokers)]
         self.zone = {name: f"z{place % zones}" for place, name in enumerate(self.names)}
-        self.boxes = [f"x{place + 1}" for place in range(boxes)]
-        self.cut: set[tuple[str, str]] = set()
-        self.carriers: dict[str, Carrier] = {}
+        self.nodes = [f"x{place + 1}" for place in range(nodes)]
+        self.cut_links: set[tuple[str, str]] = set()  # from one broker to another
+        self.carriers: dict[str, MemoryCarrier] = {}
         self.services: dict[str, MaintenanceService] = {}
-        self.requests: dict[str, Requests] = {}
         self.disks = {name: MemoryDisk(f"{name}-1") for name in self.names}
-        self.lives: Counter[str] = Counter()
-        self.rows: list[dict[str, Any]] = []
-        self.tries: list[tuple[float, float, str, str]] = []  # from, to, box, by
-        self.agreed: dict[str, Order] = {}
-        self.paused: dict[str, float] = {}  # until when processes stand still
+        self.incarnations: Counter[str] = Counter()
+        self.events: list[dict[str, Any]] = []
+        self.attempts: list[NodeAttempt] = []
+        self.agreed_orders: dict[str, Order] = {}
+        self.paused_until_s: dict[str, float] = {}  # by broker whose process stands still
+        self.wall_offset_s = dict.fromkeys(self.names, 0.0)
+        self._load_s = load_s
+        self._lease_ms = lease_ms
+        self._blind_s = blind_s
         self._tasks: dict[str, list[asyncio.Task[None]]] = {}
         self._leaving: set[str] = set()
-        rows_of_boxes = {
-            name: {"address": "", "shard": n, "state": "up"} for n, name in enumerate(self.boxes)
-        }
-        state: dict[str, Any] = {
-            "boxes": rows_of_boxes,
-            "grades": {"g": {"reserve": 1.0, "worth": 1.0}}, "volumes": {}, "limits": {},
-        }  # fmt: skip
-        self.state: State = state
-        rows = {
-            name: {"address": f"127.0.0.1:{place + 1}", "voter": "yes" if place < voters else "no",
-                   "zone": "", "rack": "", "release": "", "group": ""}
+        self._operator_state = self._make_operator_state()
+        self._broker_rows = {
+            name: {
+                "address": f"127.0.0.1:{place + 1}",
+                "voter": "yes" if place < voters else "no",
+                "zone": "",
+                "rack": "",
+                "release": "",
+                "group": "",
+            }
             for place, name in enumerate(self.names)
-        }  # fmt: skip
-        labels = {
+        }
+        self._labels = {
             name: {
                 "zone": f"z{place % zones}",
                 "rack": "",
@@ -207,264 +112,206 @@
                 "group": f"g{place % 4}",
                 "units": 0.0,
             }
-            for place, name in enumerate(self.boxes)
+            for place, name in enumerate(self.nodes)
         }
-        self._rows_of, self._labels, self.lease_ms, self.blind_s = rows, labels, lease_ms, blind_s
-        self.wall_off = {name: 0.0 for name in self.names}
 
-    def deliver(self, name: str, payload: bytes) -> None:
-        """A payload has come; a process that stands still reads it when it goes on."""
-        carrier, loop = self.carriers.get(name), asyncio.get_running_loop()
-        if self.paused.get(name, 0.0) > loop.time():
-            loop.call_at(self.paused[name] + 0.001, self._deliver_late, carrier, payload)
-        elif carrier is not None and carrier.open:
-            carrier.take(payload)
-
-    @staticmethod
-    def _deliver_late(carrier: Carrier | None, payload: bytes) -> None:
-        if carrier is not None and carrier.open:
-            carrier.take(payload)
-
-    def _still(self, name: str, act: Callable[..., None], *args: Any) -> None:
-        """What a process does by itself, which it does not while it stands still."""
-        if self.paused.get(name, 0.0) <= asyncio.get_running_loop().time():
-            act(*args)
+    def _make_operator_state(self) -> State:
+        boxes = {
+            name: {"address": "", "shard": shard, "state": "up"} for shard, name in enumerate(self.nodes)
+        }
+        grades = {"g": {"reserve": 1.0, "worth": 1.0}}
+        state: dict[str, Any] = {"boxes": boxes, "grades": grades, "volumes": {}, "limits": {}}
+        operator_state: State = state
+        return operator_state
 
-    # --- processes ------------------------------------------------------------------------------------
+    # --- the network ----------------------------------------------------------------------------------
 
-    async def start(self, name: str) -> None:
-        """A process on the disk as it is."""
-        self.lives[name] += 1
-        settings = Maintenance(name, "", "", self.lease_ms, self.blind_s, 0, self._rows_of, self._labels)
+    def connect(self, name: str, carrier: MemoryCarrier) -> None:
+        """A process listens under this name."""
+        self.carriers[name] = carrier
+
+    def transmit(self, sender: str, receiver: str, payload: bytes) -> None:
+        """Deliver a payload late, or never."""
+        if (sender, receiver) in self.cut_links or self.random.random() < self.loss_ratio:
+            return
+        delay_s = self.random.uniform(LEAST_DELAY_S, MOST_DELAY_S)
+        asyncio.get_running_loop().call_later(delay_s, self._deliver, receiver, payload)
 
-        async def write(work: Callable[[], None]) -> None:
+    def _deliver(self, name: str, payload: bytes) -> None:
+        """A payload has come; a process that stands still reads it when it goes on."""
+        carrier = self.carriers.get(name)
+        if carrier is None:
+            return
+        if self._is_paused(name):
             loop = asyncio.get_running_loop()
-            await until(max(loop.time() + 0.0005, self.paused.get(name, 0.0)))
-            work()
+            loop.call_at(self.paused_until_s[name] + 0.001, carrier.receive, payload)
+        else:
+            carrier.receive(payload)
 
-        def carrier(take: Callable[[bytes], bool]) -> Carrier:
-            return Carrier(self, name, take)
+    def links_between(self, side: set[str]) -> set[tuple[str, str]]:
+        """Return the links between these brokers and all others, both ways."""
+        return {(a, b) for a in self.names for b in self.names if (a in side) != (b in side)}
 
-        def disk(folder: Path) -> MemoryDisk:
-            return self.disks[name]
+    # --- processes ------------------------------------------------------------------------------------
 
-        seed = Random(f"{name} {self.lives[name]} {self.random.random()}")
-        environment = Environment(disk, carrier, write, seed, lambda path: Log(self.rows, name))
-        core = self.requests[name] = Requests()
-        leave = partial(self._leave, name)
-        made = MaintenanceService(
+    def _is_paused(self, name: str) -> bool:
+        return self.paused_until_s.get(name, 0.0) > asyncio.get_running_loop().time()
+
+    def _unless_paused(self, name: str, act: Callable[..., None], *args: Any) -> None:
+        """What a process does by itself, which it does not while it stands still."""
+        if not self._is_paused(name):
+            act(*args)
+
+    async def start(self, name: str) -> None:
+        """Start a broker's process, on its disk as it is."""
+        self.incarnations[name] += 1
+        settings = Maintenance(
+            name, "", "", self._lease_ms, self._blind_s, 0, self._broker_rows, self._labels
+        )
+        random = Random(f"{name} {self.incarnations[name]} {self.random.random()}")
+        core = StandInCore()
+        service = MaintenanceService(
             settings,
             core,
-            Boxes(self.state),
-            lambda: 0,
-            leave,
-            core.take,
-            environment,
-            partial(self._wall, name),
+            StandInNodes(self._operator_state),
+            unix_us=lambda: 0,
+            leave=partial(self._leave, name),
+            set_ready=core.set_ready,
+            environment=self._environment(name, random),
+            wall_s=partial(self.wall_s, name),
         )
-        made.member.tick = partial(self._still, name, made.member.tick)  # type: ignore[method-assign]
-        made.plan = partial(self._still, name, made.plan)  # type: ignore[method-assign]
-        self.services[name] = made
-        await made.start()
+        tick, plan = service.member.tick, service.plan
+        service.member.tick = partial(self._unless_paused, name, tick)  # type: ignore[method-assign]
+        service.plan = partial(self._unless_paused, name, plan)  # type: ignore[method-assign]
+        self.services[name] = service
+        await service.start()
         loop = asyncio.get_running_loop()
-        self._tasks[name] = [loop.create_task(self._load(name, core))]
+        self._tasks[name] = [loop.create_task(self._send_attempts(name, core))]
+
+    def _environment(self, name: str, random: Random) -> Environment:
+        async def write_to_disk(work: Callable[[], None]) -> None:
+            loop = asyncio.get_running_loop()
+            await until(max(loop.time() + WRITE_S, self.paused_until_s.get(name, 0.0)))
+            work()
+
+        def open_disk(folder: Path) -> MemoryDisk:
+            return self.disks[name]
+
+        def open_carrier(on_payload: Callable[[bytes], bool]) -> MemoryCarrier:
+            return MemoryCarrier(self, name, on_payload)
+
+        def open_events(path: str) -> MemoryEvents:
+            return MemoryEvents(self.events, name)
 
-    def _wall(self, name: str) -> float:
-        return 1e9 + asyncio.get_running_loop().time() + self.wall_off[name]
+        return Environment(open_disk, open_carrier, write_to_disk, random, open_events)
+
+    def wall_s(self, name: str) -> float:
+        """Return a broker's wall clock, in Unix seconds."""
+        return WALL_S + asyncio.get_running_loop().time() + self.wall_offset_s[name]
 
     async def kill(self, name: str) -> None:
-        """At once: what is on its way to the disk is lost."""
-        made = self.services.pop(name, None)
-        if made is None:
+        """End a process at once: what is on its way to the disk is lost, and its connections are reset."""
+        service = self.services.pop(name, None)
+        if service is None:
             return
-        self.carriers[name].open = False
+        self.carriers[name].is_open = False
         tasks = self._tasks.pop(name)
         for task in tasks:
             task.cancel()
-        tasks += made.cancel_tasks()
-        await asyncio.gather(*tasks, return_exceptions=True)
-        loop = asyncio.get_running_loop()
-        for place, (begun, end, box, by) in enumerate(self.tries):
-            if by == f"{name}.{self.lives[name]}" and end > loop.time():
-                self.tries[place] = begun, loop.time(), box, by  # its connections were reset
+        await asyncio.gather(*tasks, *service.cancel_tasks(), return_exceptions=True)
+        now_s = asyncio.get_running_loop().time()
+        for attempt in self.attempts:
+            if attempt.process == f"{name}.{self.incarnations[name]}":
+                attempt.ended_s = min(attempt.ended_s, now_s)
+
+    async def kill_all(self) -> None:
+        """End all processes at once."""
+        for name in list(self.services):
+            await self.kill(name)
+
+    def replace_disk(self, name: str) -> None:
+        """Give a broker an empty disk in place of its own."""
+        self.disks[name] = MemoryDisk(f"{name}-{self.incarnations[name] + 1}")
 
     def _leave(self, name: str) -> None:
-        """Its turn of maintenance: it ends in order, and is started again."""
+        """A broker's turn of maintenance: its process ends in order, and is started again."""
         if name not in self._leaving and name in self.services:
             self._leaving.add(name)
-            asyncio.get_running_loop().create_task(self._turn(name))
+            asyncio.get_running_loop().create_task(self._restart(name))
 
-    async def _turn(self, name: str) -> None:
-        await until(asyncio.get_running_loop().time() + 0.1)
+    async def _restart(self, name: str) -> None:
+        loop = asyncio.get_running_loop()
+        await until(loop.time() + ENDING_S)
         await self.kill(name)
-        await until(asyncio.get_running_loop().time() + 0.3)
+        await until(loop.time() + STARTING_S)
         self._leaving.discard(name)
         if name not in self.services:
             await self.start(name)
 
-    async def _load(self, name: str, core: Requests) -> None:
+    async def _send_attempts(self, name: str, core: StandInCore) -> None:
         """Attempts, each where the rule lets it at that moment."""
         loop = asyncio.get_running_loop()
         while True:
-            await until(loop.time() + self.random.expovariate(1 / self.load_s))
-            if self.paused.get(name, 0.0) > loop.time():
-                await until(self.paused[name])  # and the first thing that it does then is a write
-            box = self.random.choice(self.boxes)
-            assert core.barred is not None
-            if core.ready and not core.barred(box):
-                for_s = self.random.uniform(0.002, LONGEST_S)
-                self.tries.append((loop.time(), loop.time() + for_s, box, f"{name}.{self.lives[name]}"))
-                core.open[box] += 1
-                core.offered_units += 1
-                loop.call_later(for_s, self._over, core, box)
-
-    @staticmethod
-    def _over(core: Requests, box: str) -> None:
-        core.open[box] -= 1
-
-    # --- people ---------------------------------------------------------------------------------------
+            await until(loop.time() + self.random.expovariate(1 / self._load_s))
+            if self._is_paused(name):
+                await until(self.paused_until_s[name])  # and the first thing that it does then is a write
+            node = self.random.choice(self.nodes)
+            if core.may_send(node):
+                duration_s = self.random.uniform(SHORTEST_ATTEMPT_S, LONGEST_ATTEMPT_S)
+                process = f"{name}.{self.incarnations[name]}"
+                now_s = loop.time()
+                self.attempts.append(NodeAttempt(now_s, now_s + duration_s, node, process))
+                core.start_attempt(node)
+                loop.call_later(duration_s, core.end_attempt, node)
+
+    # --- operators ------------------------------------------------------------------------------------
 
     async def request(self, order: Order, by: str | None = None, within_s: float = 20.0) -> bool:
-        """Ask until it is agreed on."""
+        """Submit an order at brokers, drawn anew or always the same, until it is agreed on."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + within_s
-        while loop.time() < end:
-            made = self.services.get(by or self.random.choice(self.names))
-            if made is not None:
-                try:
-                    command = SubmitOrder(order, self._wall(made.settings.name))
-                    answer = decode_result(await made.member.call(encode_command(command), 2.0))
-                    if not answer.refusal:
-                        self.agreed[order.id] = order
-                        return True
-                except CallError:
-                    pass
-            await until(loop.time() + 0.2)
+        end_s = loop.time() + within_s
+        while loop.time() < end_s:
+            service = self.services.get(by or self.random.choice(self.names))
+            if service is not None and await self._submit(service, order):
+                self.agreed_orders[order.id] = order
+                return True
+            await until(loop.time() + POLL_S)
         return False
 
-    async def operate(self, end: float) -> bool:
-        """`done` for what is out, by the state of any broker that holds a lease."""
+    async def _submit(self, service: MaintenanceService, order: Order) -> bool:
+        command = SubmitOrder(order, service.wall_s())
+        try:
+            result = decode_result(await service.member.call(encode_command(command), CALL_S))
+        except CallError:
+            return False
+        return not result.refusal
+
+    async def operate(self, end_s: float) -> bool:
+        """Say `done` of what is out, by the state of any broker that holds a lease, until all orders are
+        over.
+        """
         loop = asyncio.get_running_loop()
-        while loop.time() < end:
-            made = self.services.get(self.random.choice(self.names))
-            if made is not None and made.member.has_lease():
-                state = made.machine.state
-                if self.agreed and all(n in state.orders and not state.is_open(n) for n in self.agreed):
+        while loop.time() < end_s:
+            service = self.services.get(self.random.choice(self.names))
+            if service is not None and service.member.has_lease():
+                if self._are_orders_over(service):
                     return True
-                for step in state.active_steps():
+                for step in service.machine.state.active_steps():
                     if step.phase == "out" and step.machine.startswith("x"):
-                        await self._done(made, step.machine)
-            await until(loop.time() + 0.2)
+                        await self._say_done(service, step.machine)
+            await until(loop.time() + POLL_S)
         return False
 
-    async def _done(self, made: MaintenanceService, machine: str) -> None:
+    def _are_orders_over(self, service: MaintenanceService) -> bool:
+        state = service.machine.state
+        is_over = all(name in state.orders and not state.is_open(name) for name in self.agreed_orders)
+        return bool(self.agreed_orders) and is_over
+
+    async def _say_done(self, service: MaintenanceService, machine: str) -> None:
         class Body:
             method, raw_path = "POST", "/maintenance/done"
 
             async def read(self) -> bytes:
                 return json.dumps({"machine": machine}).encode()
 
-        await made.handle(Body())  # type: ignore[arg-type]
-
-    # --- the judgement --------------------------------------------------------------------------------
-
-    def judge(self, finished: bool) -> Verdict:
-        """Of what brokers said and tried."""
-        found = Verdict(orders=len(self.agreed), finished=len(self.agreed) * finished, tried=len(self.tries))
-        first: dict[tuple[int, str], float] = {}
-        owner: dict[int, tuple[str, str]] = {}
-        digests: dict[int, int] = {}
-        for row in self.rows:
-            if row["event"] == "applied" and digests.setdefault(row["index"], row["digest"]) != row["digest"]:
-                found.broken.append(f"{row['by']}: another state at {row['index']}")
-            if row["event"] == "step" and row["fence"] and row["phase"] != "waiting":
-                machine = row["order"], row["machine"]
-                if owner.setdefault(row["fence"], machine) != machine:
-                    found.broken.append(f"fence {row['fence']}: {owner[row['fence']]} and {machine}")
-                first.setdefault((row["fence"], row["phase"]), row["at"])
-        spans = {}
-        for fence, machine in owner.items():
-            if (fence, "out") in first:
-                end = min(first.get((fence, "returning"), 1e18), first.get((fence, "back"), 1e18))
-                spans[fence] = first[fence, "out"], end, machine[1]
-        for begun, end, box, by in self.tries:
-            for fence, (out, back, machine_name) in spans.items():
-                if box == machine_name and begun < back and end > out:
-                    found.broken.append(
-                        f"{by} at {box} from {begun:.3f} to {end:.3f}, out from {out:.3f} ({fence})"
-                    )
-        moves = sorted(first.values())
-        found.steps = len(moves)
-        found.standstill_s = max([b - a for a, b in zip(moves, moves[1:], strict=False)], default=0.0)
-        if not finished:
-            found.broken.append("orders did not come to their end")
-        return found
-
-
-async def course(seed: int, brokers: int, voters: int, boxes: int, seconds: float) -> Verdict:
-    """A drawn course: an order of all boxes and one of all brokers, faults, then an end."""
-    fleet = Fleet(seed, brokers, voters, boxes)
-    loop, random = asyncio.get_running_loop(), Random(seed)
-    await asyncio.gather(*(fleet.start(name) for name in fleet.names))
-    names = tuple(fleet.boxes)
-    orders = [Order("boxes", names, "restart", 0.3, at_once=2)]
-    if voters > 3:
-        orders.append(Order("brokers", tuple(fleet.names[:voters]), "restart", 1.0))
-    asked = [loop.create_task(fleet.request(order)) for order in orders]
-    end = loop.time() + seconds
-    work = loop.create_task(fleet.operate(end + 90.0))
-
-    whole_s = [0.0]
-
-    async def fault() -> None:
-        what = random.choice(("kill", "kill", "cut", "apart", "lost", "jump", "all", "lose-disk", "pause"))
-        a, b = random.sample(fleet.names[: voters + 2], 2)
-        for_s = random.uniform(0.2, 3.0)
-        if what == "lose-disk" and loop.time() < whole_s[0]:
-            what = "kill"  # two disks at once with other faults may be more than a minority
-        if what in ("kill", "lose-disk"):
-            await fleet.kill(a)
-            if what == "lose-disk":
-                whole_s[0] = loop.time() + for_s + 10.0
-                fleet.disks[a] = MemoryDisk(f"{a}-{fleet.lives[a] + 1}")
-            await until(loop.time() + for_s)
-            if a not in fleet.services:
-                await fleet.start(a)
-        elif what == "all":
-            await asyncio.gather(*(fleet.kill(name) for name in fleet.names))
-            for name in fleet.names:
-                await until(loop.time() + random.uniform(0.0, 0.2))
-                if name not in fleet.services:
-                    await fleet.start(name)
-        elif what in ("cut", "apart"):
-            ways = {(a, b)}
-            if what == "apart":
-                side = set(random.sample(fleet.names, random.randint(1, len(fleet.names) // 2)))
-                ways = {(c, d) for c in fleet.names for d in fleet.names if (c in side) != (d in side)}
-            fleet.cut |= ways
-            await until(loop.time() + for_s)
-            fleet.cut -= ways
-        elif what == "pause":
-            fleet.paused[a] = loop.time() + random.uniform(0.2, 8.0)
-        elif what == "lost":
-            fleet.lost = random.choice((0.0, 0.1, 0.3))
-        else:
-            fleet.wall_off[a] = random.choice((-3600.0, 0.0, 3600.0))
-
-    while loop.time() < end:
-        await until(loop.time() + random.uniform(0.3, 2.0))
-        await fault()
-    fleet.cut.clear()
-    fleet.paused.clear()
-    fleet.lost = 0.0
-    await asyncio.gather(*asked)
-    finished = await work
-    verdict = fleet.judge(finished)
-    for name in list(fleet.services):
-        await fleet.kill(name)
-    return verdict
-
-
-def play(seed: int, brokers: int = 5, voters: int = 5, boxes: int = 8, seconds: float = 8.0) -> Verdict:
-    """One course, on a clock of its own."""
-    return virtual_time.run(course(seed, brokers, voters, boxes, seconds))
+        await service.handle(Body())  # type: ignore[arg-type]
--- /dev/null
+++ b/harriertide/lab/simulation/memory_parts.py
@@ -0,0 +1,167 @@
+"""What stands for disks, network, requests and logs of a broker whose maintenance runs in virtual time."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from harriertide.config.model import State
+from harriertide.consensus import events as ev
+from harriertide.consensus.messages import Entry, Member, Snapshot
+from harriertide.decide import api
+
+LONGEST_ATTEMPT_S = 0.3
+
+
+class MemoryDisk:
+    """A disk that outlives its process, as a store does."""
+
+    def __init__(self, name: str) -> None:
+        self.disk = name
+        self._cluster = ""
+        self._term = 0
+        self._vote: Member | None = None
+        self._snapshot: Snapshot | None = None
+        self._entries: list[Entry] = []
+
+    @property
+    def found(self) -> ev.Restored:
+        """What a start finds on it."""
+        return ev.Restored(self._cluster, self._term, self._vote, self._snapshot, tuple(self._entries))
+
+    def write(self, works: list[ev.Persist]) -> None:
+        """Write all of these."""
+        for work in works:
+            self._cluster = work.cluster
+            self._term = work.term
+            self._vote = work.vote
+            if work.cut:
+                self._entries = [entry for entry in self._entries if entry.index < work.cut]
+            self._entries += work.entries
+            if work.snapshot is not None:
+                self._snapshot = work.snapshot
+                base = work.snapshot.index
+                self._entries = [entry for entry in self._entries if entry.index > base]
+
+    def close(self) -> None:
+        """Do nothing: there is no file."""
+
+
+class MemoryNetwork(Protocol):
+    """Carries payloads between brokers, as the fleet's links are now."""
+
+    def connect(self, name: str, carrier: MemoryCarrier) -> None:
+        """A process listens under this name."""
+
+    def transmit(self, sender: str, receiver: str, payload: bytes) -> None:
+        """Deliver it late, or never."""
+
+
+class MemoryCarrier:
+    """One broker's way to the others."""
+
+    def __init__(self, network: MemoryNetwork, name: str, on_payload: Callable[[bytes], bool]) -> None:
+        self._network = network
+        self._name = name
+        self._on_payload = on_payload
+        self.is_open = False
+        self.counts: Counter[str] = Counter()
+
+    async def listen(self, address: tuple[str, int]) -> int:
+        """Hear others from now on."""
+        self.is_open = True
+        self._network.connect(self._name, self)
+        return address[1]
+
+    def send(self, name: str, address: tuple[str, int], payload: bytes) -> None:
+        """Send a payload; it may be lost."""
+        self.counts["frames_out"] += 1
+        self.counts["bytes_out"] += len(payload)
+        if self.is_open:
+            self._network.transmit(self._name, name, payload)
+
+    def receive(self, payload: bytes) -> None:
+        """Take a payload, where a process listens."""
+        if self.is_open:
+            self._on_payload(payload)
+
+    async def close(self) -> None:
+        """Hear and say nothing any more."""
+        self.is_open = False
+
+
+class StandInCore:
+    """In place of a reducer: counts attempts that are open at nodes."""
+
+    def __init__(self) -> None:
+        request_class = api.RequestClass(100_000, int(LONGEST_ATTEMPT_S * 1_000_000))
+        self.settings = api.Settings(
+            broker_index=0,
+            broker_count=1,
+            shard_count=1,
+            classes=(request_class,),
+            plans=(api.Plan(),),
+        )
+        self.offered_units = 0.0
+        self.barred: Callable[[str], bool] | None = None
+        self.lifeless: Counter[str] = Counter()
+        self.open_attempts: Counter[str] = Counter()  # by node
+        self.is_ready = True
+
+    def set_ready(self, is_ready: bool) -> None:
+        """Whether clients are served."""
+        self.is_ready = is_ready
+
+    def may_send(self, node: str) -> bool:
+        """Whether a request may be sent to a node now, by the rule that is asked right before a write."""
+        assert self.barred is not None
+        return self.is_ready and not self.barred(node)
+
+    def start_attempt(self, node: str) -> None:
+        """An attempt is open at a node from now on."""
+        self.open_attempts[node] += 1
+        self.offered_units += 1
+
+    def end_attempt(self, node: str) -> None:
+        """An attempt is over."""
+        self.open_attempts[node] -= 1
+
+    def out_at(self, node: str) -> int:
+        """Return how many attempts are open at a node."""
+        return self.open_attempts[node]
+
+    def learned(self) -> dict[str, float]:
+        """Return nothing: no node is overloaded here."""
+        return {}
+
+    def owed(self) -> int:
+        """Return how many requests have no answer yet: all that are open."""
+        return sum(self.open_attempts.values())
+
+
+class StandInNodes:
+    """In place of the object front."""
+
+    def __init__(self, state: State) -> None:
+        self.state = state
+
+    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
+        """Do nothing: the check right before a write is what counts here."""
+
+
+class MemoryEvents:
+    """In place of a log of events: rows in memory, with the broker's name."""
+
+    def __init__(self, rows: list[dict[str, Any]], name: str) -> None:
+        self._rows = rows
+        self._name = name
+
+    def write(self, event: str, **fields: Any) -> None:
+        """Write one event."""
+        at = asyncio.get_running_loop().time()
+        self._rows.append({"event": event, "by": self._name, "at": at, **fields})
+
+    def close(self) -> None:
+        """Do nothing: there is no file."""
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,6 +17,7 @@
 
 from harriertide.cli.main import main as command
 from harriertide.decide.settings import SettingsError
+from harriertide.lab.checkers import maintenance_checker
 from harriertide.lab.experiments import maintenance
 from harriertide.lab.rigs.fault_script import HOST, Fault, load
 from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
@@ -26,7 +27,7 @@
 
 def played(
     folder: Path, body: Body, brokers: int = 3, boxes: int = 4, at_once: int = 1, **keys: Any
-) -> maintenance.Verdict:
+) -> maintenance_checker.Verdict:
     """A body on a rig that stands and has a leader; what the judge says of it then."""
 
     async def main() -> None:
@@ -39,7 +40,7 @@
             await rig.close()
 
     asyncio.run(main())
-    found = maintenance.judge(folder, {}, {"fw": at_once, "all": at_once})
+    found = maintenance_checker.judge(folder, {}, {"fw": at_once, "all": at_once})
     hard = found.two_at_once + found.late_sends + found.order_differs + found.lost + found.answered_twice
     assert not hard, found.rows
     return found
@@ -400,7 +401,7 @@
 def test_a_short_drawn_run_keeps_every_bound(tmp_path: Path) -> None:
     faults = draw(5, 5, 4.0)
     groups, done = asyncio.run(maintenance.play(tmp_path, 5, 5, 6, 4.0, faults))
-    found = maintenance.judge(tmp_path, groups, maintenance.AT_ONCE)
+    found = maintenance_checker.judge(tmp_path, groups, maintenance.AT_ONCE)
     assert done and not found.broken, found.rows
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["verb"] for row in rows if row["event"] == "fault"] == [fault.verb for fault in faults]
@@ -476,11 +477,11 @@
     return {"event": "step", "order": order, "machine": machine, "phase": phase_, "fence": fence, "at": at}
 
 
-def logs(folder: Path, events: list[Any], boxes: list[Any] = []) -> maintenance.Verdict:  # noqa: B006
+def logs(folder: Path, events: list[Any], boxes: list[Any] = []) -> maintenance_checker.Verdict:  # noqa: B006
     agreed = [{"event": "agreed", "order": "o", "machines": ["x1", "x2"], "at": 0.0}]
     for name, rows in (("b1.events", events), ("boxes.log", boxes), ("clients.log", agreed)):
         (folder / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
-    return maintenance.judge(folder, {"x1": "g", "x2": "g"}, {"o": 1})
+    return maintenance_checker.judge(folder, {"x1": "g", "x2": "g"}, {"o": 1})
 
 
 PHASES = ("permitted", "draining", "out", "returning", "back")
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -18,8 +18,10 @@
 from harriertide.consensus.replica import Course, Done, Replica
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
+from harriertide.lab.checkers.fleet_checker import Verdict, check_fleet
+from harriertide.lab.experiments.fleet_run import play
 from harriertide.lab.simulation import virtual_time
-from harriertide.lab.simulation.maintenance_fleet import Fleet, Verdict, play
+from harriertide.lab.simulation.maintenance_fleet import Fleet
 from harriertide.maintenance import confirmations, send_gate
 from harriertide.maintenance.capacity import available_units
 from harriertide.maintenance.commands import (
@@ -478,7 +480,7 @@
 
 def test_courses_with_brokers_that_only_follow() -> None:
     for seed in range(8):
-        verdict = play(seed, brokers=12, voters=3, boxes=6, seconds=6.0)
+        verdict = play(seed, brokers=12, voters=3, nodes=6, seconds=6.0)
         assert not verdict.broken, f"seed {seed}: {verdict.broken[:3]}"
 
 
@@ -508,32 +510,32 @@
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
     await until(loop.time() + 3.0)
     side = {"b4", "b5"}
-    ways = {(a, b) for a in fleet.names for b in fleet.names if (a in side) != (b in side)}
-    fleet.cut |= ways
-    zone = tuple(fleet.boxes[:4])
+    fleet.cut_links |= fleet.links_between(side)
+    zone = tuple(fleet.nodes[:4])
     asked = [
         loop.create_task(fleet.request(Order("one", zone, "restart", 0.2), by="b1")),
         loop.create_task(fleet.request(Order("two", zone, "restart", 0.2), by="b5", within_s=40.0)),
     ]
     work = loop.create_task(fleet.operate(loop.time() + 60.0))
-    tried = len(fleet.tries)
+    tried = len(fleet.attempts)
     await until(loop.time() + 6.0)
     lone = fleet.services["b5"]
     assert lone.member.now_us() > lone.member.lease_end_us and not lone.member.is_leader
     assert not lone.machine.state.orders  # it permits nothing, and does not know what was agreed on
     served = [
-        box for begun, _, box, by in fleet.tries[tried:] if by.startswith("b5") and begun > loop.time() - 1.0
+        attempt.node
+        for attempt in fleet.attempts[tried:]
+        if attempt.process.startswith("b5") and attempt.began_s > loop.time() - 1.0
     ]
     assert served  # and serves on
     if known:
         steps = [step for s in fleet.services.values() for step in s.machine.state.active_steps()]
         assert {step.phase for step in steps} <= {"permitted"}
-    fleet.cut.clear()
+    fleet.cut_links.clear()
     await asyncio.gather(*asked)
     finished = await work
-    verdict = fleet.judge(finished)
-    for name in list(fleet.services):
-        await fleet.kill(name)
+    verdict = check_fleet(fleet, finished)
+    await fleet.kill_all()
     return verdict
 
 
@@ -546,7 +548,7 @@
 
 async def many() -> tuple[Verdict, dict[str, float], int]:
     """200 brokers in four zones, one of them away for 5 s, an order under way."""
-    fleet = Fleet(1, 200, 5, 16, zones=4, load=0.5, lease_ms=3_000)
+    fleet = Fleet(1, 200, 5, 16, zones=4, load_s=0.5, lease_ms=3_000)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
     await until(loop.time() + 6.0)
@@ -554,17 +556,16 @@
     sent = {name: carrier.counts["frames_out"] for name, carrier in fleet.carriers.items()}
     await until(loop.time() + 1.0)
     rates = {name: carrier.counts["frames_out"] - sent[name] for name, carrier in fleet.carriers.items()}
-    assert await fleet.request(Order("fw", tuple(fleet.boxes[:6]), "restart", 0.3, at_once=3))
+    assert await fleet.request(Order("fw", tuple(fleet.nodes[:6]), "restart", 0.3, at_once=3))
     work = loop.create_task(fleet.operate(loop.time() + 60.0))
     await until(loop.time() + 0.5)
     away = {name for name in fleet.names if fleet.zone[name] == "z3"}
-    ways = {(a, b) for a in fleet.names for b in fleet.names if (a in away) != (b in away)}
-    fleet.cut |= ways
+    links = fleet.links_between(away)
+    fleet.cut_links |= links
     await until(loop.time() + 5.0)
-    fleet.cut -= ways
-    verdict = fleet.judge(await work)
-    for name in list(fleet.services):
-        await fleet.kill(name)
+    fleet.cut_links -= links
+    verdict = check_fleet(fleet, await work)
+    await fleet.kill_all()
     return verdict, rates, leased
 
 
