--- a/harriertide/lab/benchmarks/maintenance_cost.py
+++ b/harriertide/lab/benchmarks/maintenance_cost.py
@@ -50,7 +50,7 @@
 
 
 async def _rig(folder: Path, seed: int, labels: dict[str, str]) -> Rig:
-    rig = Rig(folder, BROKERS, BOXES, seed, labels=labels, took_s=0.02)
+    rig = Rig(folder, BROKERS, BOXES, seed, labels=labels, service_s=0.02)
     await rig.start()
     while True:
         _, answer = await rig.ask(0, "GET", "/maintenance")
@@ -69,7 +69,7 @@
         load = loop.create_task(run.load(rate))
         await until(loop.time() + 1.0)
         begun = time.monotonic()
-        boxes = [box.name for box in rig.boxes]
+        boxes = [box.name for box in rig.nodes]
         if how == "none":
             await until(loop.time() + 15.0)
         elif how.startswith("agreed"):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -160,11 +160,11 @@
         load = asyncio.ensure_future(writes(rig, [away]))
         await request(rig, ["x1"], place=led)
         await phase(rig, "x1", "draining", "out", at=led)  # it knows of the permit by then
-        rig._signal(away, signal.SIGSTOP)
+        rig.signal(away, signal.SIGSTOP)
         begun = time.monotonic()
         await phase(rig, "x1", "out", at=led)
         await asyncio.sleep(max(0.0, begun + 8.0 - time.monotonic()))
-        rig._signal(away, signal.SIGCONT)
+        rig.signal(away, signal.SIGCONT)
         await asyncio.sleep(1.0)  # it reads what clients sent meanwhile, and knows by itself that it may not
         await finish(rig)
         load.cancel()
@@ -178,14 +178,14 @@
         led = await leader(rig)
         away = next(place for place in range(3) if place != led)
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        rig.links[led, away].cut = True  # the leader hears it, and it hears nothing
+        rig.links[led, away].is_cut = True  # the leader hears it, and it hears nothing
         await request(rig, ["x1", "x2"], place=led)
         await phase(rig, "x1", "permitted", at=led)
         answer = await status(rig, led)
         await asyncio.sleep(1.5)
         waits = (await status(rig, led))["orders"][0]["steps"][0]
         assert waits["phase"] == "permitted" and rig.names[away] in str(waits["waits"]), (answer, waits)
-        rig.links[led, away].cut = False
+        rig.links[led, away].is_cut = False
         await finish(rig)
         load.cancel()
 
@@ -195,17 +195,17 @@
 def test_two_orders_for_the_same_machines_at_two_sides_of_a_split(tmp_path: Path) -> None:
     async def body(rig: Rig) -> None:
         led = await leader(rig)
-        ways = [link for (a, b), link in rig.links.items() if (a == led) != (b == led)]
-        for link in ways:
-            link.cut = True
+        links = rig.links_of(led)
+        for link in links:
+            link.is_cut = True
         late = asyncio.ensure_future(request(rig, ["x1", "x2"], "all", place=led))
         other = await leader(rig, beside=(led,))
         await request(rig, ["x2", "x1"], place=other)
         answer = await status(rig, led)
         assert not answer["knows"] and not answer["orders"]
         assert await rig.put(led, "served", b"on") == 200  # it permits nothing, and serves
-        for link in ways:
-            link.cut = False
+        for link in links:
+            link.is_cut = False
         await late
         await finish(rig)
 
@@ -236,7 +236,7 @@
     async def body(rig: Rig) -> None:
         await request(rig, ["x1", "x2"], at_once=2)
         await phase(rig, "x1", "permitted", "draining", "out")
-        await rig.boxes[0].close()
+        await rig.nodes[0].close()
         await phase(rig, "x2", "out")
         await rig.ask(0, "POST", "/maintenance/done", {"machine": "x2"})
         await phase(rig, "x2", "back")
@@ -254,7 +254,7 @@
 def test_a_box_that_is_away_unplanned_uses_up_what_may_be_away(tmp_path: Path) -> None:
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        await rig.boxes[3].close()
+        await rig.nodes[3].close()
 
         async def seen() -> bool:
             return "x4" in (await status(rig)).get("failed", [])
@@ -266,7 +266,7 @@
             return "x4 is away" in str((await status(rig))["orders"][0]["steps"][0]["waits"])
 
         await eventually(told)
-        await rig.boxes[3].open(again=True)
+        await rig.nodes[3].open(again=True)
         await finish(rig)
         load.cancel()
 
