--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -23,9 +23,9 @@
 
 from harriertide.engine.clock import until
 from harriertide.lab.checkers.upgrade_checker import IDLE_S, LATE_REQUEST_S, REJOIN_S, Found, conclude, judge
-from harriertide.lab.experiments.processes import status_of
 from harriertide.lab.rigs.fault_script import HOST
 from harriertide.lab.rigs.folders import kept_or_temporary
+from harriertide.lab.rigs.process_rig import ask_status
 from harriertide.lab.rigs.single_broker import Called, Process, World, call
 
 ASK_S, FURTHER_S = 0.1, 0.2  # the front's
@@ -43,7 +43,7 @@
 
     async def healthy(self) -> bool:
         """What the front hears."""
-        return await status_of(self.world.address[1], HEALTH) == 200
+        return await ask_status(self.world.address[1], HEALTH) == 200
 
     async def operate(self, line: str) -> Called:
         """An operator's call, its time written down."""
--- a/harriertide/lab/rigs/single_broker.py
+++ b/harriertide/lab/rigs/single_broker.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from harriertide.engine.clock import until
-from harriertide.lab.experiments import processes
+from harriertide.lab.rigs import broker_settings
 from harriertide.lab.rigs.clients import DEADLINE_MS, Clients
 from harriertide.lab.rigs.fault_script import HOST, ports
 from harriertide.lab.rigs.nodes import Discovery, Logs, Node
@@ -35,17 +35,17 @@
 
 def settings() -> dict[str, Any]:
     """The broker's settings: three shards, two plans."""
-    plan = processes.SETTINGS["plans"][0]
-    kind = processes.SETTINGS["classes"][0]
+    plan = broker_settings.SETTINGS["plans"][0]
+    kind = broker_settings.SETTINGS["classes"][0]
     return {
-        **processes.SETTINGS,
+        **broker_settings.SETTINGS,
         "index": 0, "groupSize": 1,
         "classes": [{**kind, "sloUs": 1000 * AIM_MS, "deadlineUs": 1000 * DEADLINE_MS}],
         "plans": [
             {**plan, "name": "free", "ceilingRate": 0.0, "mostAtOnce": 0.0},
             {**plan, "name": "capped", "ceilingRate": LIMIT, "mostAtOnce": BURST},
         ],
-        "domain": {**processes.SETTINGS["domain"], "nShards": 3, "youngLimit": COLD_UNITS},
+        "domain": {**broker_settings.SETTINGS["domain"], "nShards": 3, "youngLimit": COLD_UNITS},
         "safety": {
             "coldFrom": 0.2, "coldUs": int(COLD_S * 1e6), "fallUs": int(FALL_S * 1e6), "fallMultiple": 2.5,
         },
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -11,6 +11,7 @@
 import pytest
 
 from harriertide.decide.settings import SettingsError
+from harriertide.lab.checkers import limit_checker
 from harriertide.lab.experiments import processes
 from harriertide.lab.rigs.fault_script import Fault, load
 
@@ -23,8 +24,8 @@
         Fault(4.0, "cut", 1, 2, 1.0), Fault(5.2, "cut", 2, 1, 0.8), Fault(6.2, "box", 2, for_s=0.6),
     ]  # fmt: skip
     seconds = 9.0
-    asyncio.run(processes.course(tmp_path, 3, seconds, 1, faults))
-    found = processes.judge(tmp_path, seconds)
+    asyncio.run(processes.play(tmp_path, 3, seconds, 1, faults))
+    found = limit_checker.judge(tmp_path, seconds)
     assert not found.broken
     assert found.used > 0.35 and found.told[200] > 50  # a busy machine may make it less; the rest is a rule
     rows = [json.loads(line) for line in (tmp_path / "clients.log").read_text().splitlines()]
@@ -33,10 +34,10 @@
     assert last["at_s"] > 8.0  # all faults are over, and it goes on
 
 
-def logs(folder: Path, box: list[Any], clients: list[Any]) -> processes.Judgement:
+def logs(folder: Path, box: list[Any], clients: list[Any]) -> limit_checker.Verdict:
     for name, rows in (("box", box), ("clients", clients)):
         (folder / f"{name}.log").write_text("".join(json.dumps(row) + "\n" for row in rows))
-    return processes.judge(folder, 10.0)
+    return limit_checker.judge(folder, 10.0)
 
 
 def came(request: str, at_s: float, units: float = 3.0) -> dict[str, Any]:
