--- a/harriertide/lab/rigs/maintenance_rig.py
+++ b/harriertide/lab/rigs/maintenance_rig.py
@@ -285,9 +285,9 @@
         await self.start_again(fault.a)
 
     async def _play_pause(self, fault: Fault) -> None:
-        self.signal(fault.a, signal.SIGSTOP)
+        self.send_signal(fault.a, signal.SIGSTOP)
         await self._last(fault)
-        self.signal(fault.a, signal.SIGCONT)
+        self.send_signal(fault.a, signal.SIGCONT)
 
     async def _play_cut(self, fault: Fault) -> None:
         links = [self.links[fault.a, fault.b]] if fault.verb == "cut" else self.links_of(fault.a)
@@ -331,7 +331,7 @@
         """Return the links between a broker and all others, both ways."""
         return [link for (a, b), link in self.links.items() if (a == place) != (b == place)]
 
-    def signal(self, place: int, number: signal.Signals) -> None:
+    def send_signal(self, place: int, number: signal.Signals) -> None:
         """Send a signal to a broker's process, if there is one."""
         with suppress(ProcessLookupError):
             self.processes[place].send_signal(number)
@@ -339,8 +339,8 @@
     async def end(self, place: int, number: signal.Signals) -> None:
         """By a signal, and not started again by itself."""
         self.stopped.add(place)
-        self.signal(place, signal.SIGCONT)
-        self.signal(place, number)
+        self.send_signal(place, signal.SIGCONT)
+        self.send_signal(place, number)
         await self.processes[place].wait()
 
     async def kill(self, place: int) -> None:
@@ -376,5 +376,7 @@
             link.close()
         for node in self.nodes:
             await node.close()
-        for file in (*self._logs.values(), *self._stderr):
-            file.close()
+        for log in self._logs.values():
+            log.close()
+        for stderr in self._stderr:
+            stderr.close()
--- a/harriertide/lab/rigs/process_rig.py
+++ b/harriertide/lab/rigs/process_rig.py
@@ -206,8 +206,10 @@
                 await broker.wait()
         self._relays.close()
         self._node.close()
-        for file in (*self._logs.values(), *self._stderr):
-            file.close()
+        for log in self._logs.values():
+            log.close()
+        for stderr in self._stderr:
+            stderr.close()
 
 
 async def ask_status(port: int, text: str) -> int:
--- a/harriertide/lab/simulation/memory_parts.py
+++ b/harriertide/lab/simulation/memory_parts.py
@@ -9,7 +9,6 @@
 
 from harriertide.config.model import State
 from harriertide.consensus import events as ev
-from harriertide.consensus.messages import Entry, Member, Snapshot
 from harriertide.decide import api
 
 LONGEST_ATTEMPT_S = 0.3
@@ -20,30 +19,20 @@
 
     def __init__(self, name: str) -> None:
         self.disk = name
-        self._cluster = ""
-        self._term = 0
-        self._vote: Member | None = None
-        self._snapshot: Snapshot | None = None
-        self._entries: list[Entry] = []
-
-    @property
-    def found(self) -> ev.Restored:
-        """What a start finds on it."""
-        return ev.Restored(self._cluster, self._term, self._vote, self._snapshot, tuple(self._entries))
+        self.found = ev.Restored()  # what a start finds on it
 
     def write(self, works: list[ev.Persist]) -> None:
         """Write all of these."""
         for work in works:
-            self._cluster = work.cluster
-            self._term = work.term
-            self._vote = work.vote
+            entries = self.found.entries
             if work.cut:
-                self._entries = [entry for entry in self._entries if entry.index < work.cut]
-            self._entries += work.entries
+                entries = tuple(entry for entry in entries if entry.index < work.cut)
+            entries += work.entries
+            snapshot = self.found.snapshot
             if work.snapshot is not None:
-                self._snapshot = work.snapshot
-                base = work.snapshot.index
-                self._entries = [entry for entry in self._entries if entry.index > base]
+                snapshot = work.snapshot
+                entries = tuple(entry for entry in entries if entry.index > work.snapshot.index)
+            self.found = ev.Restored(work.cluster, work.term, work.vote, snapshot, entries)
 
     def close(self) -> None:
         """Do nothing: there is no file."""
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -160,11 +160,11 @@
         load = asyncio.ensure_future(writes(rig, [away]))
         await request(rig, ["x1"], place=led)
         await phase(rig, "x1", "draining", "out", at=led)  # it knows of the permit by then
-        rig.signal(away, signal.SIGSTOP)
+        rig.send_signal(away, signal.SIGSTOP)
         begun = time.monotonic()
         await phase(rig, "x1", "out", at=led)
         await asyncio.sleep(max(0.0, begun + 8.0 - time.monotonic()))
-        rig.signal(away, signal.SIGCONT)
+        rig.send_signal(away, signal.SIGCONT)
         await asyncio.sleep(1.0)  # it reads what clients sent meanwhile, and knows by itself that it may not
         await finish(rig)
         load.cancel()
