--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -65,7 +65,8 @@
         self._serial = 0
         self._tasks: list[asyncio.Task[None]] = []
         self._carrier = environment.carrier(self._on_payload)
-        self._tree = Fan(name, tuple(addresses), voters, lease_us, self.now_us(), random.getrandbits(48))
+        first_report = random.getrandbits(48)
+        self._tree = Fan(name, tuple(addresses), voters, lease_us, self.now_us(), first_report)
         self._updates = TreeUpdates(name, voters, self._tree, self._send, self._counts)
         link = MemberLink(
             name=name,
--- a/harriertide/control/tree_updates.py
+++ b/harriertide/control/tree_updates.py
@@ -72,7 +72,8 @@
                     self._send_snapshot(name, source)
                     child.fed = max(self._snapshot_index, child.fed + 1)
                 elif entries:
-                    update = Feed(self._name, source.leader, child.told, child.index, child.fed, entries)
+                    grant = child.told, child.index
+                    update = Feed(self._name, source.leader, *grant, child.fed, entries)
                     self._send(name, update)
                     child.fed = entries[-1].index
                 else:
