--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -134,6 +134,11 @@
 def test_the_leader_dies_between_agreeing_and_draining_and_between_the_permit_and_the_word(
     tmp_path: Path,
 ) -> None:
+    """The leader is killed right after a permit, and the next one right after a machine is out, so that
+    the operator's word is lost with it. The order goes on under whoever leads, and nothing is sent to a
+    machine that is out.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
         first = await leader(rig)
@@ -174,6 +179,10 @@
 
 
 def test_cut_off_in_one_direction_for_the_length_of_a_permit(tmp_path: Path) -> None:
+    """One broker hears nothing of the leader, which still hears it. It may not know of the permit: the
+    machine stays permitted and `status` names that broker, until the link is back.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         away = next(place for place in range(3) if place != led)
@@ -193,6 +202,11 @@
 
 
 def test_two_orders_for_the_same_machines_at_two_sides_of_a_split(tmp_path: Path) -> None:
+    """The old leader is cut off from the others. At both sides an operator asks for work on the same
+    machines: the lone side permits nothing and serves on, the others go ahead; healed, both orders come
+    to their end.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         links = rig.links_of(led)
@@ -213,6 +227,10 @@
 
 
 def test_all_brokers_are_killed_at_once_amid_work_and_started_again(tmp_path: Path) -> None:
+    """Power is lost at all brokers at once, twice, with machines out. What was agreed on is on their
+    disks: the order goes on where it was.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
         await request(rig, ["x1", "x2", "x3"])
@@ -233,6 +251,10 @@
 def test_a_permitted_machine_that_dies_and_never_comes_back_is_overdue_and_can_be_done_later(
     tmp_path: Path,
 ) -> None:
+    """A node dies in its turn. It is overdue and holds up no other machine of its order; when it is back
+    at last, `done` ends its turn.
+    """
+
     async def body(rig: Rig) -> None:
         await request(rig, ["x1", "x2"], at_once=2)
         await phase(rig, "x1", "permitted", "draining", "out")
@@ -252,6 +274,10 @@
 
 
 def test_a_box_that_is_away_unplanned_uses_up_what_may_be_away(tmp_path: Path) -> None:
+    """A node fails that no order names. It counts as out of service: an order of one at once waits and
+    says for what, until the node is back.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
         await rig.nodes[3].close()
@@ -293,6 +319,10 @@
 
 
 def test_a_rolling_restart_of_all_brokers_by_their_own_order_under_load(tmp_path: Path) -> None:
+    """Each broker ends itself in order in its turn and is started again, the leader among them, while
+    clients write. Every process is another one in the end, and most writes were served.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, list(range(5))))
         before = {place: process.pid for place, process in rig.processes.items()}
@@ -308,6 +338,11 @@
 
 
 def test_a_disk_that_is_lost_under_a_voter_makes_it_a_new_member(tmp_path: Path) -> None:
+    """A voter comes back with an empty disk: it has forgotten how it voted. Under its old identity it
+    could vote twice in one term; it is learned as a new member, the old one is removed, and it is
+    promoted.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         away = next(place for place in range(3) if place != led)
@@ -331,6 +366,10 @@
 
 @pytest.mark.parametrize("verb", ["disk-full", "sync-fails"])
 def test_a_log_that_can_not_be_written_stops_that_member_alone(tmp_path: Path, verb: str) -> None:
+    """The leader's disk is full, or a sync fails. What a failed sync left on the disk nobody knows: that
+    member takes no part any more and says so, and the others go on.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         fault = asyncio.ensure_future(rig.fault(Fault(0.0, verb, led, for_s=2.5)))
@@ -347,6 +386,10 @@
 
 
 def test_a_bit_that_flips_in_the_log_stops_the_member_and_the_others_catch_it_up(tmp_path: Path) -> None:
+    """A bit of a voter's log flips while it is down. Its store is damaged and kept aside; it joins as a
+    new member and is caught up.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         away = next(place for place in range(3) if place != led)
@@ -371,6 +414,10 @@
 
 
 def test_junk_on_the_wire_ends_its_connection_and_nothing_else(tmp_path: Path) -> None:
+    """Somebody dials the brokers' address and sends what is no frame: too long, with a wrong checksum, or
+    HTTP. The connection ends and is counted; the agreement goes on.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         for junk in (
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -269,8 +269,8 @@
 
 
 def test_a_command_that_is_on_its_way_is_not_proposed_again() -> None:
-    """The leader looks every 200 ms, and an agreement may take longer: the same command, but for its time, must
-    not fill the log."""
+    """The leader looks every 200 ms, and an agreement may take longer: the same command, but for its time,
+    must not fill the log."""
 
     async def main() -> None:
         machine, rows, counts = agreed(), Rows(), Counter[str]()
@@ -326,9 +326,10 @@
             await may_write.wait()
             write()
 
-        writer = DiskWriter(
-            store, write_to_disk, lambda number, took_us: synced.append(number), failed.append
-        )
+        def on_synced(number: int, took_us: int) -> None:
+            synced.append(number)
+
+        writer = DiskWriter(store, write_to_disk, on_synced, failed.append)
         task = asyncio.ensure_future(writer.run())
         writer.submit(work(1))
         await asyncio.sleep(0.01)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -137,6 +137,9 @@
 
 
 def test_a_fence_never_goes_back_and_an_old_one_moves_nothing() -> None:
+    """A leader that was paused proposes a change under a fence of a turn that is over, or of another
+    machine's: nothing changes.
+    """
     agreed = declared(SubmitOrder(order(), 2.0))
     assert not walk(agreed, "x1", "fw", "draining", "out", "returning", "back")
     assert not walk(agreed, "x2", "fw")
@@ -299,6 +302,9 @@
 
 
 def test_a_failure_that_nobody_planned_uses_the_same_budget_and_calls_back_what_still_drains() -> None:
+    """A node fails while an order is open: no permit is granted until it is back. When one fails while
+    another still drains, and the rest can't serve the load, the draining one goes back to waiting.
+    """
     agreed = declared(SubmitOrder(order("fw", ("x1", "x2"), at_once=1), 2.0))
     planner, known = Planner(agreed, PlannerSettings()), facts(load_units=20.0, unreachable_counts={"x5": 4})
     planner.propose(known, 10_000_000, 3.0)
@@ -337,6 +343,11 @@
 
 
 def test_draining_waits_for_all_to_know_and_out_for_all_to_be_done_or_gone_for_certain() -> None:
+    """One of five brokers is silent. It may not know of a permit, however long it is silent: the machine
+    does not drain, unless brokers that are cut off stop sending. One that knew can be waited out: its
+    lease by any clock, its longest attempt, and a write on its way. A new leader begins to count at its
+    own election.
+    """
     agreed = declared(SubmitOrder(order(), 2.0))
     rules = PlannerSettings(lease_us=1_000_000, longest_attempt_us=500_000)
     planner, known = Planner(agreed, rules), facts()
@@ -489,6 +500,10 @@
 
 
 def test_planted_faults_of_leases_and_confirmations_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two bugs are planted: a lease that is over changes nothing, and a drain needs no confirmation. The
+    simulated fleets show each.
+    """
+
     def blind(state: MaintenanceState, now_us: int, end_us: int, limit_us: int) -> frozenset[str]:
         """A lease that is over changes nothing."""
         return frozenset(step.machine for step in state.active_steps() if step.phase in CLOSED_PHASES)
@@ -540,6 +555,9 @@
 
 
 def test_two_orders_for_one_zone_at_two_sides_of_a_split(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two of five brokers are cut off and get an order of their own: they permit nothing. Without the
+    rule that all must know of a permit, the checker finds attempts at machines that are out.
+    """
     verdict = virtual_time.run(split(known=True))
     assert not verdict.broken and verdict.finished == 2
     monkeypatch.setattr(confirmations, "brokers_not_informed", lambda *words: [])
