--- a/harriertide/control/broker_report.py
+++ b/harriertide/control/broker_report.py
@@ -64,7 +64,7 @@
         me = bits({self._member.broker_index})
         closed = self._barrier.closed_now(now_us)
         steps = self._machine.state.active_steps()
-        learned = self._core.learned()
+        learned = self._core.learned_capacity_by_node()
         return Report(
             sender=self._member.name,
             number=0,
@@ -87,9 +87,9 @@
             return False
         if closed is not None and step.machine not in closed:
             return False
-        if step.machine == self._member.name and self._core.owed():
+        if step.machine == self._member.name and self._core.open_request_count():
             return False
-        return self._core.out_at(step.machine) == 0
+        return self._core.open_attempt_count_at(step.machine) == 0
 
     def _announced_incarnation(self, now_us: int) -> dict[str, int]:
         is_young = now_us - self._started_us < ANNOUNCE_US
@@ -100,7 +100,7 @@
     def _unreachable_nodes(self, now_us: int) -> dict[str, int]:
         """Nodes that are out of service, as seen from here; 1 for each, to be summed up over brokers."""
         unreachable = {}
-        for name, count in self._core.lifeless.items():
+        for name, count in self._core.consecutive_unresponsive.items():
             known = self._unresponsive.get(name)
             if known is None or known.count != count:
                 known = self._unresponsive[name] = _Unresponsive(count, now_us)
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -106,7 +106,7 @@
         self._is_leaving = False
         self._is_ending = False
         self._timer: asyncio.Task[None] | None = None
-        core.barred = self.barrier.is_barred
+        core.is_barred = self.barrier.is_barred
 
     def wall_s(self) -> float:
         """Return the wall clock, in Unix seconds."""
--- a/harriertide/control/ports.py
+++ b/harriertide/control/ports.py
@@ -24,14 +24,14 @@
 
     settings: api.Settings
     offered_units: float
-    lifeless: Counter[str]
-    barred: Callable[[str], bool] | None
+    consecutive_unresponsive: Counter[str]
+    is_barred: Callable[[str], bool] | None
 
-    def out_at(self, node: str) -> int:
+    def open_attempt_count_at(self, node: str) -> int:
         """Return how many attempts are open at a node."""
 
-    def learned(self) -> dict[str, float]:
+    def learned_capacity_by_node(self) -> dict[str, float]:
         """Return what overloaded nodes serve a second, by node."""
 
-    def owed(self) -> int:
+    def open_request_count(self) -> int:
         """Return how many requests have no final answer yet."""
--- a/harriertide/lab/simulation/memory_parts.py
+++ b/harriertide/lab/simulation/memory_parts.py
@@ -94,8 +94,8 @@
             plans=(api.Plan(),),
         )
         self.offered_units = 0.0
-        self.barred: Callable[[str], bool] | None = None
-        self.lifeless: Counter[str] = Counter()
+        self.is_barred: Callable[[str], bool] | None = None
+        self.consecutive_unresponsive: Counter[str] = Counter()
         self.open_attempts: Counter[str] = Counter()  # by node
         self.is_ready = True
 
@@ -105,8 +105,8 @@
 
     def may_send(self, node: str) -> bool:
         """Whether a request may be sent to a node now, by the rule that is asked right before a write."""
-        assert self.barred is not None
-        return self.is_ready and not self.barred(node)
+        assert self.is_barred is not None
+        return self.is_ready and not self.is_barred(node)
 
     def start_attempt(self, node: str) -> None:
         """An attempt is open at a node from now on."""
@@ -117,15 +117,15 @@
         """An attempt is over."""
         self.open_attempts[node] -= 1
 
-    def out_at(self, node: str) -> int:
+    def open_attempt_count_at(self, node: str) -> int:
         """Return how many attempts are open at a node."""
         return self.open_attempts[node]
 
-    def learned(self) -> dict[str, float]:
+    def learned_capacity_by_node(self) -> dict[str, float]:
         """Return nothing: no node is overloaded here."""
         return {}
 
-    def owed(self) -> int:
+    def open_request_count(self) -> int:
         """Return how many requests have no answer yet: all that are open."""
         return sum(self.open_attempts.values())
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from harriertide.decide import api
 from harriertide.http import clients, nodes, relay
 from harriertide.http.node_connection import RELAY_HELD
 from harriertide.http.nodes import FIRST_BYTES
@@ -98,7 +99,7 @@
         async with asyncio.timeout(2):
             while not house.daemon.core.counts["served"]:
                 await asyncio.sleep(0.005)
-        assert house.daemon.core.owed() == 0 and len(house.daemon.clients.lines("busy")) == 1
+        assert house.daemon.core.open_request_count() == 0 and len(house.daemon.clients.lines("busy")) == 1
         await asyncio.sleep(0.15)  # more than an answer may stop short that is held
         line.writer.write(LONG[1000:])
         assert body_of(await all_of(client, LONG[-2000:])) == LONG
@@ -424,9 +425,8 @@
 
 def test_nothing_passes_to_a_cold_node(little: None) -> None:
     async def play(house: House) -> None:
-        house.daemon.core._nodes["b1"] = house.daemon.core._nodes["b1"].__class__(
-            "b1", 0, started_us=house.daemon.runtime.clock.now_us()
-        )
+        warming = api.NodeEntry("b1", 0, started_us=house.daemon.runtime.clock.now_us())
+        house.daemon.core._endpoints.update(api.EndpointUpdate("delta", (warming,)))
         client = house.client()
         client.sendall(ask(house, f"Connection: close\r\nContent-Length: {len(LONG)}\r\n", "PUT"))
         client.sendall(LONG)
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -81,17 +81,17 @@
 class StandInCore:
     def __init__(self) -> None:
         self.offered_units = 0.0
-        self.lifeless: Counter[str] = Counter()
+        self.consecutive_unresponsive: Counter[str] = Counter()
         self.open_at: Counter[str] = Counter()
         self.open_requests = 0
 
-    def out_at(self, node: str) -> int:
+    def open_attempt_count_at(self, node: str) -> int:
         return self.open_at[node]
 
-    def learned(self) -> dict[str, float]:
+    def learned_capacity_by_node(self) -> dict[str, float]:
         return {"x1": 12.341, "x2": 0.0}
 
-    def owed(self) -> int:
+    def open_request_count(self) -> int:
         return self.open_requests
 
 
@@ -209,9 +209,9 @@
     """A node that fails one connection counts as two attempts: it is reported. When nothing is sent there any
     more the figure stands, and says nothing about now: after 10 s the node is reported no more."""
     reports, member, core = reporter(agreed())
-    core.lifeless["x2"] = 1
+    core.consecutive_unresponsive["x2"] = 1
     assert not reports.build().failed
-    core.lifeless["x2"] = 2
+    core.consecutive_unresponsive["x2"] = 2
     report = reports.build()
     assert report.failed == {"x2": 1} and report.units == {"x1": 12.34}
     member.time_us += 10_000_000
