--- a/harriertide/lab/bench_library.py
+++ b/harriertide/lab/benchmarks/library_overhead.py
@@ -33,15 +33,14 @@
 from harriertide.decide.settings import Names
 from harriertide.engine.clock import Clock, until
 from harriertide.http.limits import Limits
-from harriertide.http.node_client import NodeClient
-from harriertide.lab import plant
+from harriertide.http.nodes import NodeClient
+from harriertide.lab.simulation import stand_in_nodes
 from harriertide.library import Attempt, Broker, Node, NodeList, RequestSpec
 from harriertide.platform.configuration import Config
-from harriertide.platform.endpoint_page import parse_page
 
 WAYS = ("direct", "library", "daemon")
 FIGURES = ("p50", "p99", "p99.9", "cpu")
-SETTINGS = replace(plant.SETTINGS, shard_count=1)
+SETTINGS = replace(stand_in_nodes.SETTINGS, shard_count=1)
 CONNECT_US, IDLE_US = 250_000, 15_000_000
 
 
@@ -49,7 +48,7 @@
     """A box that answers as fast as it can."""
 
     async def main() -> None:
-        box = plant.Box("box-0", 0, 1, speed=1e6)
+        box = stand_in_nodes.Box("box-0", 0, 1, speed=1e6)
         server = await asyncio.start_server(box.serve, "127.0.0.1", 0)
         pipe.send(server.sockets[0].getsockname()[1])
         async with server:
@@ -66,9 +65,7 @@
         known = {"seq": 0, "whole": True, "hosts": [
             {"host": "box-0", "dial": box, "site": "a", "block": 0, "health": "up", "born_ms": 0},
         ]}  # fmt: skip
-        config = Config(
-            "d", ("127.0.0.1", 0), "127.0.0.1:1", 1, SETTINGS, names, None, [], parse_page(known, {})
-        )
+        config = Config("d", ("127.0.0.1", 0), "127.0.0.1:1", 1, SETTINGS, names, None, [], known)
         daemon = Daemon(config, None)
         await daemon.start()
         gc.collect()
@@ -165,7 +162,7 @@
 ) -> dict[str, Any]:
     """Figures by way: medians over the rounds."""
     clock = Clock(asyncio.get_running_loop())
-    limits = Limits.from_resources(512, 128)
+    limits = Limits.share(512, 128)
     box, front = (f"127.0.0.1:{port}" for port in ports)
     clients = [NodeClient({"box-0": at}.get, CONNECT_US, IDLE_US, limits) for at in (box, front)]
     rows: dict[str, list[dict[str, float]]] = {way: [] for way in WAYS}
@@ -201,7 +198,7 @@
     found: dict[int, list[float]] = {count: [] for count in counts}
     for _ in range(3):
         for count in counts:
-            settings = replace(plant.SETTINGS, shard_count=count)
+            settings = replace(stand_in_nodes.SETTINGS, shard_count=count)
             source = NodeList(Node(f"box-{n}", n) for n in range(count))
 
             async def empty(attempt: Attempt) -> None:
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/experiments/parity.py
@@ -33,13 +33,12 @@
 from harriertide.engine.clock import until
 from harriertide.engine.runtime import Runtime
 from harriertide.engine.workload import Workload, absolute_event, load
-from harriertide.lab import plant, virtual
+from harriertide.lab.simulation import stand_in_nodes, virtual_time
 from harriertide.library import Attempt, Broker, FailedError, Node, NodeList, RejectedError, RequestSpec
 from harriertide.library.loopback_peers import LoopbackPeers
 from harriertide.library.peer_transport import PeerTransport
 from harriertide.platform.configuration import Config
-from harriertide.platform.endpoint_page import EMPTY_PAGE
-from harriertide.platform.fields import DEADLINE_MARGIN_US
+from harriertide.platform.fields import SENT_BEFORE_US
 
 LEAD_S = 0.5  # before the first row
 APART = 0.02  # that the scores on sockets may be
@@ -99,10 +98,10 @@
 
 
 def _budget_ms(arrival: api.Arrival, now_us: int) -> int:
-    return max(1, -(-(arrival.deadline_at_us - now_us + DEADLINE_MARGIN_US) // 1000))
+    return max(1, -(-(arrival.deadline_at_us - now_us + SENT_BEFORE_US) // 1000))
 
 
-async def _boxes(boxes: list[plant.Box], begin: float) -> dict[str, str]:
+async def _boxes(boxes: list[stand_in_nodes.Box], begin: float) -> dict[str, str]:
     """Bring them up; where each listens."""
     found = {}
     for box in boxes:
@@ -113,7 +112,7 @@
     return found
 
 
-async def through_daemon(workload: Workload, boxes: list[plant.Box], brokers: int = 1) -> Played:
+async def through_daemon(workload: Workload, boxes: list[stand_in_nodes.Box], brokers: int = 1) -> Played:
     """The platform's front, over HTTP, as a client of the platform sees it; brokers take requests in turn."""
     played, loop = Played(), asyncio.get_running_loop()
     settings = workload.header.settings
@@ -130,7 +129,7 @@
         config = Config(
             "parity", ("127.0.0.1", 0), "127.0.0.1:1", workload.header.seed + place, own, names,
             ("127.0.0.1", FIRST_PORT + place) if brokers > 1 else None, peers,
-            EMPTY_PAGE,
+            {"seq": 0, "whole": True, "hosts": []},
         )  # fmt: skip
         daemon = Daemon(config, None)
         daemon.directory.find = places.get  # type: ignore[assignment]
@@ -167,7 +166,7 @@
 
 async def through_library(
     workload: Workload,
-    boxes: list[plant.Box],
+    boxes: list[stand_in_nodes.Box],
     brokers: int = 1,
     seat: Seats = lambda place: None,
     beside: Kill | None = None,
@@ -200,9 +199,9 @@
         broker = taking[next(turn) % len(taking)]
         method, body = ("PUT", b"x" * 16) if arrival.request_class else ("GET", b"")
         now_us = clock.now_us()
-        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - DEADLINE_MARGIN_US
+        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - SENT_BEFORE_US
         kind = broker.core.settings.classes[arrival.request_class]
-        last_us = min(last_us, now_us + kind.deadline_us - DEADLINE_MARGIN_US)
+        last_us = min(last_us, now_us + kind.deadline_us - SENT_BEFORE_US)
 
         async def perform(attempt: Attempt) -> bytes:
             headers = {"X-Call-Id": arrival.request_id}
@@ -254,15 +253,17 @@
     return max(len(one.decisions), len(other.decisions)) - len(differ), differ
 
 
-def play(workload: Workload, make: Callable[[], list[plant.Box]], brokers: int = 1) -> tuple[Played, Played]:
+def play(
+    workload: Workload, make: Callable[[], list[stand_in_nodes.Box]], brokers: int = 1
+) -> tuple[Played, Played]:
     """Through both, each with boxes of its own."""
 
     def seat(place: int) -> PeerTransport | None:
         return LoopbackPeers(FIRST_PORT, brokers) if brokers > 1 else None
 
     return (
-        virtual.run(through_daemon(workload, make(), brokers)),
-        virtual.run(through_library(workload, make(), brokers, seat)),
+        virtual_time.run(through_daemon(workload, make(), brokers)),
+        virtual_time.run(through_library(workload, make(), brokers, seat)),
     )
 
 
@@ -271,7 +272,7 @@
     scores: dict[str, list[float]] = {"daemon": [], "library": []}
     for place in range(pairs):
         for name, through in (("daemon", through_daemon), ("library", through_library)):
-            workload, boxes = plant.draw("surge", seed + place, seconds, SOCKET_UNIT_S)
+            workload, boxes = stand_in_nodes.draw("surge", seed + place, seconds, SOCKET_UNIT_S)
             played = asyncio.run(through(workload, boxes))
             scores[name].append(worth(workload, played) / due(workload))
         last = {name: f"{held[-1]:.3f}" for name, held in scores.items()}
@@ -284,7 +285,7 @@
 def main(arguments: list[str]) -> int:
     """Print what matched."""
     given = docopt(__doc__ or "", arguments)
-    known = [*plant.KINDS, "pair"]
+    known = [*stand_in_nodes.KINDS, "pair"]
     kinds = [given["--kind"]] if given["--kind"] else known
     if not set(kinds) <= set(known):
         raise SettingsError(f"--kind: {given['--kind']} is none of {', '.join(known)}")
@@ -292,7 +293,7 @@
         return on_sockets(int(given["--seed"]), float(given["--seconds"]))
     seed, seconds = int(given["--seed"]), float(given["--seconds"])
     matched, differed = 0, 0
-    plays = [(given["FILE"], "first")] if given["FILE"] else list(product(kinds, plant.SHAPES))
+    plays = [(given["FILE"], "first")] if given["FILE"] else list(product(kinds, stand_in_nodes.SHAPES))
     for kind, shape in plays:
         brokers = 2 if kind == "pair" else 1
         if given["FILE"]:
@@ -304,14 +305,14 @@
                 for e in row.endpoint_update.entries
             }
 
-            def make(names: dict[str, int] = names) -> list[plant.Box]:
-                return [plant.Box(name, shard, seed) for name, shard in sorted(names.items())]
+            def make(names: dict[str, int] = names) -> list[stand_in_nodes.Box]:
+                return [stand_in_nodes.Box(name, shard, seed) for name, shard in sorted(names.items())]
         else:
             drawn = "surge" if kind == "pair" else kind
-            workload, _ = plant.draw(drawn, seed, seconds, hosts=brokers, shape=shape)
+            workload, _ = stand_in_nodes.draw(drawn, seed, seconds, hosts=brokers, shape=shape)
 
-            def make(drawn: str = drawn, shape: str = shape) -> list[plant.Box]:  # type: ignore[misc]
-                return plant.draw(drawn, seed, seconds, shape=shape)[1]
+            def make(drawn: str = drawn, shape: str = shape) -> list[stand_in_nodes.Box]:  # type: ignore[misc]
+                return stand_in_nodes.draw(drawn, seed, seconds, shape=shape)[1]
 
         daemon, library = play(workload, make, brokers)
         same, differ = compare(daemon, library, brokers)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,16 +17,17 @@
 
 from harriertide.cli.main import main as command
 from harriertide.decide.settings import SettingsError
-from harriertide.lab import upkeep
-from harriertide.lab.rig import VERBS, Rig, draw
-from harriertide.lab.script import HOST, Fault, load
+from harriertide.lab.checkers import maintenance_checker
+from harriertide.lab.experiments import maintenance
+from harriertide.lab.rigs.fault_script import HOST, Fault, load
+from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
 
 Body = Callable[[Rig], Awaitable[None]]
 
 
 def played(
     folder: Path, body: Body, brokers: int = 3, boxes: int = 4, at_once: int = 1, **keys: Any
-) -> upkeep.Verdict:
+) -> maintenance_checker.Verdict:
     """A body on a rig that stands and has a leader; what the judge says of it then."""
 
     async def main() -> None:
@@ -39,7 +40,7 @@
             await rig.close()
 
     asyncio.run(main())
-    found = upkeep.judge(folder, {}, {"fw": at_once, "all": at_once})
+    found = maintenance_checker.judge(folder, {}, {"fw": at_once, "all": at_once})
     hard = found.two_at_once + found.late_sends + found.order_differs + found.lost + found.answered_twice
     assert not hard, found.rows
     return found
@@ -133,6 +134,11 @@
 def test_the_leader_dies_between_agreeing_and_draining_and_between_the_permit_and_the_word(
     tmp_path: Path,
 ) -> None:
+    """The leader is killed right after a permit, and the next one right after a machine is out, so that
+    the operator's word is lost with it. The order goes on under whoever leads, and nothing is sent to a
+    machine that is out.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
         first = await leader(rig)
@@ -159,11 +165,11 @@
         load = asyncio.ensure_future(writes(rig, [away]))
         await request(rig, ["x1"], place=led)
         await phase(rig, "x1", "draining", "out", at=led)  # it knows of the permit by then
-        rig._signal(away, signal.SIGSTOP)
+        rig.send_signal(away, signal.SIGSTOP)
         begun = time.monotonic()
         await phase(rig, "x1", "out", at=led)
         await asyncio.sleep(max(0.0, begun + 8.0 - time.monotonic()))
-        rig._signal(away, signal.SIGCONT)
+        rig.send_signal(away, signal.SIGCONT)
         await asyncio.sleep(1.0)  # it reads what clients sent meanwhile, and knows by itself that it may not
         await finish(rig)
         load.cancel()
@@ -173,18 +179,22 @@
 
 
 def test_cut_off_in_one_direction_for_the_length_of_a_permit(tmp_path: Path) -> None:
+    """One broker hears nothing of the leader, which still hears it. It may not know of the permit: the
+    machine stays permitted and `status` names that broker, until the link is back.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         away = next(place for place in range(3) if place != led)
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        rig.links[led, away].cut = True  # the leader hears it, and it hears nothing
+        rig.links[led, away].is_cut = True  # the leader hears it, and it hears nothing
         await request(rig, ["x1", "x2"], place=led)
         await phase(rig, "x1", "permitted", at=led)
         answer = await status(rig, led)
         await asyncio.sleep(1.5)
         waits = (await status(rig, led))["orders"][0]["steps"][0]
         assert waits["phase"] == "permitted" and rig.names[away] in str(waits["waits"]), (answer, waits)
-        rig.links[led, away].cut = False
+        rig.links[led, away].is_cut = False
         await finish(rig)
         load.cancel()
 
@@ -192,19 +202,24 @@
 
 
 def test_two_orders_for_the_same_machines_at_two_sides_of_a_split(tmp_path: Path) -> None:
+    """The old leader is cut off from the others. At both sides an operator asks for work on the same
+    machines: the lone side permits nothing and serves on, the others go ahead; healed, both orders come
+    to their end.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
-        ways = [link for (a, b), link in rig.links.items() if (a == led) != (b == led)]
-        for link in ways:
-            link.cut = True
+        links = rig.links_of(led)
+        for link in links:
+            link.is_cut = True
         late = asyncio.ensure_future(request(rig, ["x1", "x2"], "all", place=led))
         other = await leader(rig, beside=(led,))
         await request(rig, ["x2", "x1"], place=other)
         answer = await status(rig, led)
         assert not answer["knows"] and not answer["orders"]
         assert await rig.put(led, "served", b"on") == 200  # it permits nothing, and serves
-        for link in ways:
-            link.cut = False
+        for link in links:
+            link.is_cut = False
         await late
         await finish(rig)
 
@@ -212,6 +227,10 @@
 
 
 def test_all_brokers_are_killed_at_once_amid_work_and_started_again(tmp_path: Path) -> None:
+    """Power is lost at all brokers at once, twice, with machines out. What was agreed on is on their
+    disks: the order goes on where it was.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
         await request(rig, ["x1", "x2", "x3"])
@@ -232,10 +251,14 @@
 def test_a_permitted_machine_that_dies_and_never_comes_back_is_overdue_and_can_be_done_later(
     tmp_path: Path,
 ) -> None:
+    """A node dies in its turn. It is overdue and holds up no other machine of its order; when it is back
+    at last, `done` ends its turn.
+    """
+
     async def body(rig: Rig) -> None:
         await request(rig, ["x1", "x2"], at_once=2)
         await phase(rig, "x1", "permitted", "draining", "out")
-        await rig.boxes[0].close()
+        await rig.nodes[0].close()
         await phase(rig, "x2", "out")
         await rig.ask(0, "POST", "/maintenance/done", {"machine": "x2"})
         await phase(rig, "x2", "back")
@@ -251,9 +274,13 @@
 
 
 def test_a_box_that_is_away_unplanned_uses_up_what_may_be_away(tmp_path: Path) -> None:
+    """A node fails that no order names. It counts as out of service: an order of one at once waits and
+    says for what, until the node is back.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        await rig.boxes[3].close()
+        await rig.nodes[3].close()
 
         async def seen() -> bool:
             return "x4" in (await status(rig)).get("failed", [])
@@ -265,7 +292,7 @@
             return "x4 is away" in str((await status(rig))["orders"][0]["steps"][0]["waits"])
 
         await eventually(told)
-        await rig.boxes[3].open(again=True)
+        await rig.nodes[3].open(again=True)
         await finish(rig)
         load.cancel()
 
@@ -292,6 +319,10 @@
 
 
 def test_a_rolling_restart_of_all_brokers_by_their_own_order_under_load(tmp_path: Path) -> None:
+    """Each broker ends itself in order in its turn and is started again, the leader among them, while
+    clients write. Every process is another one in the end, and most writes were served.
+    """
+
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, list(range(5))))
         before = {place: process.pid for place, process in rig.processes.items()}
@@ -307,6 +338,11 @@
 
 
 def test_a_disk_that_is_lost_under_a_voter_makes_it_a_new_member(tmp_path: Path) -> None:
+    """A voter comes back with an empty disk: it has forgotten how it voted. Under its old identity it
+    could vote twice in one term; it is learned as a new member, the old one is removed, and it is
+    promoted.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         away = next(place for place in range(3) if place != led)
@@ -330,6 +366,10 @@
 
 @pytest.mark.parametrize("verb", ["disk-full", "sync-fails"])
 def test_a_log_that_can_not_be_written_stops_that_member_alone(tmp_path: Path, verb: str) -> None:
+    """The leader's disk is full, or a sync fails. What a failed sync left on the disk nobody knows: that
+    member takes no part any more and says so, and the others go on.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         fault = asyncio.ensure_future(rig.fault(Fault(0.0, verb, led, for_s=2.5)))
@@ -346,6 +386,10 @@
 
 
 def test_a_bit_that_flips_in_the_log_stops_the_member_and_the_others_catch_it_up(tmp_path: Path) -> None:
+    """A bit of a voter's log flips while it is down. Its store is damaged and kept aside; it joins as a
+    new member and is caught up.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         away = next(place for place in range(3) if place != led)
@@ -370,6 +414,10 @@
 
 
 def test_junk_on_the_wire_ends_its_connection_and_nothing_else(tmp_path: Path) -> None:
+    """Somebody dials the brokers' address and sends what is no frame: too long, with a wrong checksum, or
+    HTTP. The connection ends and is counted; the agreement goes on.
+    """
+
     async def body(rig: Rig) -> None:
         led = await leader(rig)
         for junk in (
@@ -399,8 +447,8 @@
 
 def test_a_short_drawn_run_keeps_every_bound(tmp_path: Path) -> None:
     faults = draw(5, 5, 4.0)
-    groups, done = asyncio.run(upkeep.play(tmp_path, 5, 5, 6, 4.0, faults))
-    found = upkeep.judge(tmp_path, groups, upkeep.AT_ONCE)
+    groups, done = asyncio.run(maintenance.play(tmp_path, 5, 5, 6, 4.0, faults))
+    found = maintenance_checker.judge(tmp_path, groups, maintenance.AT_ONCE)
     assert done and not found.broken, found.rows
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["verb"] for row in rows if row["event"] == "fault"] == [fault.verb for fault in faults]
@@ -476,11 +524,11 @@
     return {"event": "step", "order": order, "machine": machine, "phase": phase_, "fence": fence, "at": at}
 
 
-def logs(folder: Path, events: list[Any], boxes: list[Any] = []) -> upkeep.Verdict:  # noqa: B006
+def logs(folder: Path, events: list[Any], boxes: list[Any] = []) -> maintenance_checker.Verdict:  # noqa: B006
     agreed = [{"event": "agreed", "order": "o", "machines": ["x1", "x2"], "at": 0.0}]
     for name, rows in (("b1.events", events), ("boxes.log", boxes), ("clients.log", agreed)):
         (folder / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
-    return upkeep.judge(folder, {"x1": "g", "x2": "g"}, {"o": 1})
+    return maintenance_checker.judge(folder, {"x1": "g", "x2": "g"}, {"o": 1})
 
 
 PHASES = ("permitted", "draining", "out", "returning", "back")
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -15,7 +15,7 @@
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire
 from harriertide.engine.clock import until
-from harriertide.lab import virtual
+from harriertide.lab.simulation import virtual_time
 from harriertide.platform.configuration import BadConfigError, read_config
 from harriertide.platform.endpoint_directory import EndpointDirectory
 from harriertide.platform.endpoint_watch import EndpointWatch
@@ -504,4 +504,4 @@
     Its nodes stay in service, it is asked again about once a second, and the drain that it comes back with
     holds within 1.2 s.
     """
-    virtual.run(thirty_silent_seconds())
+    virtual_time.run(thirty_silent_seconds())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -26,7 +26,7 @@
 )
 from harriertide.decide.quota_grants import RECLAIM_US, QuotaDemand, QuotaGrants
 from harriertide.decide.rate_limits import QUOTA_RETRY_US
-from harriertide.lab.limits import COURSES, PLANS, Fleet, allowed, course
+from harriertide.lab.experiments.limits import COURSES, PLANS, Fleet, allowed, course
 from tests.helpers import BrokerUnderTest, peer_datagrams, refusals, sends
 
 SECOND = 1_000_000
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -11,7 +11,7 @@
 from harriertide.decide import api, warming
 from harriertide.decide.derived import POLL_FIRST_WAIT_US, PREFERRED_SHARD_COUNT
 from harriertide.decide.health import PROBING_BROKER_COUNT, TRIAL_INTERVAL_US
-from harriertide.lab.plant import OTHER
+from harriertide.lab.simulation.stand_in_nodes import OTHER
 from harriertide.platform import endpoint_watch
 from tests.helpers import SETTINGS, START_US
 from tests.plant import Plant
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -16,7 +16,8 @@
 import pytest
 
 from harriertide.engine.clock import until
-from harriertide.lab import parity, plant, virtual
+from harriertide.lab.experiments import parity
+from harriertide.lab.simulation import stand_in_nodes, virtual_time
 from harriertide.library import Broker, InProcessPeers, LoopbackPeers, Node, RequestSpec, blocking
 from harriertide.library.membership import FAILED_AFTER_US, HEARTBEAT_US, Membership, MembershipView
 from harriertide.library.peer_transport import PeerTransport
@@ -90,8 +91,8 @@
     seat: parity.Seats,
     beside: Callable[[list[Broker]], Awaitable[None]] | None = None,
 ) -> parity.Played:
-    workload, boxes = plant.draw(kind, 5, 8.0)
-    return virtual.run(parity.through_library(workload, boxes, brokers, seat, beside))
+    workload, boxes = stand_in_nodes.draw(kind, 5, 8.0)
+    return virtual_time.run(parity.through_library(workload, boxes, brokers, seat, beside))
 
 
 def loopback(place: int) -> PeerTransport:
@@ -99,7 +100,7 @@
 
 
 def test_two_brokers_in_one_process_get_together_what_one_gets() -> None:
-    workload, _ = plant.draw("surge", 5, 8.0)
+    workload, _ = stand_in_nodes.draw("surge", 5, 8.0)
     one = parity.worth(workload, share("surge", 1, lambda place: None))
     peers = InProcessPeers()
     two = parity.worth(workload, share("surge", 2, lambda place: peers.add_peer()))
@@ -110,7 +111,7 @@
 
 def test_a_failed_brokers_quota_is_in_use_by_the_others_soon() -> None:
     """One of three fails without a word amid the surge; its requests go to the others from then on."""
-    workload, _ = plant.draw("surge", 5, 8.0)
+    workload, _ = stand_in_nodes.draw("surge", 5, 8.0)
     seen: list[tuple[float, int]] = []
 
     async def kill(taking: list[Broker]) -> None:
@@ -136,16 +137,16 @@
 
 
 def test_a_warming_node_before_four_brokers_gets_no_more_than_from_one() -> None:
-    workload, _ = plant.draw("cold", 5, 8.0)
+    workload, _ = stand_in_nodes.draw("cold", 5, 8.0)
     units = {row.arrival.request_id: row.arrival.units for row in workload.events if row.arrival}
     limit = (
-        plant.SETTINGS.slow_start_units / plant.SETTINGS.slow_start_initial_ratio
+        stand_in_nodes.SETTINGS.slow_start_units / stand_in_nodes.SETTINGS.slow_start_initial_ratio
     )  # what it can do warm, in the window
     for brokers, seat in ((1, lambda place: None), (4, loopback)):
         played = share("cold", brokers, seat)
         begin = 2_000_000  # box-3 starts
         sent = [(d[0], units[d[2]]) for d in played.decisions if d[1] == "attempt" and d[4] == "box-3"]
-        window = [n for at, n in sent if begin <= at < begin + plant.SETTINGS.collapse_window_us]
+        window = [n for at, n in sent if begin <= at < begin + stand_in_nodes.SETTINGS.collapse_window_us]
         assert sum(window) <= limit, (brokers, sum(window))
 
 
@@ -155,7 +156,9 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         boxes = [Node("b0", 0)]
-        first, second = (Broker(plant.SETTINGS, boxes, seed=n, peers=LoopbackPeers(FIRST, 8)) for n in (1, 2))
+        first, second = (
+            Broker(stand_in_nodes.SETTINGS, boxes, seed=n, peers=LoopbackPeers(FIRST, 8)) for n in (1, 2)
+        )
         async with first, second:
             stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 40_000))
             for number in range(5_000):
@@ -170,14 +173,15 @@
             )
         assert isinstance(first.peers, LoopbackPeers) and first.peers.counts["junk"] == 5_000
 
-    virtual.run(main())
+    virtual_time.run(main())
 
 
 def test_brokers_on_threads_of_one_process_see_each_other_come_and_go() -> None:
     peers = InProcessPeers()
 
     def make() -> blocking.Broker:
-        return blocking.Broker(lambda: Broker(plant.SETTINGS, [Node("b0", 0)], peers=peers.add_peer()))
+        settings, nodes = stand_in_nodes.SETTINGS, [Node("b0", 0)]
+        return blocking.Broker(lambda: Broker(settings, nodes, peers=peers.add_peer()))
 
     def sees(broker: blocking.Broker, count: int) -> None:
         end = time.monotonic() + 3
@@ -197,11 +201,11 @@
 
 WORKER = """
 import asyncio, json, sys, time
-from harriertide.lab import plant
+from harriertide.lab.simulation import stand_in_nodes
 from harriertide.library import RequestSpec, Node, Broker, LoopbackPeers
 
 async def main():
-    broker = Broker(plant.SETTINGS, [Node("b0", 0)], peers=LoopbackPeers(int(sys.argv[1]), 8))
+    broker = Broker(stand_in_nodes.SETTINGS, [Node("b0", 0)], peers=LoopbackPeers(int(sys.argv[1]), 8))
     async with broker:
         seen = None
         while True:
