--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class MessageReceived:
     """A message came."""
 
     message: Message
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Elapsed:
+class ElectionTimedOut:
     """As if no leader had been heard for long: an election begins. For the search through states."""
 
 
@@ -50,21 +50,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadAsked:
+class ReadRequested:
     """From when on is a read that is asked for now right?"""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Transfer:
+class TransferLeadership:
     """Hand over to this member, or to the best one."""
 
     to: Member | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ChangeMembership:
     """Of one member. Refused (no effect) unless this member leads and no other change is under way."""
 
     what: Literal["learn", "promote", "remove"]
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compacted:
+class SnapshotTaken:
     """The state machine as of an applied index."""
 
     index: int
@@ -80,13 +80,24 @@
     check: int
 
 
-Event = Received | Tick | Elapsed | Synced | SyncFailed | Proposed | ReadAsked | Transfer | Change | Compacted
+Event = (
+    MessageReceived
+    | Tick
+    | ElectionTimedOut
+    | Synced
+    | SyncFailed
+    | Proposed
+    | ReadRequested
+    | TransferLeadership
+    | ChangeMembership
+    | SnapshotTaken
+)
 
 # --- effects ----------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Transmit:
+class SendMessage:
     """Send it; it may be lost."""
 
     message: Message
@@ -100,8 +111,8 @@
     number: int
     cluster: str
     term: int
-    vote: Member | None
-    cut: int = 0
+    voted_for: Member | None
+    truncate_from: int = 0
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
 
@@ -114,14 +125,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Install:
+class InstallSnapshot:
     """In place of the state machine."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
-class ReadReady:
+class ReadConfirmed:
     """A read is right once this index is applied."""
 
     number: int
@@ -129,31 +140,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadLost:
+class ReadAborted:
     """This member can't tell any more; ask again."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class LogLine:
     """Something a person or a judge wants to know."""
 
-    what: str
+    event: str
     term: int = 0
     detail: str = ""
 
 
-Effect = Transmit | Persist | Committed | Install | ReadReady | ReadLost | Noted
+Effect = SendMessage | Persist | Committed | InstallSnapshot | ReadConfirmed | ReadAborted | LogLine
 
 
 @dataclass(frozen=True, slots=True)
-class Restored:
+class RestoredState:
     """What a member finds on its disk."""
 
     cluster: str = ""
     term: int = 0
-    vote: Member | None = None
+    voted_for: Member | None = None
     snapshot: Snapshot | None = None
     entries: tuple[Entry, ...] = ()
 
@@ -163,30 +174,30 @@
     """Times of the protocol. The rest is measured."""
 
     heartbeat_us: int = 100_000
-    patience_us: int = (
+    election_timeout_us: int = (
         400_000  # the least silence of a leader that counts; it grows with round trips and syncs
     )
-    most_patience_us: int = 1_200_000
+    max_election_timeout_us: int = 1_200_000
     slow_sync_us: int = 150_000  # a leader whose syncs take longer, and much longer than others', hands over
-    window: int = 8  # appends on their way to a member
-    batch: int = 128
+    max_inflight_appends: int = 8  # appends on their way to a member
+    batch_entries: int = 128
     batch_bytes: int = 256 * 1024
-    piece_bytes: int = 64 * 1024
+    snapshot_chunk_bytes: int = 64 * 1024
 
 
 @dataclass(slots=True)
 class Progress:
     """What the leader knows of another member."""
 
-    next: int
-    match: int = 0
+    next_index: int
+    match_index: int = 0
     probing: bool = True
-    asked: bool = False  # a probe is on its way
+    probe_sent: bool = False  # a probe is on its way
     heard_us: int = 0
-    echoed: int = 0  # the latest round that it answered
+    last_answered_round: int = 0  # the latest round that it answered
     rtt_us: float = 0.0
     sync_us: int = 0
-    out: list[int] = field(default_factory=list)  # last indexes of appends on their way
+    inflight: list[int] = field(default_factory=list)  # last indexes of appends on their way
     snapshot: Snapshot | None = None  # that it is being sent
     offset: int = 0
-    piece_us: int = 0
+    chunk_sent_us: int = 0
--- a/harriertide/consensus/follower.py
+++ b/harriertide/consensus/follower.py
@@ -6,9 +6,9 @@
 
 import xxhash
 
-from harriertide.consensus.fanout import Feed
+from harriertide.consensus.fanout import TreeUpdate
 from harriertide.consensus.messages import Entry
-from harriertide.consensus.replica import Course
+from harriertide.consensus.replica import AppliedState
 
 KEPT = 1024  # entries for children that are behind
 
@@ -16,8 +16,8 @@
 class Follower:
     """Takes feeds in order; what it was given goes on to its children."""
 
-    def __init__(self, course: Course) -> None:
-        self.course = course
+    def __init__(self, applied_state: AppliedState) -> None:
+        self.applied_state = applied_state
         self.entries: deque[Entry] = deque(maxlen=KEPT)
         self.snapshot = b""
         self.snapshot_index = 0
@@ -29,19 +29,19 @@
         """How much of a snapshot is here."""
         return len(self._held)
 
-    def take(self, feed: Feed) -> list[tuple[Entry, bytes, bool, int]]:
+    def apply_update(self, feed: TreeUpdate) -> list[tuple[Entry, bytes, bool, int]]:
         """What it brought: entries with their answers and the state's hash behind each, in order."""
-        if feed.snapshot > self.course.applied:
+        if feed.snapshot > self.applied_state.applied:
             self._piece(feed)
         found = []
         for entry in feed.entries:
-            if entry.index == self.course.applied + 1:
-                answer, fresh = self.course.apply(entry)
+            if entry.index == self.applied_state.applied + 1:
+                answer, fresh = self.applied_state.apply(entry)
                 self.entries.append(entry)
-                found.append((entry, answer, fresh, self.course.digest))
+                found.append((entry, answer, fresh, self.applied_state.digest))
         return found
 
-    def _piece(self, feed: Feed) -> None:
+    def _piece(self, feed: TreeUpdate) -> None:
         if self._coming != (feed.snapshot, feed.check):
             self._coming, self._held = (feed.snapshot, feed.check), bytearray()
         if feed.offset == len(self._held):
@@ -50,13 +50,13 @@
             return
         data, self._held = bytes(self._held), bytearray()
         if xxhash.xxh3_64_intdigest(data) == feed.check:
-            self.course.load(feed.snapshot, data)
+            self.applied_state.load(feed.snapshot, data)
             self.entries.clear()
             self.snapshot, self.snapshot_index = data, feed.snapshot
 
-    def after(self, index: int, most: int) -> tuple[Entry, ...] | None:
+    def entries_after(self, index: int, most: int) -> tuple[Entry, ...] | None:
         """Entries behind an index, for a child; None where they are not kept any more."""
-        if index >= self.course.applied:
+        if index >= self.applied_state.applied:
             return ()
         if not self.entries or self.entries[0].index > index + 1:
             return None
--- a/harriertide/consensus/log.py
+++ b/harriertide/consensus/log.py
@@ -32,18 +32,20 @@
             return self.entries[index - self.base_index - 1].term
         return None
 
-    def at(self, index: int) -> Entry:
+    def entry_at(self, index: int) -> Entry:
         """The entry there."""
         return self.entries[index - self.base_index - 1]
 
-    def after(self, index: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
+    def entries_after(self, index: int, max_count: int, max_bytes: int) -> tuple[Entry, ...]:
         """Entries from index + 1 on, at least one where there is one."""
         found: list[Entry] = []
         size = 0
-        for place in range(index - self.base_index, min(len(self.entries), index - self.base_index + most)):
+        for place in range(
+            index - self.base_index, min(len(self.entries), index - self.base_index + max_count)
+        ):
             entry = self.entries[place]
             size += len(entry.data) + 32
-            if found and size > most_bytes:
+            if found and size > max_bytes:
                 break
             found.append(entry)
         return tuple(found)
@@ -52,7 +54,7 @@
         """Put it last."""
         self.entries.append(entry)
 
-    def cut(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         """Take away this one and all behind."""
         del self.entries[index - self.base_index - 1 :]
 
@@ -63,7 +65,7 @@
         del self.entries[: index - self.base_index]
         self.base_index, self.base_term = index, term
 
-    def first_of_term(self, index: int) -> int:
+    def first_index_of_term(self, index: int) -> int:
         """The first index held whose entry is of the same term as that at index."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
--- a/harriertide/consensus/messages.py
+++ b/harriertide/consensus/messages.py
@@ -9,7 +9,7 @@
 
 VERSION = 1  # of what is written and sent; a member refuses a newer one at its start
 
-Kind = Literal["noop", "command", "members"]
+EntryKind = Literal["noop", "command", "members"]
 
 
 class Member(Struct, frozen=True, array_like=True, order=True):
@@ -19,7 +19,7 @@
     disk: str
 
 
-class Members(Struct, frozen=True, array_like=True):
+class Membership(Struct, frozen=True, array_like=True):
     """Who decides (voters), and who is being caught up (learners)."""
 
     voters: tuple[Member, ...]
@@ -41,7 +41,7 @@
 
     index: int
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
     client: str = ""
     serial: int = 0
@@ -52,7 +52,7 @@
 
     index: int
     term: int
-    members: Members
+    members: Membership
     data: bytes
     check: int  # xxh3 of data
 
@@ -66,7 +66,7 @@
     term: int
 
 
-class Ask(Envelope, frozen=True, tag="ask"):
+class VoteRequest(Envelope, frozen=True, tag="ask"):
     """For a vote. pre: whether it would be given; transfer: the leader itself wants this."""
 
     last_index: int
@@ -75,7 +75,7 @@
     transfer: bool = False
 
 
-class Vote(Envelope, frozen=True, tag="vote"):
+class VoteResponse(Envelope, frozen=True, tag="vote"):
     """The answer. leader: the name of the leader whom the voter hears, "" for none."""
 
     granted: bool
@@ -83,18 +83,18 @@
     leader: str = ""
 
 
-class Append(Envelope, frozen=True, tag="append"):
+class AppendRequest(Envelope, frozen=True, tag="append"):
     """Entries behind a place that must match; without entries a heartbeat."""
 
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    commit_index: int = msgspec.field(name="commit")
     round: int
-    patience_us: int
+    election_timeout_us: int = msgspec.field(name="patience_us")
 
 
-class Appended(Envelope, frozen=True, tag="appended"):
+class AppendResponse(Envelope, frozen=True, tag="appended"):
     """taken: what of the leader's log is here; match: what of it is synced here. prev: that it answers."""
 
     ok: bool
@@ -105,21 +105,21 @@
     sync_us: int
 
 
-class Piece(Envelope, frozen=True, tag="piece"):
+class SnapshotChunk(Envelope, frozen=True, tag="piece"):
     """A part of a snapshot."""
 
     index: int
     at_term: int
-    members: Members
+    members: Membership
     total: int
     check: int
     offset: int
     data: bytes
     round: int
-    patience_us: int
+    election_timeout_us: int = msgspec.field(name="patience_us")
 
 
-class PieceTaken(Envelope, frozen=True, tag="piece-taken"):
+class SnapshotChunkResponse(Envelope, frozen=True, tag="piece-taken"):
     """How much of a snapshot is here."""
 
     index: int
@@ -127,7 +127,7 @@
     round: int
 
 
-class TakeOver(Envelope, frozen=True, tag="take-over"):
+class TimeoutNow(Envelope, frozen=True, tag="take-over"):
     """The leader hands over: stand for election at once."""
 
 
@@ -139,20 +139,31 @@
     data: bytes
 
 
-class ReadAsk(Envelope, frozen=True, tag="read-ask"):
+class ReadIndexRequest(Envelope, frozen=True, tag="read-ask"):
     """Up to which index must be applied before a read is right?"""
 
     number: int
 
 
-class ReadAnswer(Envelope, frozen=True, tag="read-answer"):
+class ReadIndexResponse(Envelope, frozen=True, tag="read-answer"):
     """Up to this one."""
 
     number: int
     index: int
 
 
-Message = Ask | Vote | Append | Appended | Piece | PieceTaken | TakeOver | Proposal | ReadAsk | ReadAnswer
+Message = (
+    VoteRequest
+    | VoteResponse
+    | AppendRequest
+    | AppendResponse
+    | SnapshotChunk
+    | SnapshotChunkResponse
+    | TimeoutNow
+    | Proposal
+    | ReadIndexRequest
+    | ReadIndexResponse
+)
 
 _encode = msgspec.msgpack.Encoder()
 _decode = msgspec.msgpack.Decoder(Message)
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -28,32 +28,32 @@
 from harriertide.consensus.events import Progress, Tuning
 from harriertide.consensus.log import Log
 from harriertide.consensus.messages import (
-    Append,
-    Appended,
-    Ask,
+    AppendRequest,
+    AppendResponse,
     Entry,
-    Kind,
+    EntryKind,
     Member,
-    Members,
+    Membership,
     Message,
-    Piece,
-    PieceTaken,
     Snapshot,
-    TakeOver,
-    Vote,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
 )
 
 NEVER_US = 1 << 62
 ROUNDS_KEPT = 64
-NOBODY = Members((), ())
+NOBODY = Membership((), ())
 _HANDLERS: dict[type, str] = {
-    Ask: "_asked",
-    Vote: "_voted",
-    Append: "_append",
-    Appended: "_appended",
-    Piece: "_piece",
-    PieceTaken: "_piece_taken",
-    TakeOver: "_take_over",
+    VoteRequest: "_asked",
+    VoteResponse: "_voted",
+    AppendRequest: "_append",
+    AppendResponse: "_appended",
+    SnapshotChunk: "_piece",
+    SnapshotChunkResponse: "_piece_taken",
+    TimeoutNow: "_take_over",
 }
 
 
@@ -64,28 +64,32 @@
 class Node:
     """The state of one member. step is the only way to change it."""
 
-    def __init__(self, me: Member, tuning: Tuning, found: ev.Restored, random: Random, now_us: int) -> None:
+    def __init__(
+        self, me: Member, tuning: Tuning, found: ev.RestoredState, random: Random, now_us: int
+    ) -> None:
         self.me, self.tuning, self._random = me, tuning, random
-        self.cluster, self.term, self.vote = found.cluster, found.term, found.vote
+        self.cluster, self.term, self.voted_for = found.cluster, found.term, found.voted_for
         self.snapshot = found.snapshot
         base = (found.snapshot.index, found.snapshot.term) if found.snapshot else (0, 0)
         self.log = Log(*base, found.entries)
-        self._views: list[tuple[int, Members]] = []  # the lists of members, by the index that they hold from
+        self._views: list[
+            tuple[int, Membership]
+        ] = []  # the lists of members, by the index that they hold from
         if found.snapshot:
             self._views.append((found.snapshot.index, found.snapshot.members))
         for entry in found.entries:
             self._see(entry)
-        self.commit = self.log.base_index
-        self.synced = self.log.last_index  # of the log, on this disk
+        self.commit_index = self.log.base_index
+        self.durable_index = self.log.last_index  # of the log, on this disk
         self.role = "follower"  # or candidate, leader, halted
         self.leader: Member | None = None
-        self.standing = ""  # "pre" or "vote" while it stands for election
+        self.campaign = ""  # "pre" or "vote" while it stands for election
         self._standing_term = 0
         self._votes: dict[Member, bool] = {}
         self._by_transfer = False
         self._now = now_us
         self.heard_us = now_us  # of a leader
-        self._patience_us = tuning.patience_us
+        self._patience_us = tuning.election_timeout_us
         self._wait_us = 0
         self._draw()
         self._number = 0  # of the last Persist
@@ -113,37 +117,37 @@
     # --- questions ------------------------------------------------------------------------------------
 
     @property
-    def members(self) -> Members:
+    def members(self) -> Membership:
         """Those of the latest list in the log, committed or not."""
         return self._views[-1][1] if self._views else NOBODY
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this member leads."""
         return self.role == "leader"
 
     @property
-    def settled(self) -> bool:
+    def has_committed_own_term(self) -> bool:
         """As leader: it may tell what is committed, and change members."""
-        return self.leads and self.commit >= self._term_start
+        return self.is_leader and self.commit_index >= self._term_start
 
     @property
-    def patience_us(self) -> int:
+    def election_timeout_us(self) -> int:
         """The silence of a leader that this member bears."""
         return self._patience_us
 
     @property
-    def due_us(self) -> int:
+    def next_tick_us(self) -> int:
         """When it wants a Tick."""
         if self.role == "halted":
             return NEVER_US
-        if self.leads:
+        if self.is_leader:
             return self._beat_us
         if self.me not in self.members.voters:
             return NEVER_US
         return self.heard_us + self._wait_us
 
-    def members_at(self, index: int) -> Members:
+    def members_at(self, index: int) -> Membership:
         """The list that holds at an index."""
         found = NOBODY
         for start, members in self._views:
@@ -159,12 +163,12 @@
             return []
         self._now = max(self._now, now_us)
         self._effects = []
-        if isinstance(event, ev.Received):
+        if isinstance(event, ev.MessageReceived):
             self._receive(event.message)
         elif isinstance(event, ev.Tick):
             self._tick()
-        elif isinstance(event, ev.Elapsed):
-            if not self.leads and self.me in self.members.voters:
+        elif isinstance(event, ev.ElectionTimedOut):
+            if not self.is_leader and self.me in self.members.voters:
                 self._stand("pre")
         elif isinstance(event, ev.Synced):
             self._sync_done(event)
@@ -173,19 +177,19 @@
             self._lose_reads()
             self.role, self.leader = "halted", None
         elif isinstance(event, ev.Proposed):
-            if self.leads and self._heir is None:
+            if self.is_leader and self._heir is None:
                 self._extend("command", event.data, event.client, event.serial)
-        elif isinstance(event, ev.ReadAsked):
+        elif isinstance(event, ev.ReadRequested):
             self._read(event.number)
-        elif isinstance(event, ev.Transfer):
+        elif isinstance(event, ev.TransferLeadership):
             self._transfer(event.to)
-        elif isinstance(event, ev.Change):
+        elif isinstance(event, ev.ChangeMembership):
             self._change(event)
         else:
             self._compact(event)
         return self._effects
 
-    def form(self, now_us: int, cluster: str, members: Members) -> list[ev.Effect]:
+    def found_cluster(self, now_us: int, cluster: str, members: Membership) -> list[ev.Effect]:
         """On an empty disk: the first list, as an entry 1 of term 1 that all founding disks have alike."""
         assert not self.cluster and not self.log.last_index
         self._now, self._effects = max(self._now, now_us), []
@@ -203,19 +207,25 @@
         if message.to != self.me or kind not in _HANDLERS:
             return  # meant for a disk that this broker had before, or had not yet
         if self.cluster != message.cluster:
-            if self.cluster or kind not in (Append, Piece, Ask):
+            if self.cluster or kind not in (AppendRequest, SnapshotChunk, VoteRequest):
                 return
             # a fresh disk that the cluster's list names: whoever sent this has it in its list
             self.cluster = message.cluster
             self._persist()
-        if isinstance(message, Ask):
+        if isinstance(message, VoteRequest):
             self._asked(message)
             return
-        if message.term > self.term and not (isinstance(message, Vote) and message.pre and message.granted):
+        if message.term > self.term and not (
+            isinstance(message, VoteResponse) and message.pre and message.granted
+        ):
             self._follow(message.term, None)
         if message.term < self.term:
-            if isinstance(message, (Append, Piece)):  # an old leader: it hears of the newer term
-                self._reply(Appended, message.sender, ok=False, prev=0, taken=0, match=0, round=0, sync_us=0)
+            if isinstance(
+                message, (AppendRequest, SnapshotChunk)
+            ):  # an old leader: it hears of the newer term
+                self._reply(
+                    AppendResponse, message.sender, ok=False, prev=0, taken=0, match=0, round=0, sync_us=0
+                )
             return
         getattr(self, _HANDLERS[kind])(message)
 
@@ -225,7 +235,7 @@
         self._wait_us = self._random.randint(self._patience_us, 2 * self._patience_us)
 
     def _tick(self) -> None:
-        if self.leads:
+        if self.is_leader:
             if self._now >= self._beat_us:
                 self._lead()
         elif self.me in self.members.voters and self._now >= self.heard_us + self._wait_us:
@@ -256,8 +266,8 @@
         trips = [p.rtt_us for m, p in self.progress.items() if p.rtt_us and m in self.members.voters]
         syncs = [p.sync_us for m, p in self.progress.items() if p.sync_us and m in self.members.voters]
         need = 6 * (median(trips) if trips else 0) + 3 * (median(syncs) if syncs else 0)
-        bound = self.tuning.most_patience_us
-        self._patience_us = int(min(bound, max(self.tuning.patience_us, need)))
+        bound = self.tuning.max_election_timeout_us
+        self._patience_us = int(min(bound, max(self.tuning.election_timeout_us, need)))
 
     def _shed(self) -> None:
         """A leader whose disk is slow hands over: each agreement that needs its own copy would wait."""
@@ -271,20 +281,20 @@
     # --- elections ------------------------------------------------------------------------------------
 
     def _stand(self, standing: str) -> None:
-        self.role, self.leader, self.standing = "candidate", None, standing
+        self.role, self.leader, self.campaign = "candidate", None, standing
         self.heard_us = self._now
         self._draw()
         self._votes = {self.me: False}
         pre = standing == "pre"
         if not pre:
-            self.term, self.vote = self.term + 1, self.me
+            self.term, self.voted_for = self.term + 1, self.me
             self._persist(term=True)  # ELECTION
         self._standing_term = self.term + pre
         self._note("stands", standing)
         for voter in self.members.voters:
             if voter != self.me:
                 self._send(
-                    Ask(
+                    VoteRequest(
                         self.cluster, self.me, voter, self._standing_term, self.log.last_index,
                         self.log.last_term, pre, self._by_transfer,
                     ),
@@ -295,24 +305,26 @@
 
     def _count_own(self) -> None:
         """The own vote: at once for a question, when synced for a vote."""
-        if self.role == "candidate" and (self.standing == "pre" or self._done >= self._term_number):
+        if self.role == "candidate" and (self.campaign == "pre" or self._done >= self._term_number):
             self._votes[self.me] = True
             self._count()
 
     def _count(self) -> None:
         if sum(self._votes.get(m, False) for m in self.members.voters) < self.members.majority:
             return
-        if self.standing == "pre":
+        if self.campaign == "pre":
             self._stand("vote")
         else:
             self._win()
 
-    def _asked(self, message: Ask) -> None:
-        hears = self.leads or (self.leader is not None and self._now - self.heard_us < self._patience_us)
+    def _asked(self, message: VoteRequest) -> None:
+        hears = self.is_leader or (self.leader is not None and self._now - self.heard_us < self._patience_us)
         if hears and not message.transfer and self.leader != message.sender:
             # guards against a member that was cut off unseating a leader that the others hear
             leader = self.leader.name if self.leader else ""
-            self._send(Vote(self.cluster, self.me, message.sender, self.term, False, message.pre, leader))
+            self._send(
+                VoteResponse(self.cluster, self.me, message.sender, self.term, False, message.pre, leader)
+            )
             return
         if message.term > self.term and not message.pre:
             self._follow(message.term, None)
@@ -320,20 +332,22 @@
         if message.pre:
             granted = message.term > self.term and ahead
             term = message.term if granted else self.term
-            self._send(Vote(self.cluster, self.me, message.sender, term, granted, True), durable=True)
+            self._send(VoteResponse(self.cluster, self.me, message.sender, term, granted, True), durable=True)
             return
-        free = self.vote is None or self.vote == message.sender
-        granted = message.term == self.term and free and ahead and not self.leads
+        free = self.voted_for is None or self.voted_for == message.sender
+        granted = message.term == self.term and free and ahead and not self.is_leader
         if granted:
-            if self.vote is None:
-                self.vote = message.sender
+            if self.voted_for is None:
+                self.voted_for = message.sender
                 self._persist(term=True)
             self.heard_us = self._now
             self._draw()
-        self._send(Vote(self.cluster, self.me, message.sender, self.term, granted), durable=True)  # ELECTION
+        self._send(
+            VoteResponse(self.cluster, self.me, message.sender, self.term, granted), durable=True
+        )  # ELECTION
 
-    def _voted(self, message: Vote) -> None:
-        pre = self.standing == "pre"
+    def _voted(self, message: VoteResponse) -> None:
+        pre = self.campaign == "pre"
         if self.role != "candidate" or message.pre != pre or message.term != self._standing_term:
             return
         if message.sender in self.members.voters and message.granted:
@@ -341,7 +355,7 @@
             self._count()
 
     def _win(self) -> None:
-        self.role, self.leader, self.standing, self._by_transfer = "leader", self.me, "", False
+        self.role, self.leader, self.campaign, self._by_transfer = "leader", self.me, "", False
         self.progress = {}
         self._track()
         self._round, self._rounds, self._heir = 0, {}, None
@@ -351,7 +365,7 @@
         self._extend("noop")
         self._beat_us = self._now + self.tuning.heartbeat_us
 
-    def _take_over(self, message: TakeOver) -> None:
+    def _take_over(self, message: TimeoutNow) -> None:
         if message.sender == self.leader and self.me in self.members.voters:
             self._by_transfer = True
             self._stand("vote")
@@ -360,9 +374,9 @@
     def _follow(self, term: int, leader: Member | None) -> None:
         was = self.role
         if term > self.term:
-            self.term, self.vote = term, None
+            self.term, self.voted_for = term, None
             self._persist(term=True)
-        self.role, self.standing, self._by_transfer = "follower", "", False
+        self.role, self.campaign, self._by_transfer = "follower", "", False
         self._lose_reads()
         if was == "leader":
             self._note("follows")
@@ -375,7 +389,7 @@
 
     # --- appending, as leader -------------------------------------------------------------------------
 
-    def _extend(self, kind: Kind, data: bytes = b"", client: str = "", serial: int = 0) -> None:
+    def _extend(self, kind: EntryKind, data: bytes = b"", client: str = "", serial: int = 0) -> None:
         entry = Entry(self.log.last_index + 1, self.term, kind, data, client, serial)
         self.log.append(entry)  # APPEND
         self._see(entry)
@@ -398,10 +412,10 @@
         self._rounds[self._round] = self._now
         self._rounds.pop(self._round - ROUNDS_KEPT, None)
         for member, p in self.progress.items():
-            p.asked = False
-            if p.out and self._now - p.heard_us > self._patience_us:
-                p.probing, p.out = True, []  # what was on its way is lost
-            if p.snapshot is not None and self._now - p.piece_us > 2 * self.tuning.heartbeat_us:
+            p.probe_sent = False
+            if p.inflight and self._now - p.heard_us > self._patience_us:
+                p.probing, p.inflight = True, []  # what was on its way is lost
+            if p.snapshot is not None and self._now - p.chunk_sent_us > 2 * self.tuning.heartbeat_us:
                 self._send_piece(member, p)
             self._feed(member, beat=True)
         self._check_reads()
@@ -409,7 +423,7 @@
     def _feed(self, member: Member, beat: bool = False) -> None:
         """What it lacks, as far as its window is open; on a beat at least a word."""
         p = self.progress[member]
-        if p.next <= self.log.base_index and p.snapshot is None:
+        if p.next_index <= self.log.base_index and p.snapshot is None:
             p.snapshot, p.offset = self.snapshot, 0
             self._send_piece(member, p)
             return
@@ -418,80 +432,85 @@
                 self._send_piece(member, p, word=True)
             return
         sent = False
-        while not (p.probing and p.asked) and len(p.out) < self.tuning.window:
-            entries = self.log.after(p.next - 1, self.tuning.batch, self.tuning.batch_bytes)
+        while not (p.probing and p.probe_sent) and len(p.inflight) < self.tuning.max_inflight_appends:
+            entries = self.log.entries_after(
+                p.next_index - 1, self.tuning.batch_entries, self.tuning.batch_bytes
+            )
             if not entries and not (beat and not sent):
                 break
             self._send_append(member, p, entries)
-            sent, p.asked = True, True
+            sent, p.probe_sent = True, True
             if entries and not p.probing:
-                p.next = entries[-1].index + 1
-                p.out.append(entries[-1].index)
+                p.next_index = entries[-1].index + 1
+                p.inflight.append(entries[-1].index)
             if p.probing or not entries:
                 break
         if beat and not sent:
             self._send_append(member, p, ())
 
     def _send_append(self, member: Member, p: Progress, entries: tuple[Entry, ...]) -> None:
-        term = self.log.term_at(p.next - 1)
+        term = self.log.term_at(p.next_index - 1)
         assert term is not None
         self._send(
-            Append(
-                self.cluster, self.me, member, self.term, p.next - 1, term, entries, self.commit, self._round,
-                self._patience_us,
+            AppendRequest(
+                self.cluster, self.me, member, self.term, p.next_index - 1, term, entries,
+                self.commit_index, self._round, self._patience_us,
             )
         )  # fmt: skip
 
     def _heard_from(self, member: Member, round_: int) -> Progress | None:
         p = self.progress.get(member)
-        if p is None or not self.leads:
+        if p is None or not self.is_leader:
             return None
         p.heard_us = self._now
-        if round_ > p.echoed:
-            p.echoed = round_
+        if round_ > p.last_answered_round:
+            p.last_answered_round = round_
             if round_ in self._rounds:
                 trip = self._now - self._rounds[round_]
                 p.rtt_us = trip if not p.rtt_us else 0.8 * p.rtt_us + 0.2 * trip
             self._check_reads()
         return p
 
-    def _appended(self, message: Appended) -> None:
+    def _appended(self, message: AppendResponse) -> None:
         p = self._heard_from(message.sender, message.round)
         if p is None:
             return
         p.sync_us = message.sync_us
         if not message.ok:
-            if message.prev < p.match or p.snapshot is not None or not message.round:
+            if message.prev < p.match_index or p.snapshot is not None or not message.round:
                 return  # older than what is known by now
-            back = max(p.match + 1, min(message.prev, message.taken + 1))
-            if p.probing and back == p.next:
+            back = max(p.match_index + 1, min(message.prev, message.taken + 1))
+            if p.probing and back == p.next_index:
                 return  # guards against a storm with one that refuses the same again: the next beat asks
-            p.next, p.probing, p.asked, p.out = back, True, False, []
+            p.next_index, p.probing, p.probe_sent, p.inflight = back, True, False, []
             self._feed(message.sender)
             return
         if p.snapshot is not None and message.taken >= p.snapshot.index:
             p.snapshot = None
         p.probing = False
-        p.match = max(p.match, message.match)
-        p.next = max(p.next, message.taken + 1)
-        p.out = [index for index in p.out if index > message.taken]
+        p.match_index = max(p.match_index, message.match_index)
+        p.next_index = max(p.next_index, message.taken + 1)
+        p.inflight = [index for index in p.inflight if index > message.taken]
         self._advance()
-        if p.snapshot is None and self.leads and message.sender in self.progress:
+        if p.snapshot is None and self.is_leader and message.sender in self.progress:
             self._feed(message.sender)
-            if self._heir == message.sender and p.match == self.log.last_index:
+            if self._heir == message.sender and p.match_index == self.log.last_index:
                 self._hand_over(message.sender)
 
     def _advance(self) -> None:
         """COMMIT: the highest index of the own term that a majority has synced."""
-        if not self.leads:
+        if not self.is_leader:
             return
         have = sorted(
-            (self.synced if m == self.me else self.progress[m].match for m in self.members.voters),
+            (
+                self.durable_index if m == self.me else self.progress[m].match_index
+                for m in self.members.voters
+            ),
             reverse=True,
         )
         index = have[self.members.majority - 1] if have else 0
-        if index > self.commit and self.log.term_at(index) == self.term:
-            was = self.commit
+        if index > self.commit_index and self.log.term_at(index) == self.term:
+            was = self.commit_index
             self._commit(index)
             if was < self._term_start <= index:
                 early, self._early_reads = self._early_reads, []
@@ -502,23 +521,23 @@
                 self._follow(self.term, None)
 
     def _commit(self, index: int) -> None:
-        entries = tuple(self.log.at(i) for i in range(self.commit + 1, index + 1))
-        self.commit = index
+        entries = tuple(self.log.entry_at(i) for i in range(self.commit_index + 1, index + 1))
+        self.commit_index = index
         self._effects.append(ev.Committed(entries))
 
     # --- appending, as follower -----------------------------------------------------------------------
 
-    def _leader_heard(self, message: Append | Piece) -> None:
+    def _leader_heard(self, message: AppendRequest | SnapshotChunk) -> None:
         if self.role == "leader":
             raise InvariantViolationError(f"ELECTION: {message.sender} leads term {self.term} too")
         if self.role != "follower" or self.leader != message.sender:
             self._follow(self.term, message.sender)
         self.heard_us = self._now
-        if message.patience_us != self._patience_us:
-            self._patience_us = message.patience_us
+        if message.election_timeout_us != self._patience_us:
+            self._patience_us = message.election_timeout_us
             self._draw()
 
-    def _append(self, message: Append) -> None:
+    def _append(self, message: AppendRequest) -> None:
         self._leader_heard(message)
         prev = message.prev_index
         entries = message.entries
@@ -530,50 +549,50 @@
         elif self.log.term_at(prev) != message.prev_term:
             hint = self.log.last_index
             if prev <= hint:
-                hint = max(self.log.first_of_term(prev) - 1, self.commit)
+                hint = max(self.log.first_index_of_term(prev) - 1, self.commit_index)
             self._reply(
-                Appended, message.sender, ok=False, prev=prev, taken=hint, match=0, round=message.round,
+                AppendResponse, message.sender, ok=False, prev=prev, taken=hint, match=0, round=message.round,
                 sync_us=int(self._sync_us),
             )  # fmt: skip
             return
-        fresh, cut = [], 0
+        fresh, truncate_from = [], 0
         for entry in entries:
             term = self.log.term_at(entry.index)
             if term == entry.term:
                 continue  # MATCH
             if term is not None:
-                if entry.index <= self.commit:
+                if entry.index <= self.commit_index:
                     raise InvariantViolationError(
                         f"COMPLETE: entry {entry.index} was committed and is to change"
                     )
-                cut = entry.index
-                self._cut(cut)
+                truncate_from = entry.index
+                self._cut(truncate_from)
             self.log.append(entry)
             self._see(entry)
             fresh.append(entry)
         if fresh:
-            self._persist(cut=cut, entries=tuple(fresh))
+            self._persist(truncate_from=truncate_from, entries=tuple(fresh))
         taken = max(prev + len(message.entries), self.log.base_index)
         self._take(message, taken)
-        if min(message.commit, taken) > self.commit:
-            self._commit(min(message.commit, taken))
+        if min(message.commit_index, taken) > self.commit_index:
+            self._commit(min(message.commit_index, taken))
 
-    def _take(self, message: Append, taken: int) -> None:
+    def _take(self, message: AppendRequest, taken: int) -> None:
         """Say what is here. At once what is synced, and the rest when it is: a slow disk is no silence."""
-        match = min(taken, self.synced)
+        match = min(taken, self.durable_index)
         said = {"ok": True, "prev": message.prev_index, "taken": taken, "round": message.round}
-        self._reply(Appended, message.sender, **said, match=match, sync_us=int(self._sync_us))
+        self._reply(AppendResponse, message.sender, **said, match=match, sync_us=int(self._sync_us))
         if match < taken:
-            late = Appended(
+            late = AppendResponse(
                 self.cluster, self.me, message.sender, self.term, True, message.prev_index, taken, taken,
                 message.round, int(self._sync_us),
             )  # fmt: skip
             self._after.append((self._number, late))
 
     def _cut(self, index: int) -> None:
-        self.log.cut(index)
+        self.log.truncate(index)
         self._views = [view for view in self._views if view[0] < index]
-        self.synced = min(self.synced, index - 1)
+        self.durable_index = min(self.durable_index, index - 1)
         for row in self._pending:
             row[1] = min(row[1], index - 1)
 
@@ -586,23 +605,23 @@
     def _send_piece(self, member: Member, p: Progress, word: bool = False) -> None:
         s = p.snapshot
         assert s is not None
-        data = b"" if word else s.data[p.offset : p.offset + self.tuning.piece_bytes]
+        data = b"" if word else s.data[p.offset : p.offset + self.tuning.snapshot_chunk_bytes]
         if not word:
-            p.piece_us = self._now
+            p.chunk_sent_us = self._now
         self._send(
-            Piece(
+            SnapshotChunk(
                 self.cluster, self.me, member, self.term, s.index, s.term, s.members, len(s.data), s.check,
                 p.offset, data, self._round, self._patience_us,
             )
         )  # fmt: skip
 
-    def _piece(self, message: Piece) -> None:
+    def _piece(self, message: SnapshotChunk) -> None:
         self._leader_heard(message)
-        if message.index <= self.commit:
+        if message.index <= self.commit_index:
             # the log goes at least as far: say so, and appends go on from there
             said = {"ok": True, "prev": message.index, "taken": message.index, "round": message.round}
-            match = min(message.index, self.synced)
-            self._reply(Appended, message.sender, **said, match=match, sync_us=int(self._sync_us))
+            match = min(message.index, self.durable_index)
+            self._reply(AppendResponse, message.sender, **said, match=match, sync_us=int(self._sync_us))
             return
         name = (message.index, message.at_term, message.check)
         if self._coming != name:
@@ -615,12 +634,14 @@
             self._held, whole = bytearray(), False
         if not whole:
             at = len(self._held)
-            self._reply(PieceTaken, message.sender, index=message.index, offset=at, round=message.round)
+            self._reply(
+                SnapshotChunkResponse, message.sender, index=message.index, offset=at, round=message.round
+            )
             return
         snapshot = Snapshot(message.index, message.at_term, message.members, bytes(self._held), message.check)
         self._coming, self._held = None, bytearray()
         self._restore(snapshot)
-        late = Appended(
+        late = AppendResponse(
             self.cluster, self.me, message.sender, self.term, True, message.index, message.index,
             message.index, message.round, int(self._sync_us),
         )  # fmt: skip
@@ -634,19 +655,19 @@
                 (snapshot.index, snapshot.members),
                 *(v for v in self._views if v[0] > snapshot.index),
             ]
-            cut = 0
+            truncate_from = 0
         else:
-            cut = self.log.base_index + 1 if self.log.entries else 0
+            truncate_from = self.log.base_index + 1 if self.log.entries else 0
             self.log = Log(snapshot.index, snapshot.term)
             self._views = [(snapshot.index, snapshot.members)]
-            self.synced = 0
+            self.durable_index = 0
             for row in self._pending:
                 row[1] = 0
-        self.snapshot, self.commit = snapshot, snapshot.index
-        self._persist(cut=cut, snapshot=snapshot)
-        self._effects.append(ev.Install(snapshot))
+        self.snapshot, self.commit_index = snapshot, snapshot.index
+        self._persist(truncate_from=truncate_from, snapshot=snapshot)
+        self._effects.append(ev.InstallSnapshot(snapshot))
 
-    def _piece_taken(self, message: PieceTaken) -> None:
+    def _piece_taken(self, message: SnapshotChunkResponse) -> None:
         p = self._heard_from(message.sender, message.round)
         if p is None or p.snapshot is None or p.snapshot.index != message.index:
             return
@@ -654,10 +675,10 @@
             p.offset = message.offset
             self._send_piece(message.sender, p)
 
-    def _compact(self, event: ev.Compacted) -> None:
+    def _compact(self, event: ev.SnapshotTaken) -> None:
         """The state machine as of an applied index takes the place of the log up to it."""
         term = self.log.term_at(event.index)
-        if term is None or event.index <= self.log.base_index or event.index > self.commit:
+        if term is None or event.index <= self.log.base_index or event.index > self.commit_index:
             return
         members = self.members_at(event.index)
         self.snapshot = Snapshot(event.index, term, members, event.data, event.check)
@@ -668,12 +689,12 @@
     # --- reads, transfer, members ---------------------------------------------------------------------
 
     def _read(self, number: int) -> None:
-        if not self.leads:
-            self._effects.append(ev.ReadLost(number))
-        elif not self.settled:
+        if not self.is_leader:
+            self._effects.append(ev.ReadAborted(number))
+        elif not self.has_committed_own_term:
             self._early_reads.append(number)  # a new leader does not know yet what is committed
         else:
-            self._reads.append((self._round + 1, number, self.commit))
+            self._reads.append((self._round + 1, number, self.commit_index))
             if len(self._reads) == 1 or self._reads[-1][0] != self._reads[-2][0]:
                 self._broadcast()
 
@@ -681,41 +702,49 @@
         """A round that was sent after the question and heard by a majority: no later leader by then."""
         if not self._reads:
             return
-        rounds = [self._round if m == self.me else self.progress[m].echoed for m in self.members.voters]
+        rounds = [
+            self._round if m == self.me else self.progress[m].last_answered_round for m in self.members.voters
+        ]
         heard = sorted(rounds, reverse=True)[self.members.majority - 1] if rounds else 0
         while self._reads and self._reads[0][0] <= heard:
             _, number, index = self._reads.popleft()
-            self._effects.append(ev.ReadReady(number, index))
+            self._effects.append(ev.ReadConfirmed(number, index))
 
     def _lose_reads(self) -> None:
         for _, number, _ in self._reads:
-            self._effects.append(ev.ReadLost(number))
-        self._effects += [ev.ReadLost(number) for number in self._early_reads]
+            self._effects.append(ev.ReadAborted(number))
+        self._effects += [ev.ReadAborted(number) for number in self._early_reads]
         self._reads.clear()
         self._early_reads = []
 
     def _transfer(self, to: Member | None) -> None:
-        if not self.leads:
+        if not self.is_leader:
             return
         if to is None:
             fit = [m for m in self.members.voters if m != self.me and self._heard_lately(m)]
-            quick = sorted(fit, key=lambda m: (self.progress[m].sync_us // 50_000, -self.progress[m].match))
+            quick = sorted(
+                fit, key=lambda m: (self.progress[m].sync_us // 50_000, -self.progress[m].match_index)
+            )
             to = quick[0] if quick else None
         if to is None or to not in self.members.voters or to == self.me:
             return
         self._heir, self._heir_us = to, self._now + 2 * self._patience_us
-        if self.progress[to].match == self.log.last_index:
+        if self.progress[to].match_index == self.log.last_index:
             self._hand_over(to)
         else:
             self._feed(to)
 
     def _hand_over(self, to: Member) -> None:
-        self._send(TakeOver(self.cluster, self.me, to, self.term))
+        self._send(TimeoutNow(self.cluster, self.me, to, self.term))
 
-    def _change(self, event: ev.Change) -> None:
+    def _change(self, event: ev.ChangeMembership) -> None:
         """CHANGE: one member, behind a committed entry of this term and a committed list."""
         old, member = self.members, event.member
-        if not self.settled or self._views[-1][0] > self.commit or self._heir is not None:
+        if (
+            not self.has_committed_own_term
+            or self._views[-1][0] > self.commit_index
+            or self._heir is not None
+        ):
             return
         voters, learners = list(old.voters), list(old.learners)
         if event.what == "learn" and member not in old.all:
@@ -727,7 +756,7 @@
             (voters if member in voters else learners).remove(member)
         else:
             return
-        new = Members(tuple(voters), tuple(learners))
+        new = Membership(tuple(voters), tuple(learners))
         if new.voters:
             self._note("members", f"{event.what} {member.name}/{member.disk}")
             self._extend("members", encode_members(new))
@@ -738,7 +767,7 @@
     def _persist(
         self,
         term: bool = False,
-        cut: int = 0,
+        truncate_from: int = 0,
         entries: tuple[Entry, ...] = (),
         snapshot: Snapshot | None = None,
     ) -> None:
@@ -747,7 +776,9 @@
         if term:
             self._term_number = self._number
         self._effects.append(
-            ev.Persist(self._number, self.cluster, self.term, self.vote, cut, entries, snapshot)
+            ev.Persist(
+                self._number, self.cluster, self.term, self.voted_for, truncate_from, entries, snapshot
+            )
         )
 
     def _sync_done(self, event: ev.Synced) -> None:
@@ -758,12 +789,12 @@
             took = float(event.took_us)
             self._sync_us = took if not self._sync_us else 0.7 * self._sync_us + 0.3 * took
         while self._pending and self._pending[0][0] <= event.number:
-            self.synced = max(self.synced, self._pending.popleft()[1])
+            self.durable_index = max(self.durable_index, self._pending.popleft()[1])
         while self._after and self._after[0][0] <= event.number:
             message = self._after.popleft()[1]
-            if message.term == self.term or isinstance(message, Vote):
-                self._effects.append(ev.Transmit(message))
-        if self.role == "candidate" and self.standing == "vote":
+            if message.term == self.term or isinstance(message, VoteResponse):
+                self._effects.append(ev.SendMessage(message))
+        if self.role == "candidate" and self.campaign == "vote":
             self._count_own()
         self._advance()
 
@@ -776,24 +807,24 @@
         if self._done < self._term_number:
             self._after.append((self._term_number, message))
         else:
-            self._effects.append(ev.Transmit(message))
+            self._effects.append(ev.SendMessage(message))
 
     def _send(self, message: Message, durable: bool = False) -> None:
         """durable: once all that was to be written by now is on the disk."""
         if durable and self._done < self._number:
             self._after.append((self._number, message))
         else:
-            self._effects.append(ev.Transmit(message))
+            self._effects.append(ev.SendMessage(message))
 
     def _note(self, what: str, detail: str = "") -> None:
-        self._effects.append(ev.Noted(what, self.term, detail))
+        self._effects.append(ev.LogLine(what, self.term, detail))
 
 
-def encode_members(members: Members) -> bytes:
+def encode_members(members: Membership) -> bytes:
     """As an entry carries them."""
     return msgpack.encode(members)
 
 
-def decode_members(data: bytes) -> Members:
+def decode_members(data: bytes) -> Membership:
     """As an entry carries them."""
-    return msgpack.decode(data, type=Members)
+    return msgpack.decode(data, type=Membership)
--- a/harriertide/consensus/roster.py
+++ b/harriertide/consensus/roster.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from harriertide.consensus import events as ev
-from harriertide.consensus.messages import Member, Members
+from harriertide.consensus.messages import Member, Membership
 from harriertide.consensus.node import Node
 
 HELLO_US = 300_000
@@ -29,11 +29,11 @@
     cluster: str
 
 
-class Found(Struct, frozen=True, tag="found"):
+class Founding(Struct, frozen=True, tag="found"):
     """From the first voter of the file to the others: this is the cluster."""
 
     cluster: str
-    members: Members
+    members: Membership
 
 
 @dataclass(slots=True)
@@ -50,21 +50,21 @@
         self.me, self.voters = me, voters
         self._heard: dict[str, _Heard] = {}
         self._hello_us = 0
-        self.twice: set[str] = set()  # names under which two disks stand at once
+        self.duplicate_names: set[str] = set()  # names under which two disks stand at once
 
-    def hear(self, now_us: int, hello: Hello) -> None:
+    def on_hello(self, now_us: int, hello: Hello) -> None:
         """Somebody stands there."""
         if hello.sender.name in self.voters:
             self._heard[hello.sender.name] = _Heard(hello.sender.disk, hello.cluster, now_us)
 
-    def hello(self, now_us: int, node: Node) -> Hello | None:
+    def next_hello(self, now_us: int, node: Node) -> Hello | None:
         """What to tell all voters now, where it is time: while this disk is in no list."""
         if now_us < self._hello_us or self.me in node.members.voters:
             return None
         self._hello_us = now_us + HELLO_US
         return Hello(self.me, node.cluster)
 
-    def found(self, now_us: int, cluster: str) -> Found | None:
+    def propose_founding(self, now_us: int, cluster: str) -> Founding | None:
         """As the first voter on an empty disk: the cluster, once all voters stand there on empty ones."""
         if self.voters[0] != self.me.name:
             return None
@@ -74,18 +74,18 @@
             if heard is None or heard.cluster or now_us - heard.at_us > FRESH_US:
                 return None  # guards against a second cluster beside one that a silent voter is of
             members.append(Member(name, heard.disk))
-        return Found(cluster, Members(tuple(members)))
+        return Founding(cluster, Membership(tuple(members)))
 
-    def accepts(self, found: Found, node: Node) -> bool:
+    def accepts_founding(self, found: Founding, node: Node) -> bool:
         """Whether an empty disk may join this founding."""
         return not node.cluster and not node.log.last_index and self.me in found.members.voters
 
-    def next(self, now_us: int, node: Node) -> ev.Event | None:
+    def next_change(self, now_us: int, node: Node) -> ev.Event | None:
         """As leader: the next step towards one member a voter's name of the file, or None."""
-        if not node.settled:
+        if not node.has_committed_own_term:
             return None
         members = node.members
-        self.twice.clear()
+        self.duplicate_names.clear()
         for name in self.voters:
             heard = self._heard.get(name)
             old = [m for m in members.voters if m.name == name]
@@ -94,21 +94,25 @@
                 stands = Member(name, heard.disk)
                 if stands not in members.all:
                     if any(self._lives(now_us, node, m) for m in old):
-                        self.twice.add(name)  # two processes under one name: neither is thrown out
+                        self.duplicate_names.add(name)  # two processes under one name: neither is thrown out
                         continue
                     stale = [m for m in new if m != stands]
-                    return ev.Change("remove", stale[0]) if stale else ev.Change("learn", stands)
+                    return (
+                        ev.ChangeMembership("remove", stale[0])
+                        if stale
+                        else ev.ChangeMembership("learn", stands)
+                    )
             for learner in new:
-                if node.progress[learner].match < node.commit - NEAR:
+                if node.progress[learner].match_index < node.commit_index - NEAR:
                     continue
                 if old:
-                    return ev.Change("remove", old[0])
-                return ev.Change("promote", learner)
+                    return ev.ChangeMembership("remove", old[0])
+                return ev.ChangeMembership("promote", learner)
         for member in members.all:
             if member.name not in self.voters:
-                return ev.Transfer() if member == node.me else ev.Change("remove", member)
+                return ev.TransferLeadership() if member == node.me else ev.ChangeMembership("remove", member)
         return None
 
     def _lives(self, now_us: int, node: Node, member: Member) -> bool:
         p = node.progress.get(member)
-        return p is not None and now_us - p.heard_us < 2 * node.patience_us
+        return p is not None and now_us - p.heard_us < 2 * node.election_timeout_us
--- a/harriertide/consensus/store.py
+++ b/harriertide/consensus/store.py
@@ -108,7 +108,7 @@
 
     folder: Path
     disk: str
-    found: ev.Restored
+    restored: ev.RestoredState
     path: Path
     number: int
     sync: Callable[[int], None] = _sync
@@ -169,9 +169,9 @@
             self._rewrite()
 
     def _follow(self, work: ev.Persist) -> None:
-        self._hard = (work.cluster, work.term, work.vote)
-        if work.cut:
-            self._live = [entry for entry in self._live if entry.index < work.cut]
+        self._hard = (work.cluster, work.term, work.voted_for)
+        if work.truncate_from:
+            self._live = [entry for entry in self._live if entry.index < work.truncate_from]
         self._live += work.entries
         if work.snapshot is not None:
             self._snapshot = work.snapshot
@@ -214,7 +214,7 @@
 
 def _encode(work: ev.Persist) -> bytes:
     index = work.snapshot.index if work.snapshot else 0
-    record = Record(VERSION, work.cluster, work.term, work.vote, work.cut, work.entries, index)
+    record = Record(VERSION, work.cluster, work.term, work.voted_for, work.truncate_from, work.entries, index)
     return msgspec.msgpack.encode(record)
 
 
@@ -261,7 +261,7 @@
     return disk
 
 
-def _read(folder: Path) -> tuple[ev.Restored, list[Entry], tuple[str, int, Member | None], Path, int]:
+def _read(folder: Path) -> tuple[ev.RestoredState, list[Entry], tuple[str, int, Member | None], Path, int]:
     numbers = sorted(int(p.name[4:]) for p in folder.glob("log-*") if p.name[4:].isdigit())
     number = numbers[-1] if numbers else 1
     for old in numbers[:-1]:  # a rewrite was ended between its sync and this
@@ -302,7 +302,7 @@
     if [entry.index for entry in live] != list(range(base + 1, base + 1 + len(live))):
         raise DamagedError(f"{path}: entries are missing")
     hard = (cluster, term, vote)
-    return ev.Restored(cluster, term, vote, snapshot, tuple(live)), live, hard, path, number
+    return ev.RestoredState(cluster, term, vote, snapshot, tuple(live)), live, hard, path, number
 
 
 def set_aside(folder: Path) -> Path:
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -20,7 +20,7 @@
 
 from harriertide.config.model import Maintenance, State
 from harriertide.consensus.events import Tuning
-from harriertide.consensus.fanout import Report, Round, Sums, bits
+from harriertide.consensus.fanout import GrantRound, SubtreeReport, SubtreeTotals, encode_broker_set
 from harriertide.control.member import Broker, CallError, Events, Outside
 from harriertide.decide import api
 from harriertide.engine.log import log
@@ -176,7 +176,7 @@
                 name, now = (step.order, step.machine), (step.phase, step.fence)
                 if self._seen.get(name, (now, 0))[0] != now or name not in self._seen:
                     self._seen[name] = now, self.broker.now_us()
-                    self.broker.fan.hurry()
+                    self.broker.fan.report_soon()
                     self._look_us = 0
                     self.events.say(
                         "step", order=step.order, machine=step.machine, phase=step.phase, fence=step.fence,
@@ -232,13 +232,13 @@
         began, offered = self._window[0]
         return (self.core.offered_units - offered) * 1_000_000 / max(1, now - began)
 
-    def _own(self, broker: Broker) -> Report:
+    def _own(self, broker: Broker) -> SubtreeReport:
         """What this broker says of itself."""
         now = broker.now_us()
-        place = broker.fan.place[broker.name]
+        place = broker.fan.broker_indexes[broker.name]
         known: dict[int, bytes] = {}
         clear: dict[int, bytes] = {}
-        mine = bits({place})
+        mine = encode_broker_set({place})
         shut = self._may(now)
         for step in self.upkeep.under_way():
             known[step.fence] = mine
@@ -258,18 +258,18 @@
                 failed[name] = 1
         units = {name: round(rate, 2) for name, rate in self.core.learned().items() if rate}
         applied = broker.course.applied
-        return Report(broker.name, 0, applied, mine, lives, known, clear, load, units, failed)
+        return SubtreeReport(broker.name, 0, applied, mine, lives, known, clear, load, units, failed)
 
-    def _granted(self, asked: Round) -> None:
+    def _granted(self, asked: GrantRound) -> None:
         """As leader: a majority has confirmed it; who was in that round holds a lease from its report on."""
         broker, now = self.broker, self.broker.now_us()
-        found: Sums = broker.fan.sums(now, self._own(broker))
+        found: SubtreeTotals = broker.fan.totals(now, self._own(broker))
         facts = self.facts
         for place in asked.alive:
             facts.granted_us[place] = now
         facts.alive, facts.load = found.alive, found.load
         facts.units, facts.failed = found.units, found.failed
-        facts.lives.update(found.lives)
+        facts.lives.update(found.incarnations)
         fences = {step.fence for step in self.upkeep.under_way()}
         for mine, theirs in ((facts.known, found.known), (facts.clear, found.clear)):
             for fence, who in theirs.items():
@@ -297,7 +297,7 @@
 
     def _plan(self, now: int) -> None:
         replica = self.broker.replica
-        if replica is None or not replica.node.settled:
+        if replica is None or not replica.node.has_committed_own_term:
             return
         declared = self._declared()
         state = self.upkeep.state
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -18,28 +18,36 @@
 
 from harriertide.consensus import events as ev
 from harriertide.consensus.events import Tuning
-from harriertide.consensus.fanout import ENTRIES, FEED_BYTES, REPORT_US, Fan, Feed, Report, Round
+from harriertide.consensus.fanout import (
+    REPORT_INTERVAL_US,
+    UPDATE_BYTES,
+    UPDATE_ENTRY_COUNT,
+    FanoutTree,
+    GrantRound,
+    SubtreeReport,
+    TreeUpdate,
+)
 from harriertide.consensus.follower import Follower
 from harriertide.consensus.messages import Member, Message, Proposal
 from harriertide.consensus.replica import (
-    AGAIN_US,
-    Applied,
-    Course,
-    Done,
+    RETRY_INTERVAL_US,
+    AppliedState,
+    CallCompleted,
+    CallExpired,
     Effect,
-    GaveUp,
-    Machine,
-    Readable,
+    EntryApplied,
+    ReadCompleted,
     Replica,
+    StateMachine,
 )
-from harriertide.consensus.roster import Found, Hello, Roster
+from harriertide.consensus.roster import Founding, Hello, Roster
 from harriertide.consensus.store import DamagedError, Store, StoreError, set_aside
 from harriertide.consensus.transport import Transport
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
 
 BEAT_S = 0.025
-Wire = Message | Hello | Found | Report | Feed
+Wire = Message | Hello | Founding | SubtreeReport | TreeUpdate
 _wire = msgspec.msgpack.Decoder(Wire)
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -48,7 +56,7 @@
     """A store, or what stands for one."""
 
     disk: str
-    found: ev.Restored
+    restored: ev.RestoredState
 
     def write(self, works: list[ev.Persist]) -> None:
         """With one sync; StoreError is final."""
@@ -115,10 +123,10 @@
         brokers: dict[str, tuple[str, int]],
         voters: tuple[str, ...],
         folder: Path,
-        machine: Machine,
+        machine: StateMachine,
         lease_us: int,
         events: Events,
-        own: Callable[[Broker], Report],
+        own: Callable[[Broker], SubtreeReport],
         applied: Callable[[], None],
         outside: Outside,
         tuning: Tuning | None = None,
@@ -136,18 +144,18 @@
         self._work = asyncio.Event()
         self._writing = asyncio.Lock()  # held while the store's thread is at work
         self._tasks: list[asyncio.Task[None]] = []
-        self._rounds: dict[int, Round] = {}
+        self._rounds: dict[int, GrantRound] = {}
         self._folder = folder
         self.halted = ""
         self.waits: dict[str, list[str]] = {}  # as the leader told it last
         first = outside.random.getrandbits(48)
-        self.fan = Fan(name, tuple(brokers), voters, lease_us, self.now_us(), first)
+        self.fan = FanoutTree(name, tuple(brokers), voters, lease_us, self.now_us(), first)
         self.replica: Replica | None = None
         self.follower: Follower | None = None
         self._calls: dict[int, tuple[Proposal, int, float]] = {}  # as a follower: again when, until when
         self._snapshot: tuple[int, bytes, int] = (0, b"", 0)  # for children: index, data, checksum
         if name not in voters:
-            self.follower = Follower(Course(machine))
+            self.follower = Follower(AppliedState(machine))
             return
         try:
             self.store = outside.disk(folder)
@@ -158,9 +166,9 @@
             self.store = outside.disk(folder)
         me = Member(name, self.store.disk)
         random = Random(outside.random.getrandbits(64))
-        self.replica = Replica(me, machine, tuning or Tuning(), self.store.found, random, self.now_us())
+        self.replica = Replica(me, machine, tuning or Tuning(), self.store.restored, random, self.now_us())
         self.roster = Roster(me, voters)
-        self._found: Found | None = None
+        self._found: Founding | None = None
 
     # --- questions ------------------------------------------------------------------------------------
 
@@ -171,12 +179,12 @@
     @property
     def leads(self) -> bool:
         """Whether this broker leads, as far as it knows."""
-        return self.replica is not None and self.replica.node.leads
+        return self.replica is not None and self.replica.node.is_leader
 
     @property
     def led(self) -> int:
         """The term in which it leads, 0 where it does not."""
-        return self.replica.node.term if self.replica is not None and self.replica.node.leads else 0
+        return self.replica.node.term if self.replica is not None and self.replica.node.is_leader else 0
 
     @property
     def leader(self) -> str:
@@ -187,12 +195,12 @@
         return self.fan.leader
 
     @property
-    def course(self) -> Course:
+    def course(self) -> AppliedState:
         """The state as applied here."""
         if self.replica is not None:
-            return self.replica.course
+            return self.replica.applied_state
         assert self.follower is not None
-        return self.follower.course
+        return self.follower.applied_state
 
     # --- life -----------------------------------------------------------------------------------------
 
@@ -211,7 +219,7 @@
     def hand_over(self) -> None:
         """To the best of the others, if this broker leads."""
         if self.replica is not None and self.leads:
-            self._do(self.replica.step(self.now_us(), ev.Transfer()))
+            self._do(self.replica.step(self.now_us(), ev.TransferLeadership()))
 
     async def close(self) -> None:
         """Hand over, and let go of all."""
@@ -239,38 +247,41 @@
     def _beat(self) -> None:
         now = self.now_us()
         if self.replica is not None:
-            if self.replica.due_us <= now:
+            if self.replica.next_tick_us <= now:
                 self._do(self.replica.step(now, ev.Tick()))
             self._roster(now)
             self.fan.leader = self.leader
         else:
             self._again(now)
-        if self.fan.due(now):
+        if self.fan.is_report_due(now):
             self._report(now)
         self._feed(now)
-        self.fan.settle(self.course.applied)
+        self.fan.activate_lease(self.course.applied)
 
     def _roster(self, now: int) -> None:
         assert self.replica is not None
         node = self.replica.node
-        hello = self.roster.hello(now, node)
+        hello = self.roster.next_hello(now, node)
         if hello is not None:
             for name in self.voters:
                 if name != self.name:
                     self._send(name, hello)
         if not node.cluster and node.role != "halted":
-            found = self.roster.found(now, f"{self._outside.random.getrandbits(48):x}")
-            if found is not None and self.roster.accepts(found, node):
+            found = self.roster.propose_founding(now, f"{self._outside.random.getrandbits(48):x}")
+            if found is not None and self.roster.accepts_founding(found, node):
                 self._found = found
-                self._do(node.form(now, found.cluster, found.members))
+                self._do(node.found_cluster(now, found.cluster, found.members))
         elif (
-            self._found is not None and now - self._hello_us > 300_000 and not node.leads and not node.leader
+            self._found is not None
+            and now - self._hello_us > 300_000
+            and not node.is_leader
+            and not node.leader
         ):
             self._hello_us = now
             for name in self.voters:
                 if name != self.name:
                     self._send(name, self._found)
-        step = self.roster.next(now, node)
+        step = self.roster.next_change(now, node)
         if step is not None:
             self._do(self.replica.step(now, step))
 
@@ -289,23 +300,23 @@
         except msgspec.MsgspecError:
             return False
         now = self.now_us()
-        if isinstance(message, Report):
-            self.fan.hear_report(now, message)
-        elif isinstance(message, Feed):
+        if isinstance(message, SubtreeReport):
+            self.fan.on_report(now, message)
+        elif isinstance(message, TreeUpdate):
             self._fed(now, message)
         elif self.replica is None:
             self.counts["not_for_a_follower"] += 1
         elif isinstance(message, Hello):
-            self.roster.hear(now, message)
+            self.roster.on_hello(now, message)
             self._tell_found(message)
-        elif isinstance(message, Found):
-            if self.roster.accepts(message, self.replica.node):
-                self._do(self.replica.node.form(now, message.cluster, message.members))
+        elif isinstance(message, Founding):
+            if self.roster.accepts_founding(message, self.replica.node):
+                self._do(self.replica.node.found_cluster(now, message.cluster, message.members))
         else:
             node = self.replica.node
             if isinstance(message, Proposal) and not message.to.name:  # a follower's, who knows no disks
                 message = msgspec.structs.replace(message, to=node.me, cluster=node.cluster)
-            self._do(self.replica.step(now, ev.Received(message)))
+            self._do(self.replica.step(now, ev.MessageReceived(message)))
         return True
 
     def _tell_found(self, hello: Hello) -> None:
@@ -320,72 +331,74 @@
             assert self.replica is not None
             self._numbers += 1
             self._rounds = {n: r for n, r in self._rounds.items() if n > self._numbers - 32}
-            self._rounds[self._numbers] = self.fan.round(now)
-            self._do(self.replica.query(now, self._numbers, now + 10 * REPORT_US))
+            self._rounds[self._numbers] = self.fan.start_grant_round(now)
+            self._do(self.replica.query(now, self._numbers, now + 10 * REPORT_INTERVAL_US))
             return
-        said = self.fan.report(now, self._own(self))
+        said = self.fan.build_report(now, self._own(self))
         if said is not None:
             self._send(*said)
 
-    def _fed(self, now: int, feed: Feed) -> None:
-        self.fan.hear_feed(now, feed)
+    def _fed(self, now: int, feed: TreeUpdate) -> None:
+        self.fan.on_update(now, feed)
         if feed.granted and not self.leads:
             self.waits = feed.waits
         if self.follower is not None:
-            was = self.follower.course.applied
-            for entry, answer, fresh, digest in self.follower.take(feed):
+            was = self.follower.applied_state.applied
+            for entry, answer, fresh, digest in self.follower.apply_update(feed):
                 self.events.say("applied", index=entry.index, digest=digest, fresh=fresh)
                 for number, (proposal, _, _) in list(self._calls.items()):
                     if (proposal.client, proposal.serial) == (entry.client, entry.serial):
                         del self._calls[number]
                         self._answer(number, answer)
-            if self.follower.course.applied != was:
+            if self.follower.applied_state.applied != was:
                 self._applied()
                 self._feed(now)
-        self.fan.settle(self.course.applied)
+        self.fan.activate_lease(self.course.applied)
 
     def _feed(self, now: int) -> None:
         """Grants, and what children lack."""
-        for name, number, index in self.fan.grants(now):
-            self._send(name, Feed(self.name, self.leader, number, index, waits=self.waits))
+        for name, number, index in self.fan.take_pending_grants(now):
+            self._send(name, TreeUpdate(self.name, self.leader, number, index, waits=self.waits))
         applied = self.course.applied
         for name, child in self.fan.children.items():
             if name in self.voters:
                 continue
-            child.fed = max(child.fed, child.report.applied)
-            while child.fed < applied:
-                entries = self._after(child.fed)
+            child.sent_index = max(child.sent_index, child.report.applied)
+            while child.sent_index < applied:
+                entries = self._after(child.sent_index)
                 if entries is None:
                     self._feed_snapshot(name)
-                    child.fed = max(self._snapshot[0], child.fed + 1)
+                    child.sent_index = max(self._snapshot[0], child.sent_index + 1)
                 else:
                     if not entries:
                         break
-                    said = Feed(self.name, self.leader, child.told, child.index, child.fed, entries)
+                    said = TreeUpdate(
+                        self.name, self.leader, child.sent_grant, child.grant_index, child.sent_index, entries
+                    )
                     self._send(name, said)
-                    child.fed = entries[-1].index
-                child.fed_us = now
+                    child.sent_index = entries[-1].index
+                child.sent_us = now
 
     def _after(self, index: int) -> tuple[Any, ...] | None:
         if self.follower is not None:
-            return self.follower.after(index, ENTRIES)
+            return self.follower.entries_after(index, UPDATE_ENTRY_COUNT)
         assert self.replica is not None
         node = self.replica.node
         if index < node.log.base_index:
             return None
-        found = node.log.after(index, ENTRIES, FEED_BYTES)
+        found = node.log.entries_after(index, UPDATE_ENTRY_COUNT, UPDATE_BYTES)
         return tuple(entry for entry in found if entry.index <= self.replica.applied)
 
     def _feed_snapshot(self, name: str) -> None:
-        if self._snapshot[0] < self.course.applied - ENTRIES or not self._snapshot[0]:
+        if self._snapshot[0] < self.course.applied - UPDATE_ENTRY_COUNT or not self._snapshot[0]:
             data = self.course.dump()
             self._snapshot = self.course.applied, data, xxhash.xxh3_64_intdigest(data)
         index, data, check = self._snapshot
         self.counts["snapshots_out"] += 1
-        for offset in range(0, max(1, len(data)), FEED_BYTES):
-            piece = data[offset : offset + FEED_BYTES]
+        for offset in range(0, max(1, len(data)), UPDATE_BYTES):
+            piece = data[offset : offset + UPDATE_BYTES]
             self._send(
-                name, Feed(self.name, self.leader, 0, 0, 0, (), index, len(data), check, offset, piece)
+                name, TreeUpdate(self.name, self.leader, 0, 0, 0, (), index, len(data), check, offset, piece)
             )
 
     # --- calls ----------------------------------------------------------------------------------------
@@ -421,7 +434,7 @@
                 del self._calls[number]
                 self._fail(number, "not agreed on in time; it may be later, or never")
             elif now >= again and self.fan.leader:
-                self._calls[number] = (proposal, now + AGAIN_US, limit)
+                self._calls[number] = (proposal, now + RETRY_INTERVAL_US, limit)
                 self._send(self.fan.leader, proposal)
 
     async def read(self, within_s: float) -> bool:
@@ -457,25 +470,25 @@
     def _do(self, effects: list[Any] | list[Effect]) -> None:
         changed = False
         for effect in effects:
-            if isinstance(effect, ev.Transmit):
+            if isinstance(effect, ev.SendMessage):
                 self._send(effect.message.to.name, effect.message)
             elif isinstance(effect, ev.Persist):
                 self._works.append(effect)
                 self._work.set()
-            elif isinstance(effect, Applied):
+            elif isinstance(effect, EntryApplied):
                 changed = True
                 self.events.say("applied", index=effect.index, digest=effect.digest, fresh=effect.fresh)
-            elif isinstance(effect, Done):
+            elif isinstance(effect, CallCompleted):
                 self._answer(effect.number, effect.answer)
-            elif isinstance(effect, Readable):
+            elif isinstance(effect, ReadCompleted):
                 self._readable(effect.number)
-            elif isinstance(effect, GaveUp):
+            elif isinstance(effect, CallExpired):
                 self._rounds.pop(effect.number, None)
                 self._fail(effect.number, "not agreed on in time; it may be later, or never")
-            elif isinstance(effect, ev.Noted):
+            elif isinstance(effect, ev.LogLine):
                 self._noted(effect)
         if changed:
-            self.fan.settle(self.course.applied)
+            self.fan.activate_lease(self.course.applied)
             self._applied()
             self._feed(self.now_us())
 
@@ -485,18 +498,18 @@
             self._answer(number, b"")
             return
         if self.leads:  # the own round: all reports of then are granted
-            self.fan.confirm(asked, self.course.applied)
+            self.fan.confirm_round(asked, self.course.applied)
             self.granted(asked)
             self._feed(self.now_us())
 
-    granted: Callable[[Round], None] = staticmethod(lambda asked: None)
+    granted: Callable[[GrantRound], None] = staticmethod(lambda asked: None)
 
-    def _noted(self, effect: ev.Noted) -> None:
-        self.counts[effect.what.replace(" ", "_")] += 1
-        self.events.say("noted", what=effect.what, term=effect.term, detail=effect.detail)
-        if effect.what in ("leads", "halted", "broken", "hands over", "stepped down", "members"):
-            log("agreement", what=effect.what, term=effect.term, detail=effect.detail)
-        if effect.what in ("halted", "broken"):
+    def _noted(self, effect: ev.LogLine) -> None:
+        self.counts[effect.event.replace(" ", "_")] += 1
+        self.events.say("noted", what=effect.event, term=effect.term, detail=effect.detail)
+        if effect.event in ("leads", "halted", "broken", "hands over", "stepped down", "members"):
+            log("agreement", what=effect.event, term=effect.term, detail=effect.detail)
+        if effect.event in ("halted", "broken"):
             self.halted = effect.detail
 
     async def _writes(self) -> None:
--- a/harriertide/lab/check.py
+++ b/harriertide/lab/check.py
@@ -35,14 +35,14 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.log import Log
-from harriertide.consensus.messages import Append, Appended, Entry, Member, Members, Message
+from harriertide.consensus.messages import AppendRequest, AppendResponse, Entry, Member, Membership, Message
 from harriertide.consensus.node import InvariantViolationError, Node, encode_members
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.cluster import Verdict, course
 from harriertide.lab.planted import PLANTS
 
 NAMES = ("a", "b", "c")
-TUNING = Tuning(heartbeat_us=0, patience_us=0, most_patience_us=0, batch=1)
+TUNING = Tuning(heartbeat_us=0, election_timeout_us=0, max_election_timeout_us=0, batch_entries=1)
 Action = tuple[Any, ...]
 
 
@@ -58,8 +58,8 @@
 
     def write(self, work: ev.Persist) -> Disk:
         """With one write more."""
-        kept = tuple(e for e in self.entries if not work.cut or e.index < work.cut)
-        return Disk(self.id, work.cluster, work.term, work.vote, kept + work.entries)
+        kept = tuple(e for e in self.entries if not work.truncate_from or e.index < work.truncate_from)
+        return Disk(self.id, work.cluster, work.term, work.voted_for, kept + work.entries)
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,12 +96,13 @@
 def _look(node: Node) -> tuple[Any, ...]:
     """All of a node that decides what it does, less its clocks and counters."""
     progress = tuple(
-        (m, p.next, p.match, p.probing, p.asked, tuple(p.out)) for m, p in sorted(node.progress.items())
+        (m, p.next_index, p.match_index, p.probing, p.probe_sent, tuple(p.inflight))
+        for m, p in sorted(node.progress.items())
     )
     return (
-        node.me, node.role, node.term, node.vote, node.leader, node.standing, node._standing_term,
-        tuple(sorted(node._votes.items())), node.commit, node.synced, tuple(node.log.entries), progress,
-        node._by_transfer, node._term_start,
+        node.me, node.role, node.term, node.voted_for, node.leader, node.campaign, node._standing_term,
+        tuple(sorted(node._votes.items())), node.commit_index, node.durable_index, tuple(node.log.entries),
+        progress, node._by_transfer, node._term_start,
     )  # fmt: skip
 
 
@@ -110,7 +111,7 @@
     new.log = Log(node.log.base_index, node.log.base_term, tuple(node.log.entries))
     new._views, new._votes = list(node._views), dict(node._votes)
     new._pending, new._after = deque(list(row) for row in node._pending), deque(node._after)
-    new.progress = {m: replace(p, out=list(p.out)) for m, p in node.progress.items()}
+    new.progress = {m: replace(p, inflight=list(p.inflight)) for m, p in node.progress.items()}
     new._rounds, new._reads, new._early_reads = {}, deque(), []
     return new
 
@@ -125,12 +126,12 @@
     # --- making states --------------------------------------------------------------------------------
 
     def _boot(self, disk: Disk, name: str) -> Node:
-        found = ev.Restored(disk.cluster, disk.term, disk.vote, None, disk.entries)
+        found = ev.RestoredState(disk.cluster, disk.term, disk.vote, None, disk.entries)
         return self.node_class(Member(name, disk.id), TUNING, found, Random(0), 0)
 
     def first(self, budget: Budget) -> State:
         """Founded: the list of members is entry 1 everywhere."""
-        members = Members(tuple(Member(name, name + "1") for name in NAMES))
+        members = Membership(tuple(Member(name, name + "1") for name in NAMES))
         entry = Entry(1, 1, "members", encode_members(members))
         disks = {name: Disk(name + "1", "c", 1, None, (entry,)) for name in NAMES}
         return State({name: self._boot(disk, name) for name, disk in disks.items()}, disks, {}, budget)
@@ -139,7 +140,7 @@
         """All that can happen next."""
         left = state.budget
         for name, node in state.nodes.items():
-            if node.leads:
+            if node.is_leader:
                 if left.proposals:
                     yield ("propose", name)
                 if left.beats:
@@ -177,14 +178,17 @@
         event: ev.Event | None = None
         crash = what == "crash" or what == "lose-disk"
         if what == "elapse":
-            new.budget, event = replace(left, elections=left.elections - 1), ev.Elapsed()
+            new.budget, event = replace(left, elections=left.elections - 1), ev.ElectionTimedOut()
         elif what == "beat":
             new.budget, event = replace(left, beats=left.beats - 1), ev.Tick()
         elif what == "propose":
             new.budget = replace(left, proposals=left.proposals - 1)
             event = ev.Proposed("client", left.proposals, b"%d" % left.proposals)
         elif what == "remove":
-            new.budget, event = replace(left, changes=left.changes - 1), ev.Change("remove", action[2])
+            new.budget, event = (
+                replace(left, changes=left.changes - 1),
+                ev.ChangeMembership("remove", action[2]),
+            )
         elif what == "crash":
             new.budget = replace(left, crashes=left.crashes - 1)
         elif what == "lose-disk":
@@ -193,7 +197,7 @@
             new.disks[name] = Disk(old.id if self._same_disk else old.id[0] + str(int(old.id[1:]) + 1))
         else:
             message = action[1]
-            event = ev.Received(message)
+            event = ev.MessageReceived(message)
             if what == "deliver, and once more later":
                 new.budget = replace(left, doubles=left.doubles - 1)
             else:
@@ -216,9 +220,9 @@
             except InvariantViolationError as fault:
                 return [str(fault)]
             for effect in effects:
-                if isinstance(effect, ev.Transmit):
+                if isinstance(effect, ev.SendMessage):
                     message = effect.message
-                    if isinstance(message, (Append, Appended)) and message.round:
+                    if isinstance(message, (AppendRequest, AppendResponse)) and message.round:
                         message = msgspec.structs.replace(message, round=1)
                     state.net[message] = 1
                 elif isinstance(effect, ev.Persist) and sync:
@@ -231,7 +235,7 @@
                             return [
                                 f"COMPLETE: {node.me.name} has another entry {entry.index} than was agreed on"
                             ]
-                    if node.leads and effect.entries[-1].term != node.term:
+                    if node.is_leader and effect.entries[-1].term != node.term:
                         return [f"COMMIT: {node.me.name} agrees on entry {effect.entries[-1].index} by count"]
         return []
 
@@ -239,7 +243,7 @@
 
     def _wrong(self, old: State, new: State) -> list[str]:
         for name, node in new.nodes.items():
-            if not node.leads:
+            if not node.is_leader:
                 continue
             if new.leaders.setdefault(node.term, node.me) != node.me:
                 return [f"ELECTION: {new.leaders[node.term].name} and {name} lead term {node.term}"]
@@ -247,7 +251,7 @@
                 if node.term > agreed_in and node.log.term_at(index) != term:
                     return [f"COMPLETE: {name} leads term {node.term} without entry {index}"]
             was = old.nodes[name]
-            if was.leads and was.term == node.term:
+            if was.is_leader and was.term == node.term:
                 length = len(was.log.entries)
                 if node.log.entries[:length] != was.log.entries:
                     return [f"APPEND: {name} changed its log as leader"]
@@ -325,7 +329,7 @@
         return f"  {subject}: {what}{more}"
     kind = type(subject).__name__
     fields = f"term {subject.term}"
-    if isinstance(subject, Append):
+    if isinstance(subject, AppendRequest):
         fields += f", behind {subject.prev_index}, {len(subject.entries)} entries"
     return f"  {what}: {kind} from {subject.sender.name} to {subject.to.name} ({fields})"
 
--- a/harriertide/lab/cluster.py
+++ b/harriertide/lab/cluster.py
@@ -17,8 +17,8 @@
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.messages import Entry, Member, Message, Snapshot
 from harriertide.consensus.node import NEVER_US, Node
-from harriertide.consensus.replica import Applied, Done, GaveUp, Readable, Replica
-from harriertide.consensus.roster import Found, Hello, Roster
+from harriertide.consensus.replica import CallCompleted, CallExpired, EntryApplied, ReadCompleted, Replica
+from harriertide.consensus.roster import Founding, Hello, Roster
 from harriertide.lab.history import Operation, crooked
 
 SECOND = 1_000_000
@@ -67,19 +67,19 @@
     def write(self, work: ev.Persist) -> None:
         """One that has come to the platter."""
         self.cluster, self.term = work.cluster, work.term
-        self.vote = None if self.lies else work.vote
+        self.vote = None if self.lies else work.voted_for
         if work.snapshot is not None:
             self.snapshot = work.snapshot
-        if work.cut:
-            self.entries = [entry for entry in self.entries if entry.index < work.cut]
+        if work.truncate_from:
+            self.entries = [entry for entry in self.entries if entry.index < work.truncate_from]
         base = self.snapshot.index if self.snapshot else 0
         self.entries += work.entries
         if work.snapshot is not None:
             self.entries = [entry for entry in self.entries if entry.index > base]
 
-    def found(self) -> ev.Restored:
+    def restored(self) -> ev.RestoredState:
         """As a start reads it."""
-        return ev.Restored(self.cluster, self.term, self.vote, self.snapshot, tuple(self.entries))
+        return ev.RestoredState(self.cluster, self.term, self.vote, self.snapshot, tuple(self.entries))
 
 
 class Host:
@@ -116,8 +116,8 @@
         self.disk.waiting = []
         me = Member(self.name, self.disk.id)
         self.replica = Replica(
-            me, Registers(), self.sim.tuning, self.disk.found(), Random(self.sim.random.random()), self.now(),
-            keep=self.sim.keep,
+            me, Registers(), self.sim.tuning, self.disk.restored(), Random(self.sim.random.random()),
+            self.now(), keep=self.sim.keep,
         )  # fmt: skip
         self.replica.node.__class__ = self.sim.node_class
         self.roster = Roster(me, tuple(self.sim.names))
@@ -142,21 +142,21 @@
             self.sim.at(self.paused_until, self._beat, life)
             return
         node, now = self.replica.node, self.now()
-        hello = self.roster.hello(now, node)
+        hello = self.roster.next_hello(now, node)
         if hello is not None:
             for name in self.sim.names:
                 if name != self.name:
                     self.sim.post(self.name, name, hello)
         if not node.cluster:
-            found = self.roster.found(now, f"c{self.sim.random.randrange(1 << 30)}")
-            if found is not None and self.roster.accepts(found, node):
-                self.do(node.form(now, found.cluster, found.members))
+            found = self.roster.propose_founding(now, f"c{self.sim.random.randrange(1 << 30)}")
+            if found is not None and self.roster.accepts_founding(found, node):
+                self.do(node.found_cluster(now, found.cluster, found.members))
                 self.sim.founded = found
         elif self.sim.founded is not None and node.log.last_index and self.name == self.sim.names[0]:
             for name in self.sim.names[1:]:
                 if not self.sim.hosts[name].disk.cluster:
                     self.sim.post(self.name, name, self.sim.founded)
-        step = self.roster.next(now, node)
+        step = self.roster.next_change(now, node)
         if step is not None:
             self.do(self.replica.step(now, step))
         self.sim.at(self.sim.now + 100_000, self._beat, life)
@@ -169,12 +169,12 @@
             self.sim.at(self.paused_until + 1, self._hear_late, self.life, message)
             return
         if isinstance(message, Hello):
-            self.roster.hear(self.now(), message)
-        elif isinstance(message, Found):
-            if self.roster.accepts(message, self.replica.node):
-                self.do(self.replica.node.form(self.now(), message.cluster, message.members))
+            self.roster.on_hello(self.now(), message)
+        elif isinstance(message, Founding):
+            if self.roster.accepts_founding(message, self.replica.node):
+                self.do(self.replica.node.found_cluster(self.now(), message.cluster, message.members))
         else:
-            self.do(self.replica.step(self.now(), ev.Received(message)))
+            self.do(self.replica.step(self.now(), ev.MessageReceived(message)))
 
     def _hear_late(self, life: int, message: Any) -> None:
         if life == self.life:
@@ -194,20 +194,20 @@
         """Perform effects."""
         sim = self.sim
         for effect in effects:
-            if isinstance(effect, ev.Transmit):
+            if isinstance(effect, ev.SendMessage):
                 sim.post(self.name, effect.message.to.name, effect.message)
             elif isinstance(effect, ev.Persist):
                 self.disk.waiting.append(effect)
                 took = int(self.disk.late_us * sim.random.uniform(0.5, 1.5))
                 sim.at(sim.now + took, self._synced, self.life, effect, took)
-            elif isinstance(effect, Applied):
+            elif isinstance(effect, EntryApplied):
                 sim.applied(self.name, effect)
-            elif isinstance(effect, (Done, Readable, GaveUp)):
+            elif isinstance(effect, (CallCompleted, ReadCompleted, CallExpired)):
                 sim.answered(self, effect)
-            elif isinstance(effect, ev.Noted):
+            elif isinstance(effect, ev.LogLine):
                 sim.noted(self.name, effect)
         if self.replica is not None:
-            due = self.replica.due_us
+            due = self.replica.next_tick_us
             if due < self.wake_us:
                 self.wake_us = due
                 sim.at(max(sim.now, self.real(due)), self.tick, self.life)
@@ -258,7 +258,7 @@
         self.lost, self.doubled = 0.0, 0.02
         self.late = (300, 8_000)
         self.cut: set[tuple[str, str]] = set()
-        self.founded: Found | None = None
+        self.founded: Founding | None = None
         self.names = [chr(ord("a") + place) for place in range(size)]
         self.hosts: dict[str, Host] = {}
         for name in self.names:
@@ -285,7 +285,7 @@
             act(*args)
         self.now = until
 
-    def post(self, a: str, b: str, message: Message | Hello | Found) -> None:
+    def post(self, a: str, b: str, message: Message | Hello | Founding) -> None:
         """Over the link from a to b."""
         if (a, b) in self.cut or b not in self.hosts or self.random.random() < self.lost:
             return
@@ -294,37 +294,37 @@
 
     # --- the judges' books ----------------------------------------------------------------------------
 
-    def applied(self, name: str, effect: Applied) -> None:
+    def applied(self, name: str, effect: EntryApplied) -> None:
         """A member's state at an index: the same at all members."""
         was = self._digests.setdefault(effect.index, effect.digest)
         if was != effect.digest:
             self.verdict.broken.append(f"{name}: another state at index {effect.index}")
 
-    def noted(self, name: str, effect: ev.Noted) -> None:
+    def noted(self, name: str, effect: ev.LogLine) -> None:
         """One leader a term; nobody finds an invariant broken."""
-        if effect.what == "leads":
+        if effect.event == "leads":
             self.verdict.elections += 1
             if self._leaders.setdefault(effect.term, name) != name:
                 self.verdict.broken.append(
                     f"term {effect.term}: {self._leaders[effect.term]} and {name} lead"
                 )
-        elif effect.what == "broken":
+        elif effect.event == "broken":
             self.verdict.broken.append(f"{name}: {effect.detail}")
 
-    def answered(self, host: Host, effect: Done | Readable | GaveUp) -> None:
+    def answered(self, host: Host, effect: CallCompleted | ReadCompleted | CallExpired) -> None:
         """A client's call is over."""
         row = self._open.pop(effect.number, None)
         if row is None:
             return
         what, key, value, began, _, _, then = row
-        if isinstance(effect, Readable):
+        if isinstance(effect, ReadCompleted):
             assert host.replica is not None and isinstance(host.replica.machine, Registers)
             value = host.replica.machine.values.get(key, "")
-        if isinstance(effect, GaveUp):
+        if isinstance(effect, CallExpired):
             self.history.append(Operation(what, key, value, began))  # type: ignore[arg-type]
         else:
             self.verdict.answered += 1
-            done = not isinstance(effect, Done) or effect.answer == b"yes"
+            done = not isinstance(effect, CallCompleted) or effect.answer == b"yes"
             self.history.append(Operation(what, key, value, began, self.now, done))  # type: ignore[arg-type]
         then()
 
@@ -370,7 +370,7 @@
     def leader(self) -> Host | None:
         """A leader that a majority can reach both ways, if there is one."""
         for host in self.hosts.values():
-            if host.replica is None or not host.replica.node.leads or self.now < host.paused_until:
+            if host.replica is None or not host.replica.node.is_leader or self.now < host.paused_until:
                 continue
             near = 1
             for name, other in self.hosts.items():
@@ -498,7 +498,7 @@
             sim.verdict.broken.append("a call is not answered after all was healed")
         behind = [
             h.name for h in sim.hosts.values()
-            if h.replica is None or h.replica.applied < led.replica.node.commit
+            if h.replica is None or h.replica.applied < led.replica.node.commit_index
         ]  # fmt: skip
         if behind:
             sim.verdict.broken.append(f"{', '.join(behind)} did not catch up")
--- a/harriertide/lab/fleet.py
+++ b/harriertide/lab/fleet.py
@@ -43,17 +43,17 @@
         self.entries: list[Entry] = []
 
     @property
-    def found(self) -> ev.Restored:
+    def restored(self) -> ev.RestoredState:
         """As a start reads it."""
-        return ev.Restored(self.cluster, self.term, self.vote, self.snapshot, tuple(self.entries))
+        return ev.RestoredState(self.cluster, self.term, self.vote, self.snapshot, tuple(self.entries))
 
     def write(self, works: list[ev.Persist]) -> None:
         """All of these."""
         for work in works:
-            vote: Any = work.vote
+            vote: Any = work.voted_for
             self.cluster, self.term, self.vote = work.cluster, work.term, vote
-            if work.cut:
-                self.entries = [entry for entry in self.entries if entry.index < work.cut]
+            if work.truncate_from:
+                self.entries = [entry for entry in self.entries if entry.index < work.truncate_from]
             self.entries += work.entries
             if work.snapshot is not None:
                 self.snapshot, base = work.snapshot, work.snapshot.index
--- a/harriertide/lab/planted.py
+++ b/harriertide/lab/planted.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from harriertide.consensus import events as ev
-from harriertide.consensus.messages import Members, Message
+from harriertide.consensus.messages import Membership, Message
 from harriertide.consensus.node import Node, encode_members
 
 
@@ -18,23 +18,26 @@
     """Counts copies of entries of any term."""
 
     def _advance(self) -> None:
-        if self.leads:
+        if self.is_leader:
             have = sorted(
-                (self.synced if m == self.me else self.progress[m].match for m in self.members.voters),
+                (
+                    self.durable_index if m == self.me else self.progress[m].match_index
+                    for m in self.members.voters
+                ),
                 reverse=True,
             )
-            if have and have[self.members.majority - 1] > self.commit:
+            if have and have[self.members.majority - 1] > self.commit_index:
                 self._commit(have[self.members.majority - 1])
 
 
 class ChangesAtOnce(Node):
     """Takes the next change of members before the last is agreed on."""
 
-    def _change(self, event: ev.Change) -> None:
-        if self.leads and event.what == "remove" and event.member != self.me:
+    def _change(self, event: ev.ChangeMembership) -> None:
+        if self.is_leader and event.what == "remove" and event.member != self.me:
             voters = tuple(m for m in self.members.voters if m != event.member)
             if voters != self.members.voters:
-                self._extend("members", encode_members(Members(voters)))
+                self._extend("members", encode_members(Membership(voters)))
                 self._advance()
 
 
--- a/harriertide/maintenance/planner.py
+++ b/harriertide/maintenance/planner.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from harriertide.consensus.fanout import lapse_us
+from harriertide.consensus.fanout import lease_lapse_us
 from harriertide.maintenance.orders import Machine, Order
 from harriertide.maintenance.state import (
     HOURS,
@@ -87,7 +87,7 @@
     def silent_us(self, place: int, facts: Facts, now_us: int) -> int:
         """For how long a broker's last lease has been over for certain; negative: it may hold one."""
         granted = max(facts.granted_us.get(place, 0), facts.led_us)
-        return now_us - granted - lapse_us(self.rules.lease_us)
+        return now_us - granted - lease_lapse_us(self.rules.lease_us)
 
     def waits_known(self, step: Step, facts: Facts, now_us: int) -> list[str]:
         """KNOWN: brokers that could send and may not know of a permit."""
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -7,7 +7,15 @@
 import pytest
 
 from harriertide.consensus import events as ev
-from harriertide.consensus.messages import Append, Entry, Member, Members, Piece, decode, encode
+from harriertide.consensus.messages import (
+    AppendRequest,
+    Entry,
+    Member,
+    Membership,
+    SnapshotChunk,
+    decode,
+    encode,
+)
 from harriertide.consensus.node import encode_members
 from harriertide.consensus.sessions import ANSWERS, CLIENTS, FORGOTTEN, Sessions
 from harriertide.lab.check import SEARCHES, SHOWS, search
@@ -116,7 +124,7 @@
             sim.run(sim.now + 2 * SECOND)
             leader = None
             for host in sim.hosts.values():  # one whose beats reach all but at most one of the others
-                if host.replica is not None and host.replica.node.leads:
+                if host.replica is not None and host.replica.node.is_leader:
                     leader = host
             assert leader is not None, f"{names[a]} to {names[b]}"
             done = put(sim, leader, "v")
@@ -201,7 +209,7 @@
     back.disk = back.new_disk()
     back.start()
     assert back.replica is not None
-    assert back.replica.node.due_us > 1 << 60  # it stands for nothing
+    assert back.replica.node.next_tick_us > 1 << 60  # it stands for nothing
     sim.run(sim.now + 4 * SECOND)
     assert leader.replica is not None
     voters = leader.replica.node.members.voters
@@ -220,7 +228,7 @@
         sim.run(sim.now + SECOND // 5)
     assert leader.replica is not None
     assert Member(other.name, other.disk.id) in leader.replica.node.members.voters
-    assert other.name in leader.roster.twice
+    assert other.name in leader.roster.duplicate_names
 
 
 def test_a_member_that_was_away_long_gets_the_snapshot_in_pieces_and_goes_on_where_it_broke() -> None:
@@ -233,7 +241,7 @@
     post = sim.post
 
     def watched(a: str, b: str, message: object) -> None:
-        if isinstance(message, Piece) and message.data:
+        if isinstance(message, SnapshotChunk) and message.data:
             pieces.append(message.offset)
             if len(pieces) == 4:  # the way breaks in the midst
                 sim.cut.update(ways)
@@ -246,7 +254,9 @@
     assert away.replica is not None and away.replica.applied == leader.replica.applied
     size = len(leader.replica.node.snapshot.data)
     assert len(pieces) > 5 and max(pieces) > size // 2
-    assert len(pieces) < 3 + 2 * (size // sim.tuning.piece_bytes + 1)  # not from the beginning each time
+    assert len(pieces) < 3 + 2 * (
+        size // sim.tuning.snapshot_chunk_bytes + 1
+    )  # not from the beginning each time
     assert not sim.judge().broken
 
 
@@ -257,7 +267,7 @@
     post, spoilt = sim.post, []
 
     def watched(a: str, b: str, message: object) -> None:
-        if isinstance(message, Piece) and message.data and not spoilt:
+        if isinstance(message, SnapshotChunk) and message.data and not spoilt:
             spoilt.append(message.offset)
             flipped = bytes([message.data[0] ^ 1]) + message.data[1:]
             from msgspec.structs import replace
@@ -299,7 +309,7 @@
     heir = others(sim, leader)[2]
     assert leader.replica is not None
     before = sim.now
-    leader.do(leader.replica.step(leader.now(), ev.Transfer(Member(heir.name, heir.disk.id))))
+    leader.do(leader.replica.step(leader.now(), ev.TransferLeadership(Member(heir.name, heir.disk.id))))
     sim.run(sim.now + SECOND // 5)
     assert sim.leader() is heir and sim.now - before <= SECOND // 5
 
@@ -314,7 +324,7 @@
         host.start()
     sim.run(sim.now + 10 * SECOND)
     assert sim.leader() is None
-    assert all(host.replica is not None and not host.replica.node.leads for host in (a, b, c))
+    assert all(host.replica is not None and not host.replica.node.is_leader for host in (a, b, c))
 
 
 # --- small parts --------------------------------------------------------------------------------------
@@ -322,8 +332,8 @@
 
 def test_messages_come_as_they_were_sent() -> None:
     a, b = Member("a", "a1"), Member("b", "b1")
-    entry = Entry(7, 3, "members", encode_members(Members((a, b), ())), "client", 9)
-    message = Append("c", a, b, 3, 6, 2, (entry,), 5, 11, 400_000)
+    entry = Entry(7, 3, "members", encode_members(Membership((a, b), ())), "client", 9)
+    message = AppendRequest("c", a, b, 3, 6, 2, (entry,), 5, 11, 400_000)
     assert decode(encode(message)) == message
     for junk in (b"", b"\xff" * 40, encode(message)[:-3], b"\x81\xa4type\xa3odd"):
         with pytest.raises(ValueError):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,7 +11,7 @@
 
 from harriertide.consensus import events as ev
 from harriertide.consensus import store as stores
-from harriertide.consensus.messages import Entry, Member, Members, Snapshot
+from harriertide.consensus.messages import Entry, Member, Membership, Snapshot
 from harriertide.consensus.store import DamagedError, Store, StoreError, set_aside
 
 ME = Member("a", "a1")
@@ -29,32 +29,32 @@
     return store.path
 
 
-def look(folder: Path) -> ev.Restored:
+def look(folder: Path) -> ev.RestoredState:
     """What a start finds."""
     store = Store.open(folder)
     store.close()
-    return store.found
+    return store.restored
 
 
 def snapshot(index: int, data: bytes = b"state") -> Snapshot:
     import xxhash
 
-    return Snapshot(index, 1, Members((ME,)), data, xxhash.xxh3_64_intdigest(data))
+    return Snapshot(index, 1, Membership((ME,)), data, xxhash.xxh3_64_intdigest(data))
 
 
 def test_what_was_written_is_there_again_with_the_same_identity(tmp_path: Path) -> None:
     store = Store.open(tmp_path / "d")
-    assert store.found == ev.Restored()
+    assert store.restored == ev.RestoredState()
     works = [ev.Persist(1, "c", 2, ME, 0, entries(1, 5)), ev.Persist(2, "c", 3, None, 4, entries(4, 6, 3))]
     store.write(works)
     store.close()
     again = Store.open(tmp_path / "d")
     assert again.disk == store.disk and len(again.disk) == 12
-    assert again.found == ev.Restored("c", 3, None, None, entries(1, 3) + entries(4, 6, 3))
+    assert again.restored == ev.RestoredState("c", 3, None, None, entries(1, 3) + entries(4, 6, 3))
     again.write([ev.Persist(3, "c", 3, ME, 0, (), snapshot(5))])
     again.close()
     last = look(tmp_path / "d")
-    assert last.snapshot == snapshot(5) and last.entries == entries(6, 6, 3) and last.vote == ME
+    assert last.snapshot == snapshot(5) and last.entries == entries(6, 6, 3) and last.voted_for == ME
     assert Store.open(tmp_path / "other").disk != store.disk
 
 
@@ -108,7 +108,7 @@
     with pytest.raises(DamagedError, match="identity"):
         Store.open(tmp_path / "d")
     aside = set_aside(tmp_path / "d")
-    assert look(tmp_path / "d") == ev.Restored() and (aside / "log-1").exists()
+    assert look(tmp_path / "d") == ev.RestoredState() and (aside / "log-1").exists()
 
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC])
@@ -162,7 +162,7 @@
     assert len([n for n in names if n.startswith("log-")]) == 1 and "log-1" not in names
     assert len([n for n in names if n.startswith("snapshot-")]) <= 2
     found = look(tmp_path / "d")
-    assert found.snapshot is not None and found.snapshot.index == 196 and found.vote == ME
+    assert found.snapshot is not None and found.snapshot.index == 196 and found.voted_for == ME
     assert [e.index for e in found.entries] == [197, 198, 199, 200]
 
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from harriertide.consensus import events as consensus_events
-from harriertide.consensus.messages import Entry, Member, Members
+from harriertide.consensus.messages import Entry, Member, Membership
 from harriertide.consensus.store import Store
 from harriertide.control import member as control_member
 from harriertide.decide import api, handover, peer_messages
@@ -117,12 +117,12 @@
     shutil.copytree(STORED / "member", tmp_path / "member")
     store = Store.open(tmp_path / "member")
     store.close()
-    found = store.found
-    assert (found.cluster, found.term, found.vote) == ("cluster-1", 4, Member("b", "b1"))
+    found = store.restored
+    assert (found.cluster, found.term, found.voted_for) == ("cluster-1", 4, Member("b", "b1"))
     assert found.entries == committed(5, 8, 3) + committed(9, 9, 4)
     assert found.snapshot is not None and found.snapshot.data == b"state of the machine as of 4"
-    assert found.snapshot.members == Members((Member("a", "a1"), Member("b", "b1")), (Member("c", "c1"),))
-    assert isinstance(found, consensus_events.Restored)
+    assert found.snapshot.members == Membership((Member("a", "a1"), Member("b", "b1")), (Member("c", "c1"),))
+    assert isinstance(found, consensus_events.RestoredState)
 
 
 def test_frames_between_members_are_the_same_bytes() -> None:
