--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -17,6 +17,8 @@
 import xxhash
 
 from harriertide.consensus import events as ev
+from harriertide.consensus.applied_state import AppliedState, StateMachine
+from harriertide.consensus.disk_format import DamagedError
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.fanout import (
     REPORT_INTERVAL_US,
@@ -24,24 +26,21 @@
     UPDATE_ENTRY_COUNT,
     FanoutTree,
     GrantRound,
-    SubtreeReport,
-    TreeUpdate,
 )
+from harriertide.consensus.fanout_messages import SubtreeReport, TreeUpdate
 from harriertide.consensus.follower import Follower
 from harriertide.consensus.messages import Member, Message, Proposal
 from harriertide.consensus.replica import (
     RETRY_INTERVAL_US,
-    AppliedState,
     CallCompleted,
     CallExpired,
     Effect,
     EntryApplied,
     ReadCompleted,
     Replica,
-    StateMachine,
 )
 from harriertide.consensus.roster import Founding, Hello, Roster
-from harriertide.consensus.store import DamagedError, Store, StoreError, set_aside
+from harriertide.consensus.store import Store, StoreError, set_aside
 from harriertide.consensus.transport import Transport
 from harriertide.engine.clock import until
 from harriertide.engine.log import log
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,10 +9,12 @@
 
 import pytest
 
+from harriertide.consensus import disk_format
 from harriertide.consensus import events as ev
 from harriertide.consensus import store as stores
+from harriertide.consensus.disk_format import DamagedError
 from harriertide.consensus.messages import Entry, Member, Membership, Snapshot
-from harriertide.consensus.store import DamagedError, Store, StoreError, set_aside
+from harriertide.consensus.store import Store, StoreError, StoreFailedError, set_aside
 
 ME = Member("a", "a1")
 
@@ -59,6 +61,9 @@
 
 
 def test_a_torn_tail_of_any_length_is_cut_off_and_no_more(tmp_path: Path) -> None:
+    """The machine loses power in the middle of a write. That write was promised to nobody: it is cut off, and
+    all before it stays.
+    """
     path = written(tmp_path / "d", ev.Persist(1, "c", 1, None, 0, entries(1, 2)))
     whole = path.stat().st_size
     written(tmp_path / "d", ev.Persist(2, "c", 1, None, 0, entries(3, 3)))
@@ -73,6 +78,9 @@
 
 
 def test_a_flipped_bit_anywhere_in_what_was_promised_stops_the_member(tmp_path: Path) -> None:
+    """The disk changes a bit. A member that went on would answer with less than it promised, so it stops and
+    says where.
+    """
     works = [ev.Persist(i, "c", 1, None, 0, entries(i, i)) for i in range(1, 6)]
     path = written(tmp_path / "d", *works)
     data = path.read_bytes()
@@ -90,6 +98,7 @@
 
 
 def test_a_snapshot_that_is_damaged_or_missing_stops_the_member(tmp_path: Path) -> None:
+    """The log begins behind a snapshot that is unreadable: the state before it is gone."""
     works = [ev.Persist(1, "c", 1, None, 0, entries(1, 9)), ev.Persist(2, "c", 1, None, 0, (), snapshot(7))]
     written(tmp_path / "d", *works)
     at = tmp_path / "d" / "snapshot-7"
@@ -103,6 +112,9 @@
 
 
 def test_an_identity_that_is_gone_beside_a_log_is_no_new_disk(tmp_path: Path) -> None:
+    """The identity file is lost. A new name beside the old log could vote twice in one term, so the folder
+    has to be set aside.
+    """
     written(tmp_path / "d", ev.Persist(1, "c", 1, ME))
     (tmp_path / "d" / "identity").unlink()
     with pytest.raises(DamagedError, match="identity"):
@@ -113,6 +125,9 @@
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC])
 def test_a_failed_sync_is_final_even_if_the_next_would_work(tmp_path: Path, number: int) -> None:
+    """A sync fails, the next one would work: the system may have dropped what the first one was for, so no
+    later write is promised.
+    """
     fails = [False]
 
     def sync(descriptor: int) -> None:
@@ -123,14 +138,17 @@
     store = Store.open(tmp_path / "d", sync)
     store.write([ev.Persist(1, "c", 1, None, 0, entries(1, 1))])
     fails[0] = True
-    with pytest.raises(StoreError):
+    with pytest.raises(StoreFailedError):
         store.write([ev.Persist(2, "c", 1, None, 0, entries(2, 2))])
     fails[0] = False
-    with pytest.raises(StoreError, match=os.strerror(number)):
+    with pytest.raises(StoreFailedError, match=os.strerror(number)):
         store.write([ev.Persist(3, "c", 1, None, 0, entries(3, 3))])
 
 
 def test_a_second_process_on_one_folder_is_refused(tmp_path: Path) -> None:
+    """An old process still runs as a new one starts: two that promise on one disk would break both their
+    words.
+    """
     store = Store.open(tmp_path / "d")
     with pytest.raises(StoreError, match="another process uses it"):
         Store.open(tmp_path / "d")
@@ -139,6 +157,7 @@
 
 
 def test_several_writes_that_wait_share_one_sync(tmp_path: Path) -> None:
+    """Under load many writes wait for the disk: one sync serves all of them."""
     syncs: list[int] = []
     store = Store.open(tmp_path / "d", syncs.append)
     syncs.clear()
@@ -150,6 +169,7 @@
 def test_the_log_is_rewritten_once_a_snapshot_covers_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The log file would grow for ever: behind a snapshot it is rewritten, and old files go."""
     monkeypatch.setattr(stores, "REWRITE_BYTES", 4_000)
     store = Store.open(tmp_path / "d")
     number = 0
@@ -169,9 +189,10 @@
 def test_a_record_of_a_newer_version_is_refused_in_one_plain_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(stores, "VERSION", 2)
+    """An older release is started on the disk of a newer one: it says so instead of guessing."""
+    monkeypatch.setattr(disk_format, "VERSION", 2)
     written(tmp_path / "d", ev.Persist(1, "c", 1, ME))
-    monkeypatch.setattr(stores, "VERSION", 1)
+    monkeypatch.setattr(disk_format, "VERSION", 1)
     with pytest.raises(StoreError, match="newer version"):
         Store.open(tmp_path / "d")
 
@@ -179,7 +200,9 @@
 def test_a_kill_at_every_step_of_a_write_leaves_what_was_promised(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Every call that changes the disk is the last one once."""
+    """The process is killed at each call that changes the disk, once at each: what was promised by then is
+    there at the next start.
+    """
     calls: dict[str, Any] = {name: getattr(os, name) for name in ("write", "replace", "fsync")}
     monkeypatch.setattr(stores, "REWRITE_BYTES", 200)
 
