--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from harriertide.consensus.transport import FRAME_BYTES, HELD_BYTES, HIGH_BYTES, Transport
+from harriertide.consensus.transport import MAX_FRAME_BYTES, MAX_QUEUED_BYTES, WRITE_BUFFER_BYTES, Transport
 
 HOST = "127.0.0.1"
 WITHIN_S = 10.0
@@ -18,6 +18,8 @@
 
 
 def test_frames_come_in_order_whether_they_were_held_or_written_at_once() -> None:
+    """Frames are queued or written beside the task, and must not overtake each other."""
+
     async def main() -> None:
         heard: list[bytes] = []
         near, far = (
@@ -34,7 +36,7 @@
                 await eventually(lambda: len(heard) == 301)  # and on a connection that is up and idle
         await eventually(lambda: len(heard) == len(sent))
         assert heard == sent and near.counts["frames_out"] == len(sent) and not near.counts["dropped"]
-        near.send("b", (HOST, port), b"x" * (FRAME_BYTES + 1))
+        near.send("b", (HOST, port), b"x" * (MAX_FRAME_BYTES + 1))
         assert near.counts["unsent"] == 1
         await near.close()
         await far.close()
@@ -43,6 +45,8 @@
 
 
 def test_a_member_that_takes_nothing_costs_the_others_nothing_and_holds_no_more_than_it_may() -> None:
+    """A member accepts a connection and never reads. Its queue keeps its bound, and the others get all."""
+
     async def main() -> None:
         stuck = asyncio.Event()
 
@@ -62,9 +66,9 @@
             near.send("b", (HOST, port), b"%d" % number)
             await asyncio.sleep(0)
         await eventually(lambda: len(heard) == 200)
-        way = near._ways["deaf"]
-        assert near.counts["dropped"] > 0 and way._bytes <= HELD_BYTES
-        assert way._free is not None and way._free.get_write_buffer_size() <= HIGH_BYTES + FRAME_BYTES
+        route = near.routes["deaf"]
+        assert near.counts["dropped"] > 0 and route.queued_bytes <= MAX_QUEUED_BYTES
+        assert route.is_connected and route.buffered_bytes <= WRITE_BUFFER_BYTES + MAX_FRAME_BYTES
         stuck.set()
         server.close()
         await near.close()
@@ -74,6 +78,8 @@
 
 
 def test_one_that_comes_back_hears_again_and_what_it_missed_is_gone() -> None:
+    """A member restarts. What was sent meanwhile is dropped, not delivered late, and new frames reach it."""
+
     async def main() -> None:
         heard: list[bytes] = []
 
@@ -86,7 +92,7 @@
         near.send("b", (HOST, port), b"1")
         await eventually(lambda: heard == [b"1"])
         await far.close()
-        await eventually(lambda: near._ways["b"]._free is None)  # seen at once, not by the next loss
+        await eventually(lambda: not near.routes["b"].is_connected)  # seen at once, not by the next loss
         near.send("b", (HOST, port), b"2")
         await eventually(lambda: near.counts["unreached"] > 0)
         again = Transport(take)
