--- a/harriertide/consensus/follower.py
+++ b/harriertide/consensus/follower.py
@@ -1,64 +1,85 @@
-"""A broker that follows what the voters agree on, and has no disk and no vote. Pure."""
+"""A broker that applies what the voters commit, and has no disk and no vote. Pure."""
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import xxhash
 
-from harriertide.consensus.fanout import TreeUpdate
+from harriertide.consensus.applied_state import AppliedState
+from harriertide.consensus.fanout_messages import TreeUpdate
 from harriertide.consensus.messages import Entry
-from harriertide.consensus.replica import AppliedState
 
-KEPT = 1024  # entries for children that are behind
+# Entries kept for children that are behind: as many as a voter keeps; who lacks more is sent a snapshot.
+KEPT_ENTRY_COUNT = 1024
+
+
+class FollowedEntry(NamedTuple):
+    """An entry that was applied.
+
+    :param fresh: False for a repeated command, which had no effect
+    :param digest: the state's chain of hashes behind it
+    """
+
+    entry: Entry
+    answer: bytes
+    fresh: bool
+    digest: int
+
+
+@dataclass(slots=True)
+class _IncomingSnapshot:
+    """A snapshot that comes in chunks. index and checksum tell it from another one."""
+
+    index: int = 0
+    checksum: int = 0
+    data: bytearray = field(default_factory=bytearray)
 
 
 class Follower:
-    """Takes feeds in order; what it was given goes on to its children."""
+    """Applies updates of the parent in order, and keeps entries for its own children."""
 
     def __init__(self, applied_state: AppliedState) -> None:
         self.applied_state = applied_state
-        self.entries: deque[Entry] = deque(maxlen=KEPT)
-        self.snapshot = b""
-        self.snapshot_index = 0
-        self._coming: tuple[int, int] = (0, 0)
-        self._held = bytearray()
-
-    @property
-    def held(self) -> int:
-        """How much of a snapshot is here."""
-        return len(self._held)
-
-    def apply_update(self, feed: TreeUpdate) -> list[tuple[Entry, bytes, bool, int]]:
-        """What it brought: entries with their answers and the state's hash behind each, in order."""
-        if feed.snapshot > self.applied_state.applied:
-            self._piece(feed)
-        found = []
-        for entry in feed.entries:
+        self._entries: deque[Entry] = deque(maxlen=KEPT_ENTRY_COUNT)
+        self._incoming = _IncomingSnapshot()
+
+    def apply_update(self, update: TreeUpdate) -> list[FollowedEntry]:
+        """Apply the entries that come next, or take a chunk of a snapshot."""
+        if update.snapshot_index > self.applied_state.applied:
+            self._add_chunk(update)
+        followed = []
+        for entry in update.entries:
             if entry.index == self.applied_state.applied + 1:
                 answer, fresh = self.applied_state.apply(entry)
-                self.entries.append(entry)
-                found.append((entry, answer, fresh, self.applied_state.digest))
-        return found
-
-    def _piece(self, feed: TreeUpdate) -> None:
-        if self._coming != (feed.snapshot, feed.check):
-            self._coming, self._held = (feed.snapshot, feed.check), bytearray()
-        if feed.offset == len(self._held):
-            self._held += feed.data
-        if len(self._held) < feed.total:
+                self._entries.append(entry)
+                followed.append(FollowedEntry(entry, answer, fresh, self.applied_state.digest))
+        return followed
+
+    def _add_chunk(self, update: TreeUpdate) -> None:
+        """Add a chunk that comes next, and load the snapshot once all of it is here."""
+        incoming = self._incoming
+        if (incoming.index, incoming.checksum) != (update.snapshot_index, update.checksum):
+            incoming = self._incoming = _IncomingSnapshot(update.snapshot_index, update.checksum)
+        if update.offset == len(incoming.data):
+            incoming.data += update.data
+        if len(incoming.data) < update.total_bytes:
             return
-        data, self._held = bytes(self._held), bytearray()
-        if xxhash.xxh3_64_intdigest(data) == feed.check:
-            self.applied_state.load(feed.snapshot, data)
-            self.entries.clear()
-            self.snapshot, self.snapshot_index = data, feed.snapshot
+        data = bytes(incoming.data)
+        incoming.data = bytearray()
+        # One that was damaged on its way is dropped: the parent sends it again after the next report.
+        if xxhash.xxh3_64_intdigest(data) == update.checksum:
+            self.applied_state.load(update.snapshot_index, data)
+            self._entries.clear()
 
-    def entries_after(self, index: int, most: int) -> tuple[Entry, ...] | None:
+    def entries_after(self, index: int, max_count: int) -> tuple[Entry, ...] | None:
         """Entries behind an index, for a child; None where they are not kept any more."""
         if index >= self.applied_state.applied:
             return ()
-        if not self.entries or self.entries[0].index > index + 1:
+        if not self._entries or self._entries[0].index > index + 1:
             return None
-        first = index + 1 - self.entries[0].index
-        return tuple(self.entries[place] for place in range(first, min(len(self.entries), first + most)))
+        first = index + 1 - self._entries[0].index
+        last = min(len(self._entries), first + max_count)
+        return tuple(self._entries[position] for position in range(first, last))
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -1,51 +1,45 @@
-"""A member with its state machine: proposals and reads from any member, each with its effect once. Pure."""
+"""A Raft node with its state machine: takes calls and reads on any member, and applies what is committed.
+
+A call is sent to the leader, and again until it is answered or its deadline has passed; sessions see to it
+that it takes effect once. A read waits until the state here holds all that was committed when it was asked
+for. Pure: events in, effects out.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass
 from random import Random
-from typing import Protocol
 
 import xxhash
-from msgspec import msgpack
 
 from harriertide.consensus import events as ev
-from harriertide.consensus.events import Tuning
+from harriertide.consensus.applied_state import AppliedState, StateMachine
+from harriertide.consensus.events import LogEvent, Tuning
 from harriertide.consensus.messages import (
     Entry,
     Member,
-    Message,
     Proposal,
     ReadIndexRequest,
     ReadIndexResponse,
+    ReplicaMessage,
 )
-from harriertide.consensus.node import InvariantViolationError, Node
+from harriertide.consensus.node import Node
+from harriertide.consensus.roles import InvariantViolationError
 from harriertide.consensus.sessions import Sessions
 
-RETRY_INTERVAL_US = (
-    250_000  # a proposal or read that is not answered goes out again, perhaps to another leader
-)
-KEEP = 1024  # entries behind the last snapshot before the next is made
-KEEP_SLOW = 4  # times as many, for the sake of members that are behind
-
-
-class StateMachine(Protocol):
-    """What is agreed on. apply must depend on nothing but the state and its arguments."""
-
-    def apply(self, index: int, data: bytes) -> bytes:
-        """Take a command; its answer."""
-
-    def dump(self) -> bytes:
-        """All of the state."""
-
-    def load(self, data: bytes) -> None:
-        """In place of the state."""
+# A proposal or a read without an answer goes out again, perhaps to another leader. Over two heartbeats: where
+# nothing is lost the answer is here by then.
+RETRY_INTERVAL_US = 250_000
+# Entries behind the last snapshot before the next one is taken: bounds memory and a start's replay.
+SNAPSHOT_INTERVAL_COUNT = 1024
+# Up to so many intervals the log is kept for a member that lacks entries: a snapshot would cost it more.
+LAGGING_MEMBER_INTERVALS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class CallCompleted:
-    """A call's command is agreed on, and this is its answer."""
+    """The command of a call is committed and applied, with this answer."""
 
     number: int
     index: int
@@ -54,25 +48,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadCompleted:
-    """The state may be read: it holds all that was agreed on when the question came."""
+    """The state may be read: it holds all that was committed when the read was asked for."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallExpired:
-    """Its time is over. A command may still be agreed on later."""
+    """The deadline of a call or read has passed. The command may still be committed later."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class EntryApplied:
-    """For judges: the state's chain of hashes at an index."""
+    """The state's chain of hashes at an index, for the lab's checkers.
+
+    :param fresh: False for a repeated command, which had no effect
+    """
 
     index: int
     digest: int
-    fresh: bool  # False: a repeated command, without effect
+    fresh: bool
 
 
 Effect = ev.Effect | CallCompleted | ReadCompleted | CallExpired | EntryApplied
@@ -80,274 +77,300 @@
 
 @dataclass(slots=True)
 class _Call:
+    """A command that waits to be committed. sent_to: the leader that was asked last."""
+
     client: str
     serial: int
     data: bytes
-    deadline_at_us: int
-    again_us: int = 0
-    to: Member | None = None
+    deadline_us: int
+    retry_at_us: int = 0
+    sent_to: Member | None = None
 
 
 @dataclass(slots=True)
-class _Query:
-    deadline_at_us: int
-    again_us: int = 0
-    to: Member | None = None
-    index: int = -1  # known by now: right once this is applied
+class _Read:
+    """A read that waits. index: it is linearizable once this is applied; None while that is not known."""
 
-
-class AppliedState:
-    """A state machine with its sessions, and the chain of hashes of what it took."""
-
-    def __init__(self, machine: StateMachine) -> None:
-        self.machine, self.sessions = machine, Sessions()
-        self.applied = self.digest = 0
-
-    def apply(self, entry: Entry) -> tuple[bytes, bool]:
-        """The next entry: the answer to it, and whether it had an effect now."""
-        self.applied = entry.index
-        answer, fresh = b"", False
-        if entry.kind == "command":
-            answer, fresh = self.sessions.once(
-                entry.client, entry.serial, lambda: self.machine.apply(entry.index, entry.data)
-            )
-        said = b"%d %d %d " % (self.digest, entry.index, entry.term) + entry.data
-        self.digest = xxhash.xxh3_64_intdigest(said)
-        return answer, fresh
-
-    def dump(self) -> bytes:
-        """All of it, as a snapshot carries it."""
-        return msgpack.encode((self.digest, self.sessions.dump(), self.machine.dump()))
-
-    def load(self, index: int, data: bytes) -> None:
-        """In place of what is here."""
-        self.digest, sessions, state = msgpack.decode(data, type=tuple[int, bytes, bytes])
-        self.sessions.load(sessions)
-        self.machine.load(state)
-        self.applied = index
+    deadline_us: int
+    retry_at_us: int = 0
+    sent_to: Member | None = None
+    index: int | None = None
 
 
 class Replica:
-    """Node, sessions and machine as one state."""
+    """Node, sessions and state machine of one member.
+
+    :param snapshot_interval: entries behind the last snapshot before the next one is taken
+    :param node_class: another one for the lab's seeded bugs
+    """
 
     def __init__(
         self,
         me: Member,
         machine: StateMachine,
         tuning: Tuning,
-        found: ev.RestoredState,
+        restored: ev.RestoredState,
         random: Random,
         now_us: int,
-        keep: int = KEEP,
+        snapshot_interval: int = SNAPSHOT_INTERVAL_COUNT,
+        node_class: type[Node] = Node,
     ) -> None:
-        self.node = Node(me, tuning, found, random, now_us)
-        self.applied_state, self.broken = AppliedState(machine), ""
-        self.machine, self.sessions = machine, self.applied_state.sessions
-        self._keep = keep
+        self.node = node_class.restore(me, tuning, restored, random, now_us)
+        self.applied_state = AppliedState(machine)
+        self._snapshot_interval = snapshot_interval
         self._calls: dict[int, _Call] = {}
-        self._queries: dict[int, _Query] = {}
-        self._asked: dict[int, tuple[Member, int]] = {}  # reads of others, as leader
-        self._own: dict[int, int] = {}  # reads of this member, as leader: to the query's number
-        self._numbers = 0
-        self._appended: dict[tuple[str, int], int] = {}  # as leader: proposals in the log, and their index
-        self._out: list[Effect] = []
-        if found.snapshot is not None:
-            self.applied_state.load(found.snapshot.index, found.snapshot.data)
+        self._reads: dict[int, _Read] = {}
+        self._last_read_index_number = 0
+        # As leader, by number of a ReadIndex: who asked under which number, and which read here waits.
+        self._remote_reads: dict[int, tuple[Member, int]] = {}
+        self._own_reads: dict[int, int] = {}
+        self._proposed: set[tuple[str, int]] = set()  # as leader: commands that are in the log
+        self._effects: list[Effect] = []
+        if restored.snapshot is not None:
+            self.applied_state.load(restored.snapshot.index, restored.snapshot.data)
+
+    @property
+    def machine(self) -> StateMachine:
+        """What commands are applied to."""
+        return self.applied_state.machine
+
+    @property
+    def sessions(self) -> Sessions:
+        """Answers to commands that were applied."""
+        return self.applied_state.sessions
 
     @property
     def applied(self) -> int:
-        """The index of the last entry that the state holds."""
+        """Index of the last entry that was applied."""
         return self.applied_state.applied
 
     @property
     def digest(self) -> int:
-        """Of the state's chain of hashes."""
+        """The state's chain of hashes."""
         return self.applied_state.digest
 
     @property
     def next_tick_us(self) -> int:
-        """When it wants a Tick."""
-        due = self.node.next_tick_us
-        rows: list[_Call | _Query] = [*self._calls.values(), *self._queries.values()]
-        for row in rows:
-            due = min(due, row.deadline_at_us, row.again_us)
-        return due
+        """When this replica needs a Tick."""
+        earliest_us = self.node.next_tick_us
+        waiting: list[_Call | _Read] = [*self._calls.values(), *self._reads.values()]
+        for request in waiting:
+            earliest_us = min(earliest_us, request.deadline_us, request.retry_at_us)
+        return earliest_us
 
-    # --- the way in -----------------------------------------------------------------------------------
+    # --- calls, reads and events ----------------------------------------------------------------------
 
     def step(self, now_us: int, event: ev.Event) -> list[Effect]:
-        """Take an event of the node's."""
-        self._out = []
+        """Take an event of the node.
+
+        :returns: what is to be done, in order
+        """
+        self._effects = []
         try:
-            if isinstance(event, ev.MessageReceived) and isinstance(
-                event.message, (Proposal, ReadIndexRequest, ReadIndexResponse)
-            ):
-                self._hear(now_us, event.message)
+            if isinstance(event, ev.MessageReceived) and isinstance(event.message, ReplicaMessage):
+                self._on_replica_message(now_us, event.message)
             else:
-                self._do(now_us, self.node.step(now_us, event))
-            self._again(now_us)
-        except InvariantViolationError as fault:
-            self._break(now_us, str(fault))
-        return self._out
+                self._step_node(now_us, event)
+            self._send_waiting(now_us)
+        except InvariantViolationError as error:
+            self._halt(now_us, str(error))
+        return self._effects
 
     def call(
-        self, now_us: int, number: int, client: str, serial: int, data: bytes, deadline_at_us: int
+        self, now_us: int, number: int, client: str, serial: int, data: bytes, deadline_us: int
     ) -> list[Effect]:
-        """Agree on a command. client and serial: the same for each try of one command, and of no other."""
-        self._out = []
-        known = self.sessions.find(client, serial)
-        if known is not None:
-            return [CallCompleted(number, self.applied, known)]
-        self._calls[number] = _Call(client, serial, data, deadline_at_us)
-        self._again(now_us)
-        return self._out
-
-    def query(self, now_us: int, number: int, deadline_at_us: int) -> list[Effect]:
-        """Ask when the state may be read."""
-        self._out = []
-        self._queries[number] = _Query(deadline_at_us)
-        self._again(now_us)
-        return self._out
-
-    def _break(self, now_us: int, why: str) -> None:
-        self.broken = why
-        self._do(now_us, self.node.step(now_us, ev.SyncFailed()))
-        self.node.role = "halted"
-        self._out.append(ev.LogLine("broken", self.node.term, why))
-
-    # --- proposals and reads --------------------------------------------------------------------------
-
-    def _hear(self, now_us: int, message: Message) -> None:
+        """Have a command committed and applied.
+
+        :param number: repeated in the CallCompleted or CallExpired
+        :param client: with serial the same for each attempt of one command, and of no other command
+        :returns: what is to be done, in order
+        """
+        self._effects = []
+        answer = self.sessions.find(client, serial)
+        if answer is not None:
+            return [CallCompleted(number, self.applied, answer)]
+        self._calls[number] = _Call(client, serial, data, deadline_us)
+        self._send_waiting(now_us)
+        return self._effects
+
+    def query(self, now_us: int, number: int, deadline_us: int) -> list[Effect]:
+        """Find when the state may be read.
+
+        :param number: repeated in the ReadCompleted or CallExpired
+        :returns: what is to be done, in order
+        """
+        self._effects = []
+        self._reads[number] = _Read(deadline_us)
+        self._send_waiting(now_us)
+        return self._effects
+
+    def _halt(self, now_us: int, reason: str) -> None:
+        """An invariant does not hold: answer nothing any more, and write nothing."""
+        self._step_node(now_us, ev.SyncFailed())
+        self._effects.append(ev.LogLine(LogEvent.BROKEN.value, self.node.term, reason))
+
+    # --- messages of other replicas -------------------------------------------------------------------
+
+    def _on_replica_message(self, now_us: int, message: ReplicaMessage) -> None:
         node = self.node
         if message.to != node.me or message.cluster != node.cluster:
             return
         if isinstance(message, Proposal):
             self._propose(now_us, message.client, message.serial, message.data)
-        elif isinstance(message, ReadIndexRequest) and node.is_leader:
-            self._numbers += 1
-            self._asked[self._numbers] = (message.sender, message.number)
-            self._do(now_us, node.step(now_us, ev.ReadRequested(self._numbers)))
-        elif isinstance(message, ReadIndexResponse) and message.number in self._queries:
-            self._queries[message.number].index = message.index
-            self._readable()
+        elif isinstance(message, ReadIndexRequest):
+            if node.is_leader:
+                number = self._next_read_index_number()
+                self._remote_reads[number] = (message.sender, message.number)
+                self._step_node(now_us, ev.ReadRequested(number))
+        elif message.number in self._reads:
+            self._reads[message.number].index = message.index
+            self._complete_reads()
 
     def _propose(self, now_us: int, client: str, serial: int, data: bytes) -> None:
-        """As leader: append it, unless it is in the log or has had its effect."""
-        name = (client, serial)
-        if (
-            not self.node.is_leader
-            or name in self._appended
-            or self.sessions.find(client, serial) is not None
-        ):
+        """As leader: append a command, unless it is in the log already or was applied."""
+        command = (client, serial)
+        is_known = command in self._proposed or self.sessions.find(client, serial) is not None
+        if not self.node.is_leader or is_known:
             return
-        index = self.node.log.last_index + 1
-        self._do(now_us, self.node.step(now_us, ev.Proposed(client, serial, data)))
-        if self.node.log.last_index >= index:
-            self._appended[name] = index
+        next_index = self.node.log.last_index + 1
+        self._step_node(now_us, ev.Proposed(client, serial, data))
+        if self.node.log.last_index >= next_index:
+            self._proposed.add(command)
 
-    def _again(self, now_us: int) -> None:
-        """Send on what waits: to a leader that is new, and again after a while."""
-        node, leader = self.node, self.node.leader
-        rows: dict[int, _Call | _Query] = {**self._calls, **self._queries}
-        for number in [n for n, row in rows.items() if row.deadline_at_us <= now_us]:
-            self._calls.pop(number, None)
-            self._queries.pop(number, None)
-            self._out.append(CallExpired(number))
-        for call in list(self._calls.values()):
-            if leader is None or (call.to == leader and now_us < call.again_us):
-                call.again_us = (
-                    max(call.again_us, now_us + RETRY_INTERVAL_US) if leader is None else call.again_us
-                )
-                continue
-            call.to, call.again_us = leader, now_us + RETRY_INTERVAL_US
-            if node.is_leader:
-                self._propose(now_us, call.client, call.serial, call.data)
-            else:
-                message = Proposal(
-                    node.cluster, node.me, leader, node.term, call.client, call.serial, call.data
-                )
-                self._out.append(ev.SendMessage(message))
-        for number, query in list(self._queries.items()):
-            if query.index >= 0 or leader is None or (query.to == leader and now_us < query.again_us):
-                query.again_us = max(query.again_us, now_us + RETRY_INTERVAL_US)
-                continue
-            query.to, query.again_us = leader, now_us + RETRY_INTERVAL_US
-            if node.is_leader:
-                self._numbers += 1
-                self._own[self._numbers] = number
-                self._do(now_us, node.step(now_us, ev.ReadRequested(self._numbers)))
-            else:
-                self._out.append(
-                    ev.SendMessage(ReadIndexRequest(node.cluster, node.me, leader, node.term, number))
-                )
-
-    def _readable(self) -> None:
-        for number in [n for n, q in self._queries.items() if 0 <= q.index <= self.applied]:
-            del self._queries[number]
-            self._out.append(ReadCompleted(number))
-
-    # --- the node's effects ---------------------------------------------------------------------------
-
-    def _do(self, now_us: int, effects: list[ev.Effect]) -> None:
-        todo = deque(effects)
-        while todo:
-            effect = todo.popleft()
-            if isinstance(effect, ev.Committed):
-                for entry in effect.entries:
-                    self._apply(entry)
-                self._readable()
-                todo.extend(self._compact(now_us))
-            elif isinstance(effect, ev.InstallSnapshot):
-                self.applied_state.load(effect.snapshot.index, effect.snapshot.data)
-                self._out.append(EntryApplied(self.applied, self.digest, False))
-                self._finish()
-                self._readable()
-            elif isinstance(effect, ev.ReadConfirmed):
-                self._read_ready(effect)
-            elif isinstance(effect, ev.ReadAborted):
-                self._asked.pop(effect.number, None)
-                self._own.pop(effect.number, None)
-            else:
-                if isinstance(effect, ev.LogLine) and effect.event in ("leads", "follows"):
-                    self._appended = {}
-                self._out.append(effect)
+    def _next_read_index_number(self) -> int:
+        self._last_read_index_number += 1
+        return self._last_read_index_number
 
-    def _read_ready(self, effect: ev.ReadConfirmed) -> None:
-        node = self.node
-        if effect.number in self._asked:
-            member, number = self._asked.pop(effect.number)
-            answer = ReadIndexResponse(node.cluster, node.me, member, node.term, number, effect.index)
-            self._out.append(ev.SendMessage(answer))
-        query = self._queries.get(self._own.pop(effect.number, -1))
-        if query is not None:
-            query.index = effect.index
-            self._readable()
+    # --- what waits here ------------------------------------------------------------------------------
+
+    def _send_waiting(self, now_us: int) -> None:
+        """Send calls and reads to a new leader, and again after a while."""
+        self._expire_waiting(now_us)
+        for call in list(self._calls.values()):
+            self._send_call(now_us, call)
+        for number, read in list(self._reads.items()):
+            self._send_read(now_us, number, read)
+
+    def _expire_waiting(self, now_us: int) -> None:
+        waiting: dict[int, _Call | _Read] = {**self._calls, **self._reads}
+        for number, request in waiting.items():
+            if request.deadline_us <= now_us:
+                self._calls.pop(number, None)
+                self._reads.pop(number, None)
+                self._effects.append(CallExpired(number))
+
+    def _send_call(self, now_us: int, call: _Call) -> None:
+        node, leader = self.node, self.node.leader
+        if leader is None:
+            call.retry_at_us = max(call.retry_at_us, now_us + RETRY_INTERVAL_US)
+            return
+        if call.sent_to == leader and now_us < call.retry_at_us:
+            return
+        call.sent_to = leader
+        call.retry_at_us = now_us + RETRY_INTERVAL_US
+        if node.is_leader:
+            self._propose(now_us, call.client, call.serial, call.data)
+        else:
+            proposal = Proposal(node.cluster, node.me, leader, node.term, call.client, call.serial, call.data)
+            self._effects.append(ev.SendMessage(proposal))
+
+    def _send_read(self, now_us: int, number: int, read: _Read) -> None:
+        node, leader = self.node, self.node.leader
+        is_index_known = read.index is not None
+        if is_index_known or leader is None or (read.sent_to == leader and now_us < read.retry_at_us):
+            read.retry_at_us = max(read.retry_at_us, now_us + RETRY_INTERVAL_US)
+            return
+        read.sent_to = leader
+        read.retry_at_us = now_us + RETRY_INTERVAL_US
+        if node.is_leader:
+            read_index_number = self._next_read_index_number()
+            self._own_reads[read_index_number] = number
+            self._step_node(now_us, ev.ReadRequested(read_index_number))
+        else:
+            request = ReadIndexRequest(node.cluster, node.me, leader, node.term, number)
+            self._effects.append(ev.SendMessage(request))
+
+    def _complete_reads(self) -> None:
+        for number, read in list(self._reads.items()):
+            if read.index is not None and read.index <= self.applied:
+                del self._reads[number]
+                self._effects.append(ReadCompleted(number))
+
+    # --- effects of the node --------------------------------------------------------------------------
+
+    def _step_node(self, now_us: int, event: ev.Event) -> None:
+        """Have the node take an event; perform its effects that are meant for the state machine."""
+        pending = deque(self.node.step(now_us, event))
+        while pending:
+            effect = pending.popleft()
+            match effect:
+                case ev.Committed():
+                    pending.extend(self._on_committed(now_us, effect))
+                case ev.InstallSnapshot():
+                    self._on_install_snapshot(effect)
+                case ev.ReadConfirmed():
+                    self._on_read_confirmed(effect)
+                case ev.ReadAborted():
+                    self._remote_reads.pop(effect.number, None)
+                    self._own_reads.pop(effect.number, None)
+                case _:
+                    self._forget_proposals_of_other_terms(effect)
+                    self._effects.append(effect)
+
+    def _forget_proposals_of_other_terms(self, effect: ev.Effect) -> None:
+        """With the leader the log changes: what was proposed to the last one may be in no log any more."""
+        if isinstance(effect, ev.LogLine) and effect.event in (LogEvent.LEADS, LogEvent.FOLLOWS):
+            self._proposed.clear()
+
+    def _on_committed(self, now_us: int, effect: ev.Committed) -> list[ev.Effect]:
+        for entry in effect.entries:
+            self._apply(entry)
+        self._complete_reads()
+        return self._take_snapshot(now_us)
 
     def _apply(self, entry: Entry) -> None:
         answer, fresh = self.applied_state.apply(entry)
-        name = (entry.client, entry.serial)
-        self._appended.pop(name, None)
+        command = (entry.client, entry.serial)
+        self._proposed.discard(command)
         if entry.kind == "command":
-            for number in [n for n, c in self._calls.items() if (c.client, c.serial) == name]:
-                del self._calls[number]
-                self._out.append(CallCompleted(number, entry.index, answer))
-        self._out.append(EntryApplied(entry.index, self.digest, fresh))
-
-    def _finish(self) -> None:
-        """After a snapshot: calls that it holds the answers of."""
+            for number, call in list(self._calls.items()):
+                if (call.client, call.serial) == command:
+                    del self._calls[number]
+                    self._effects.append(CallCompleted(number, entry.index, answer))
+        self._effects.append(EntryApplied(entry.index, self.digest, fresh))
+
+    def _on_install_snapshot(self, effect: ev.InstallSnapshot) -> None:
+        self.applied_state.load(effect.snapshot.index, effect.snapshot.data)
+        self._effects.append(EntryApplied(self.applied, self.digest, False))
         for number, call in list(self._calls.items()):
-            known = self.sessions.find(call.client, call.serial)
-            if known is not None:
+            answer = self.sessions.find(call.client, call.serial)
+            if answer is not None:
                 del self._calls[number]
-                self._out.append(CallCompleted(number, self.applied, known))
+                self._effects.append(CallCompleted(number, self.applied, answer))
+        self._complete_reads()
 
-    def _compact(self, now_us: int) -> list[ev.Effect]:
+    def _on_read_confirmed(self, effect: ev.ReadConfirmed) -> None:
+        node = self.node
+        remote = self._remote_reads.pop(effect.number, None)
+        if remote is not None:
+            member, number = remote
+            response = ReadIndexResponse(node.cluster, node.me, member, node.term, number, effect.index)
+            self._effects.append(ev.SendMessage(response))
+        read = self._reads.get(self._own_reads.pop(effect.number, -1))
+        if read is not None:
+            read.index = effect.index
+            self._complete_reads()
+
+    def _take_snapshot(self, now_us: int) -> list[ev.Effect]:
+        """Dump the state machine once the log is long, unless a member lacks entries that would go."""
         log = self.node.log
-        behind = self.applied - log.base_index
-        if behind < self._keep:
+        interval = self._snapshot_interval
+        log_length = self.applied - log.base_index
+        if log_length < interval:
+            return []
+        match_indexes = [progress.match_index for progress in self.node.progress.values()]
+        is_member_lagging = bool(match_indexes) and min(match_indexes) < self.applied - interval // 2
+        if is_member_lagging and log_length < LAGGING_MEMBER_INTERVALS * interval:
             return []
-        near = [p.match_index for p in self.node.progress.values()]
-        if near and min(near) < self.applied - self._keep // 2 and behind < KEEP_SLOW * self._keep:
-            return []  # a member lacks what would go; a snapshot costs it more
         data = self.applied_state.dump()
         return self.node.step(now_us, ev.SnapshotTaken(self.applied, data, xxhash.xxh3_64_intdigest(data)))
--- a/harriertide/consensus/sessions.py
+++ b/harriertide/consensus/sessions.py
@@ -1,4 +1,7 @@
-"""Each proposal has its effect once, however often it comes: what was answered is kept with the state."""
+"""Sessions of clients: each command takes effect once, however often it was proposed (Ongaro 2014, 6.3).
+
+Answers are kept with the state, so all members have the same by the order of the log.
+"""
 
 from __future__ import annotations
 
@@ -6,45 +9,61 @@
 
 from msgspec import msgpack
 
-CLIENTS, ANSWERS = 1024, 64  # kept: clients by their last use, answers of each
-FORGOTTEN = b"\xa9forgotten"  # msgpack of the word: so long ago that it is not known any more
+# Clients that are kept, by their last use, and answers of each: bounds what sessions add to a snapshot. A
+# client repeats its latest calls only, and a fleet has 200 brokers, one client a process.
+CLIENT_COUNT = 1024
+ANSWER_COUNT = 64
+FORGOTTEN_ANSWER = b"\xa9forgotten"  # msgpack of the word: the command is so old that its answer is dropped
 
 
 class Sessions:
-    """Part of the state machine: all members have the same, by the order of the log."""
+    """Answers to the latest commands of each client."""
 
     def __init__(self) -> None:
-        self._clients: dict[str, dict[int, bytes]] = {}
-        self._floors: dict[str, int] = {}  # serials up to this one are forgotten
+        self._answers: dict[str, dict[int, bytes]] = {}  # by client, the last used last; by serial
+        self._forgotten_serials: dict[str, int] = {}  # by client: the answers up to this serial are dropped
+
+    def apply_once(self, client: str, serial: int, apply: Callable[[], bytes]) -> tuple[bytes, bool]:
+        """Apply a command unless it was applied before.
 
-    def once(self, client: str, serial: int, act: Callable[[], bytes]) -> tuple[bytes, bool]:
-        """The answer, and whether it was made just now."""
-        answers = self._clients.pop(client, {})
-        self._clients[client] = answers  # the last used is the last
+        :returns: the answer, and whether the command was applied now
+        """
+        answers = self._answers.pop(client, {})
+        self._answers[client] = answers
         if serial in answers:
             return answers[serial], False
-        if serial <= self._floors.get(client, 0):
-            return FORGOTTEN, False
-        answers[serial] = act()
-        while len(answers) > ANSWERS:
+        if serial <= self._forgotten_serials.get(client, 0):
+            return FORGOTTEN_ANSWER, False
+        answers[serial] = apply()
+        self._forget_answers(client)
+        self._forget_clients()
+        return answers[serial], True
+
+    def _forget_answers(self, client: str) -> None:
+        answers = self._answers[client]
+        while len(answers) > ANSWER_COUNT:
             oldest = min(answers)
-            self._floors[client] = max(self._floors.get(client, 0), oldest)
+            self._forgotten_serials[client] = max(self._forgotten_serials.get(client, 0), oldest)
             del answers[oldest]
-        while len(self._clients) > CLIENTS:
-            gone = next(iter(self._clients))
-            del self._clients[gone]
-            self._floors.pop(gone, None)
-        return answers[serial], True
+
+    def _forget_clients(self) -> None:
+        while len(self._answers) > CLIENT_COUNT:
+            longest_unused = next(iter(self._answers))
+            del self._answers[longest_unused]
+            self._forgotten_serials.pop(longest_unused, None)
 
     def find(self, client: str, serial: int) -> bytes | None:
-        """What was answered, if it is known."""
-        return self._clients.get(client, {}).get(serial)
+        """The answer to a command, None where it was not applied or its answer is dropped."""
+        return self._answers.get(client, {}).get(serial)
 
     def dump(self) -> bytes:
-        """All of it."""
-        return msgpack.encode((list(self._clients.items()), self._floors))
+        """All sessions, as a snapshot carries them."""
+        return msgpack.encode((list(self._answers.items()), self._forgotten_serials))
 
     def load(self, data: bytes) -> None:
-        """In place of what is here."""
-        rows, floors = msgpack.decode(data, type=tuple[list[tuple[str, dict[int, bytes]]], dict[str, int]])
-        self._clients, self._floors = dict(rows), floors
+        """Replace all sessions by a dump."""
+        answers, forgotten_serials = msgpack.decode(
+            data, type=tuple[list[tuple[str, dict[int, bytes]]], dict[str, int]]
+        )
+        self._answers = dict(answers)
+        self._forgotten_serials = forgotten_serials
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -20,7 +20,8 @@
 
 from harriertide.config.model import Maintenance, State
 from harriertide.consensus.events import Tuning
-from harriertide.consensus.fanout import GrantRound, SubtreeReport, SubtreeTotals, encode_broker_set
+from harriertide.consensus.fanout import GrantRound
+from harriertide.consensus.fanout_messages import SubtreeReport, SubtreeTotals, encode_broker_set
 from harriertide.control.member import Broker, CallError, Events, Outside
 from harriertide.decide import api
 from harriertide.engine.log import log
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -2,15 +2,12 @@
 
 from __future__ import annotations
 
-from harriertide.consensus.fanout import (
-    PEER_LOST_AFTER_US,
-    TREE_WIDTH,
-    FanoutTree,
+from harriertide.consensus.fanout import PEER_LOST_AFTER_US, TREE_WIDTH, FanoutTree, lease_lapse_us
+from harriertide.consensus.fanout_messages import (
     SubtreeReport,
     TreeUpdate,
     decode_broker_set,
     encode_broker_set,
-    lease_lapse_us,
 )
 
 VOTERS = ("a", "b", "c")
@@ -41,6 +38,7 @@
 
 
 def test_a_parent_that_is_silent_is_passed_over() -> None:
+    """A parent dies: after a while its child reports to another broker."""
     made = fan("n50")
     first = made.parent()
     assert made.build_report(PEER_LOST_AFTER_US + 1, own(made)) is not None
@@ -62,6 +60,9 @@
 
 
 def test_a_grant_of_the_last_process_is_none_of_this_one() -> None:
+    """A broker restarts while a grant for its last process' report is on its way. Taken for one of the new
+    process it would give a lease that nobody counts.
+    """
     last = fan("b", first=700)
     said = last.build_report(1_000_000, own(last))
     assert said is not None
