--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -1,8 +1,9 @@
-"""What happens to a member, and what it wants done."""
+"""Events that a Raft node takes and effects that it returns: the interface of the pure protocol code."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+from enum import StrEnum
 from typing import Literal
 
 from harriertide.consensus.messages import Entry, Member, Message, Snapshot
@@ -12,24 +13,31 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message came."""
+    """A message of another member has arrived."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time named by Node.due_us has come, or more."""
+    """The time that Node.next_tick_us named has come. It may come late, and more often than needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ElectionTimedOut:
-    """As if no leader had been heard for long: an election begins. For the search through states."""
+    """Campaign now, as if no leader had been heard for an election timeout.
+
+    Only the lab's search through states sends this: there the clock stands still.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Synced:
-    """All up to this Persist is on the disk, the last of it within took_us."""
+    """All writes up to this Persist are durable.
+
+    :param number: of the last Persist that the sync covers
+    :param took_us: how long that write and its sync took; 0 where it was not measured
+    """
 
     number: int
     took_us: int = 0
@@ -37,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncFailed:
-    """The disk refused: this member is out until it is started again."""
+    """A write or sync failed. The node halts until its process is started again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """To be appended, if this member leads."""
+    """Append a command, if this node leads. client and serial make its repetition recognizable."""
 
     client: str
     serial: int
@@ -51,33 +59,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequested:
-    """From when on is a read that is asked for now right?"""
+    """Find the index up to which the state must be applied for a read that starts now to be linearizable."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Hand over to this member, or to the best one."""
+    """Hand leadership to this member; None: to the one that fits best."""
 
     to: Member | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeMembership:
-    """Of one member. Refused (no effect) unless this member leads and no other change is under way."""
+    """Change the membership by one member.
 
-    what: Literal["learn", "promote", "remove"]
+    Ignored unless this node leads, has committed an entry of its own term, and no other change or transfer
+    is under way.
+    """
+
+    action: Literal["learn", "promote", "remove"]
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """The state machine as of an applied index."""
+    """The state machine was dumped as of an applied index: the log up to it can go.
+
+    :param checksum: xxh3 of data
+    """
 
     index: int
     data: bytes
-    check: int
+    checksum: int
 
 
 Event = (
@@ -98,15 +113,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send it; it may be lost."""
+    """Send a message. It may be lost, late, doubled or out of order."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write it, sync, and tell by Synced. In order: the snapshot, the cut (entries from there on are void),
-    then the entries; the hard state with all of these."""
+    """Write, sync, then report with Synced.
+
+    The parts take effect in this order: the snapshot, the truncation, the entries. Term, vote and cluster are
+    written with each.
+
+    :param number: counts up by one with each Persist
+    :param truncate_from: entries from this index on are void; 0 for none
+    """
 
     number: int
     cluster: str
@@ -119,21 +140,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Agreed on for good, in the order of the log."""
+    """Apply these entries, in this order: they are never taken back."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """In place of the state machine."""
+    """Load a snapshot of the leader in place of the state machine."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfirmed:
-    """A read is right once this index is applied."""
+    """A requested read is linearizable once this index is applied."""
 
     number: int
     index: int
@@ -141,14 +162,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadAborted:
-    """This member can't tell any more; ask again."""
+    """A requested read can't be confirmed: this node does not lead any more. Ask the next leader."""
 
     number: int
 
 
+class LogEvent(StrEnum):
+    """Texts of log lines. The lab's checkers and the counters of the process use these words as they are."""
+
+    LEADS = "leads"  # won an election
+    FOLLOWS = "follows"  # led, and does not any more
+    FOLLOWS_LEADER = "hears"  # accepted another leader; detail: its name
+    CAMPAIGNS = "stands"  # asks for votes; detail: "pre" or "vote"
+    STEPPED_DOWN = "stepped down"  # of its own accord; detail: why
+    TRANSFERS = "hands over"  # gives up leadership by itself; detail: why
+    MEMBERSHIP = "members"  # changes the membership; detail: the change
+    SNAPSHOT = "snapshot"  # threw a received snapshot away; detail: why
+    HALTED = "halted"  # takes no part any more until it is started again
+    BROKEN = "broken"  # an invariant does not hold; detail: which
+
+
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Something a person or a judge wants to know."""
+    """A line for the log of the process and the lab's checkers.
+
+    :param event: the value of a LogEvent
+    """
 
     event: str
     term: int = 0
@@ -160,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What a member finds on its disk."""
+    """What a start finds on the disk. All fields at their defaults: an empty disk."""
 
     cluster: str = ""
     term: int = 0
@@ -171,33 +210,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """Times of the protocol. The rest is measured."""
+    """Times and sizes of the protocol.
+
+    The leader raises the election timeout above its floor by measured round trips and syncs, up to the
+    maximum.
+    """
 
     heartbeat_us: int = 100_000
-    election_timeout_us: int = (
-        400_000  # the least silence of a leader that counts; it grows with round trips and syncs
-    )
+    # four heartbeats: one or two lost ones start no election
+    election_timeout_us: int = 400_000
+    # bounds how long a crashed leader goes unnoticed, however slow disks and network are
     max_election_timeout_us: int = 1_200_000
-    slow_sync_us: int = 150_000  # a leader whose syncs take longer, and much longer than others', hands over
-    max_inflight_appends: int = 8  # appends on their way to a member
+    # a leader whose syncs take longer, and much longer than others', hands leadership over
+    slow_sync_us: int = 150_000
+    # appends to a member without a response: keeps a link busy over its round trip
+    max_inflight_appends: int = 8
     batch_entries: int = 128
+    # of the entries of one append: a quarter of what the transport takes as a frame
     batch_bytes: int = 256 * 1024
+    # small enough that heartbeats are not late behind a chunk on a slow link
     snapshot_chunk_bytes: int = 64 * 1024
-
-
-@dataclass(slots=True)
-class Progress:
-    """What the leader knows of another member."""
-
-    next_index: int
-    match_index: int = 0
-    probing: bool = True
-    probe_sent: bool = False  # a probe is on its way
-    heard_us: int = 0
-    last_answered_round: int = 0  # the latest round that it answered
-    rtt_us: float = 0.0
-    sync_us: int = 0
-    inflight: list[int] = field(default_factory=list)  # last indexes of appends on their way
-    snapshot: Snapshot | None = None  # that it is being sent
-    offset: int = 0
-    chunk_sent_us: int = 0
--- a/harriertide/consensus/log.py
+++ b/harriertide/consensus/log.py
@@ -1,31 +1,73 @@
-"""The entries that a member holds in memory: those behind its snapshot."""
+"""The entries that a member holds in memory (those behind its snapshot) and the memberships that they set."""
 
 from __future__ import annotations
 
-from harriertide.consensus.messages import Entry
+from harriertide.consensus.messages import NO_MEMBERS, Entry, Membership, decode_membership
+
+ENTRY_OVERHEAD_BYTES = 32  # of an encoded entry without its data, for the size of a batch
 
 
 class Log:
-    """Entries base_index + 1 to last_index. What is before is in the snapshot."""
+    """Entries base_index + 1 to last_index; the snapshot holds what is before.
+
+    A membership holds from its entry on, committed or not (Ongaro 2014, 4.1), and until a later one: a member
+    that truncates the entry falls back to the membership before it.
+    """
 
-    __slots__ = ("base_index", "base_term", "entries")
+    __slots__ = ("base_index", "base_term", "base_members", "entries", "_memberships")
 
-    def __init__(self, base_index: int = 0, base_term: int = 0, entries: tuple[Entry, ...] = ()) -> None:
-        self.base_index, self.base_term = base_index, base_term
-        self.entries: list[Entry] = list(entries)
+    def __init__(
+        self,
+        base_index: int = 0,
+        base_term: int = 0,
+        base_members: Membership = NO_MEMBERS,
+        entries: tuple[Entry, ...] = (),
+    ) -> None:
+        self.base_index = base_index
+        self.base_term = base_term
+        self.base_members = base_members
+        self.entries: list[Entry] = []
+        self._memberships: list[tuple[int, Membership]] = []  # index of the entry, and what it sets
+        for entry in entries:
+            self.append(entry)
+
+    def copy(self) -> Log:
+        """A log that changes on its own."""
+        new = Log(self.base_index, self.base_term, self.base_members)
+        new.entries = list(self.entries)
+        new._memberships = list(self._memberships)
+        return new
 
     @property
     def last_index(self) -> int:
-        """Of the last entry; that of the snapshot where there is none."""
+        """Index of the last entry; of the snapshot where there is none."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Of the last entry."""
+        """Term of the last entry; of the snapshot where there is none."""
         return self.entries[-1].term if self.entries else self.base_term
 
+    @property
+    def members(self) -> Membership:
+        """The latest membership, committed or not."""
+        return self._memberships[-1][1] if self._memberships else self.base_members
+
+    @property
+    def membership_index(self) -> int:
+        """Index of the entry that set the latest membership."""
+        return self._memberships[-1][0] if self._memberships else self.base_index
+
+    def members_at(self, index: int) -> Membership:
+        """The membership that holds at an index."""
+        found = self.base_members
+        for start, members in self._memberships:
+            if start <= index:
+                found = members
+        return found
+
     def term_at(self, index: int) -> int | None:
-        """None where the log does not reach, or does not reach back."""
+        """Term of the entry at an index; None where the log does not reach so far, or not so far back."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -33,40 +75,45 @@
         return None
 
     def entry_at(self, index: int) -> Entry:
-        """The entry there."""
+        """The entry at an index."""
         return self.entries[index - self.base_index - 1]
 
     def entries_after(self, index: int, max_count: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries from index + 1 on, at least one where there is one."""
+        """Entries from index + 1 on within both limits, at least one where there is one."""
         found: list[Entry] = []
-        size = 0
-        for place in range(
-            index - self.base_index, min(len(self.entries), index - self.base_index + max_count)
-        ):
-            entry = self.entries[place]
-            size += len(entry.data) + 32
-            if found and size > max_bytes:
+        size_bytes = 0
+        first = index - self.base_index
+        for position in range(first, min(len(self.entries), first + max_count)):
+            entry = self.entries[position]
+            size_bytes += len(entry.data) + ENTRY_OVERHEAD_BYTES
+            if found and size_bytes > max_bytes:
                 break
             found.append(entry)
         return tuple(found)
 
     def append(self, entry: Entry) -> None:
-        """Put it last."""
+        """Add an entry behind the last one."""
         self.entries.append(entry)
+        if entry.kind == "members":
+            self._memberships.append((entry.index, decode_membership(entry.data)))
 
     def truncate(self, index: int) -> None:
-        """Take away this one and all behind."""
+        """Remove the entry at an index and all behind it, with the memberships that they set."""
         del self.entries[index - self.base_index - 1 :]
+        self._memberships = [row for row in self._memberships if row[0] < index]
 
     def compact(self, index: int) -> None:
-        """Let go of what a snapshot covers."""
+        """Drop the entries that a snapshot at this index covers."""
         term = self.term_at(index)
         assert term is not None
+        self.base_members = self.members_at(index)
+        self._memberships = [row for row in self._memberships if row[0] > index]
         del self.entries[: index - self.base_index]
-        self.base_index, self.base_term = index, term
+        self.base_index = index
+        self.base_term = term
 
     def first_index_of_term(self, index: int) -> int:
-        """The first index held whose entry is of the same term as that at index."""
+        """The first index held whose entry is of the same term as the one at this index."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
--- a/harriertide/consensus/messages.py
+++ b/harriertide/consensus/messages.py
@@ -1,13 +1,18 @@
-"""What members say to each other and keep on disk, as records of msgspec with a version."""
+"""Messages between members, and the log's entries and snapshots, as msgspec records.
+
+Tags and names of fields on the wire are fixed: members of two releases understand each other. A field whose
+name in the code differs has its name on the wire in `field(name=)`. Records that are written as arrays
+(array_like) keep the order of their fields instead.
+"""
 
 from __future__ import annotations
 
 from typing import Literal
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
-VERSION = 1  # of what is written and sent; a member refuses a newer one at its start
+VERSION = 1  # of records on the disk; a member refuses a newer one at its start
 
 EntryKind = Literal["noop", "command", "members"]
 
@@ -20,14 +25,14 @@
 
 
 class Membership(Struct, frozen=True, array_like=True):
-    """Who decides (voters), and who is being caught up (learners)."""
+    """The voters, and the learners: members that receive the log but do not vote or count for commits."""
 
     voters: tuple[Member, ...]
     learners: tuple[Member, ...] = ()
 
     @property
     def all(self) -> tuple[Member, ...]:
-        """Both."""
+        """Voters and learners."""
         return (*self.voters, *self.learners)
 
     @property
@@ -36,8 +41,11 @@
         return len(self.voters) // 2 + 1
 
 
+NO_MEMBERS = Membership((), ())
+
+
 class Entry(Struct, frozen=True, array_like=True):
-    """A place of the log. client, serial: whose proposal, so that a repeated one has its effect once."""
+    """An entry of the log. client, serial: whose command, so that a repeated one takes effect once."""
 
     index: int
     term: int
@@ -48,17 +56,17 @@
 
 
 class Snapshot(Struct, frozen=True, array_like=True):
-    """The state machine as of an index."""
+    """The state machine as of an index, with the membership as of there."""
 
     index: int
     term: int
     members: Membership
     data: bytes
-    check: int  # xxh3 of data
+    checksum: int  # xxh3 of data
 
 
 class Envelope(Struct, frozen=True, tag=True):
-    """On each message: which cluster, from which disk, meant for which disk, in which term."""
+    """Fields of each message: the cluster, the sender's and the recipient's disk, and the sender's term."""
 
     cluster: str
     sender: Member
@@ -67,72 +75,93 @@
 
 
 class VoteRequest(Envelope, frozen=True, tag="ask"):
-    """For a vote. pre: whether it would be given; transfer: the leader itself wants this."""
+    """RequestVote of a candidate.
+
+    :param pre_vote: asks only whether the vote would be given; nobody's term changes
+    :param transfer: the leader itself wants this election, so leader stickiness does not refuse it
+    """
 
     last_index: int
     last_term: int
-    pre: bool = False
+    pre_vote: bool = field(name="pre", default=False)
     transfer: bool = False
 
 
 class VoteResponse(Envelope, frozen=True, tag="vote"):
-    """The answer. leader: the name of the leader whom the voter hears, "" for none."""
+    """The response to a VoteRequest.
+
+    :param leader: name of the leader whose heartbeats the voter receives, "" for none
+    """
 
     granted: bool
-    pre: bool = False
+    pre_vote: bool = field(name="pre", default=False)
     leader: str = ""
 
 
 class AppendRequest(Envelope, frozen=True, tag="append"):
-    """Entries behind a place that must match; without entries a heartbeat."""
+    """AppendEntries: entries behind one that has to match; without entries a heartbeat.
+
+    :param heartbeat_round: the leader's latest round as this was sent; the response repeats it
+    :param election_timeout_us: as the leader measured it, for all members
+    """
 
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit_index: int = msgspec.field(name="commit")
-    round: int
-    election_timeout_us: int = msgspec.field(name="patience_us")
+    commit_index: int = field(name="commit")
+    heartbeat_round: int = field(name="round")
+    election_timeout_us: int = field(name="patience_us")
 
 
 class AppendResponse(Envelope, frozen=True, tag="appended"):
-    """taken: what of the leader's log is here; match: what of it is synced here. prev: that it answers."""
-
-    ok: bool
-    prev: int
-    taken: int
-    match: int
-    round: int
+    """The response to an AppendRequest.
+
+    :param prev_index: of the request that this answers
+    :param received_index: up to where the log agrees with the leader's, synced or not; of a refusal: where it
+        may agree
+    :param match_index: up to where it agrees and is synced: this counts for a commit
+    :param sync_us: how long syncs take on this member's disk, smoothed
+    """
+
+    success: bool = field(name="ok")
+    prev_index: int = field(name="prev")
+    received_index: int = field(name="taken")
+    match_index: int = field(name="match")
+    heartbeat_round: int = field(name="round")
     sync_us: int
 
 
 class SnapshotChunk(Envelope, frozen=True, tag="piece"):
-    """A part of a snapshot."""
+    """InstallSnapshot: one chunk of a snapshot's data; without data a heartbeat.
 
-    index: int
-    at_term: int
+    :param checksum: xxh3 of the snapshot's whole data
+    """
+
+    snapshot_index: int = field(name="index")
+    snapshot_term: int = field(name="at_term")
     members: Membership
-    total: int
-    check: int
+    total_bytes: int = field(name="total")
+    checksum: int = field(name="check")
     offset: int
     data: bytes
-    round: int
-    election_timeout_us: int = msgspec.field(name="patience_us")
+    heartbeat_round: int = field(name="round")
+    election_timeout_us: int = field(name="patience_us")
 
 
 class SnapshotChunkResponse(Envelope, frozen=True, tag="piece-taken"):
-    """How much of a snapshot is here."""
+    """How many bytes of a snapshot have been received in order."""
 
-    index: int
+    snapshot_index: int = field(name="index")
     offset: int
-    round: int
+    heartbeat_round: int = field(name="round")
 
 
 class TimeoutNow(Envelope, frozen=True, tag="take-over"):
-    """The leader hands over: stand for election at once."""
+    """The leader transfers leadership: the recipient campaigns at once."""
 
 
 class Proposal(Envelope, frozen=True, tag="proposal"):
-    """A follower's, for the leader to append."""
+    """A command of a follower, for the leader to append."""
 
     client: str
     serial: int
@@ -140,13 +169,13 @@
 
 
 class ReadIndexRequest(Envelope, frozen=True, tag="read-ask"):
-    """Up to which index must be applied before a read is right?"""
+    """A follower's question: up to which index must be applied before a read is linearizable?"""
 
     number: int
 
 
 class ReadIndexResponse(Envelope, frozen=True, tag="read-answer"):
-    """Up to this one."""
+    """The leader's answer, after a majority has confirmed that it still leads."""
 
     number: int
     index: int
@@ -165,15 +194,32 @@
     | ReadIndexResponse
 )
 
+# Messages between replicas, beside the Raft protocol: a Node takes none of them.
+ReplicaMessage = Proposal | ReadIndexRequest | ReadIndexResponse
+
 _encode = msgspec.msgpack.Encoder()
 _decode = msgspec.msgpack.Decoder(Message)
+_decode_membership = msgspec.msgpack.Decoder(Membership)
 
 
 def encode(message: Message) -> bytes:
-    """As it is sent."""
+    """Encode a message as it is sent."""
     return _encode.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """As it came; msgspec.DecodeError (ValidationError) for what is no message."""
+    """Decode a message.
+
+    :raises msgspec.DecodeError: (ValidationError) for bytes that are no message
+    """
     return _decode.decode(data)
+
+
+def encode_membership(members: Membership) -> bytes:
+    """Encode a membership as the data of an entry of kind "members"."""
+    return _encode.encode(members)
+
+
+def decode_membership(data: bytes) -> Membership:
+    """Decode the data of an entry of kind "members"."""
+    return _decode_membership.decode(data)
--- a/harriertide/lab/check.py
+++ b/harriertide/lab/check.py
@@ -1,18 +1,18 @@
-"""A search through the states of three members, and many drawn courses of five: what agreement promises.
+"""A search through the states of three members, and many simulated runs of five: what agreement promises.
 
 Usage: check [--states N] [--seeds N] [--first SEED] [--processes N] [--short]
 
 The search takes every order of messages, with losses, doubling, elections, crashes with and without the disk
 and changes of members, to a depth, and checks each invariant of harriertide/consensus/node.py in each state.
-Members with a planted fault must be found, and the way there is printed. Then the courses: histories of
-clients must be linearizable. Exits with 1 where anything is broken, or a planted fault is not found.
+Members with a seeded bug must be found, and the way there is printed. Then the simulated runs: histories of
+clients must be linearizable. Exits with 1 where anything is broken, or a seeded bug is not found.
 
 Options:
   --states N     the most states of each search [default: 400000]
-  --seeds N      courses [default: 2000]
-  --first SEED   of the first course [default: 0]
+  --seeds N      simulated runs [default: 2000]
+  --first SEED   of the first simulated run [default: 0]
   --processes N  at once; 0: one a core [default: 0]
-  --short        20000 states and 60 courses
+  --short        20000 states and 60 simulated runs
 """
 
 from __future__ import annotations
@@ -23,7 +23,6 @@
 from collections import Counter, deque
 from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
-from copy import copy
 from dataclasses import dataclass, field, replace
 from functools import partial
 from random import Random
@@ -34,12 +33,21 @@
 
 from harriertide.consensus import events as ev
 from harriertide.consensus.events import Tuning
-from harriertide.consensus.log import Log
-from harriertide.consensus.messages import AppendRequest, AppendResponse, Entry, Member, Membership, Message
-from harriertide.consensus.node import InvariantViolationError, Node, encode_members
+from harriertide.consensus.messages import (
+    AppendRequest,
+    AppendResponse,
+    Entry,
+    Member,
+    Membership,
+    Message,
+    encode_membership,
+)
+from harriertide.consensus.node import Node
+from harriertide.consensus.roles import InvariantViolationError
+from harriertide.consensus.state import RaftState
 from harriertide.decide.settings import SettingsError
-from harriertide.lab.cluster import Verdict, course
-from harriertide.lab.planted import PLANTS
+from harriertide.lab.cluster import Verdict, run_simulation
+from harriertide.lab.seeded_bugs import SEEDED_BUGS
 
 NAMES = ("a", "b", "c")
 TUNING = Tuning(heartbeat_us=0, election_timeout_us=0, max_election_timeout_us=0, batch_entries=1)
@@ -79,7 +87,7 @@
 class State:
     """Of everything. net: messages on their way and how often each may still arrive."""
 
-    nodes: dict[str, Node]
+    nodes: dict[str, RaftState]
     disks: dict[str, Disk]
     net: dict[Message, int]
     budget: Budget
@@ -93,29 +101,20 @@
         return hash((rows, net, self.budget, frozenset(self.agreed.items()), tuple(self.disks.values())))
 
 
-def _look(node: Node) -> tuple[Any, ...]:
+def _look(state: RaftState) -> tuple[Any, ...]:
     """All of a node that decides what it does, less its clocks and counters."""
     progress = tuple(
         (m, p.next_index, p.match_index, p.probing, p.probe_sent, tuple(p.inflight))
-        for m, p in sorted(node.progress.items())
+        for m, p in sorted(state.leadership.progress.items())
     )
     return (
-        node.me, node.role, node.term, node.voted_for, node.leader, node.campaign, node._standing_term,
-        tuple(sorted(node._votes.items())), node.commit_index, node.durable_index, tuple(node.log.entries),
-        progress, node._by_transfer, node._term_start,
+        state.me, state.role, state.term, state.voted_for, state.leader, state.campaign.phase,
+        state.campaign.term, tuple(sorted(state.campaign.votes.items())), state.commit_index,
+        state.durable_index, tuple(state.log.entries), progress, state.campaign.by_transfer,
+        state.leadership.term_start_index,
     )  # fmt: skip
 
 
-def _clone(node: Node) -> Node:
-    new = copy(node)
-    new.log = Log(node.log.base_index, node.log.base_term, tuple(node.log.entries))
-    new._views, new._votes = list(node._views), dict(node._votes)
-    new._pending, new._after = deque(list(row) for row in node._pending), deque(node._after)
-    new.progress = {m: replace(p, inflight=list(p.inflight)) for m, p in node.progress.items()}
-    new._rounds, new._reads, new._early_reads = {}, deque(), []
-    return new
-
-
 class Search:
     """Breadth first, from one state."""
 
@@ -125,14 +124,14 @@
 
     # --- making states --------------------------------------------------------------------------------
 
-    def _boot(self, disk: Disk, name: str) -> Node:
+    def _boot(self, disk: Disk, name: str) -> RaftState:
         found = ev.RestoredState(disk.cluster, disk.term, disk.vote, None, disk.entries)
-        return self.node_class(Member(name, disk.id), TUNING, found, Random(0), 0)
+        return RaftState.restore(Member(name, disk.id), TUNING, found, Random(0), 0)
 
     def first(self, budget: Budget) -> State:
         """Founded: the list of members is entry 1 everywhere."""
         members = Membership(tuple(Member(name, name + "1") for name in NAMES))
-        entry = Entry(1, 1, "members", encode_members(members))
+        entry = Entry(1, 1, "members", encode_membership(members))
         disks = {name: Disk(name + "1", "c", 1, None, (entry,)) for name in NAMES}
         return State({name: self._boot(disk, name) for name, disk in disks.items()}, disks, {}, budget)
 
@@ -206,8 +205,8 @@
                     new.budget, crash = replace(left, crashes=left.crashes - 1), True
         broken: list[str] = []
         if event is not None:
-            node = new.nodes[name] = _clone(state.nodes[name])
-            broken = self._step(new, node, event, sync=not crash)
+            changed = new.nodes[name] = state.nodes[name].copy()
+            broken = self._step(new, self.node_class(changed), event, sync=not crash)
         if crash:
             new.nodes[name] = self._boot(new.disks[name], name)
         return new, broken or self._wrong(state, new)
@@ -222,8 +221,8 @@
             for effect in effects:
                 if isinstance(effect, ev.SendMessage):
                     message = effect.message
-                    if isinstance(message, (AppendRequest, AppendResponse)) and message.round:
-                        message = msgspec.structs.replace(message, round=1)
+                    if isinstance(message, (AppendRequest, AppendResponse)) and message.heartbeat_round:
+                        message = msgspec.structs.replace(message, heartbeat_round=1)
                     state.net[message] = 1
                 elif isinstance(effect, ev.Persist) and sync:
                     state.disks[node.me.name] = state.disks[node.me.name].write(effect)
@@ -296,7 +295,7 @@
                 return rows[::-1]
             rows.append(_say(action))
 
-    def play(self, state: State, *rows: Action) -> State:
+    def follow(self, state: State, *rows: Action) -> State:
         """A way to a later start. ("settle", names): deliver all between these until nothing is on its way;
         ("pass", kind, a, b): deliver that from a to b; ("drop",): lose all that is on its way."""
         for row in rows:
@@ -339,8 +338,8 @@
 
 _LEADS: tuple[Action, ...] = (("elapse", "a"), ("settle", "abc"))
 _STANDS: tuple[Action, ...] = (
-    ("elapse", "a"), ("elapse", "b"), ("pass", "Ask", "a", "c"), ("pass", "Ask", "b", "c"),
-    ("pass", "Vote", "c", "a"), ("pass", "Vote", "c", "b"),
+    ("elapse", "a"), ("elapse", "b"), ("pass", "VoteRequest", "a", "c"), ("pass", "VoteRequest", "b", "c"),
+    ("pass", "VoteResponse", "c", "a"), ("pass", "VoteResponse", "c", "b"),
 )  # fmt: skip
 _SHORT: tuple[Action, ...] = (
     ("elapse", "a"), ("settle", "abc"), ("propose", "a"), ("drop",),
@@ -359,8 +358,8 @@
     "a disk is lost": (_TWO, Budget(1, 0, 0, 0, 1, 1), 16),
     "a disk is lost, a crash": (_TWO, Budget(1, 1, 1, 1, 1, 0), 14),
 }
-# where a planted fault shows soonest
-SHOWS = {
+# where a seeded bug shows soonest
+SEEDED_BUG_SEARCHES = {
     "vote-not-synced": "two that stand at once",
     "earlier-term-by-count": "an entry of an earlier term",
     "two-majorities": "two changes of members",
@@ -368,15 +367,13 @@
 }
 
 
-def search(name: str, most: int, plant: str = "") -> tuple[Search, list[str]]:
-    """One of SEARCHES, of members as they are or with a planted fault: what was looked at and found."""
+def search(name: str, most: int, seeded_bug: str = "") -> tuple[Search, list[str]]:
+    """One of SEARCHES, of members as they are or with a seeded bug: what was looked at and found."""
     rows, budget, depth = SEARCHES[name]
-    made = Search(same_disk=plant == "empty-disk-votes")
-    start = made.play(made.first(LOTS), *rows)
+    made = Search(same_disk=seeded_bug == "empty-disk-votes")
+    start = made.follow(made.first(LOTS), *rows)
     start.budget = budget
-    made.node_class = PLANTS.get(plant, Node)
-    for node in start.nodes.values():
-        node.__class__ = made.node_class
+    made.node_class = SEEDED_BUGS.get(seeded_bug, Node)
     return made, made.run(start, most, depth)
 
 
@@ -386,18 +383,18 @@
     return made.states, made.depth, time.monotonic() - begun, found
 
 
-def _course(planted_fault: str, seed: int) -> tuple[int, Verdict]:
-    return seed, course(seed, node_class=PLANTS.get(planted_fault, Node), planted=planted_fault)
+def _simulate(seeded_bug: str, seed: int) -> tuple[int, Verdict]:
+    return seed, run_simulation(seed, node_class=SEEDED_BUGS.get(seeded_bug, Node), seeded_bug=seeded_bug)
 
 
-def courses(first: int, number: int, processes: int) -> tuple[Counter[str], list[str]]:
+def run_simulations(first: int, number: int, processes: int) -> tuple[Counter[str], list[str]]:
     """Sums, and what was broken by seed."""
     sums: Counter[str] = Counter()
     broken: list[str] = []
     with ProcessPoolExecutor(processes or os.cpu_count()) as pool:
-        for seed, verdict in pool.map(partial(_course, ""), range(first, first + number), chunksize=4):
+        for seed, verdict in pool.map(partial(_simulate, ""), range(first, first + number), chunksize=4):
             sums.update(
-                courses=1, calls=verdict.operations, answered=verdict.answered, elections=verdict.elections,
+                runs=1, calls=verdict.operations, answered=verdict.answered, elections=verdict.elections,
                 faults=len(verdict.faults),
             )  # fmt: skip
             broken += [f"seed {seed}: {row}" for row in verdict.broken]
@@ -415,21 +412,23 @@
     if given["--short"]:
         most, seeds = 20_000, 60
     failed = False
-    rows = [(name, "") for name in SEARCHES] + [(name, plant) for plant, name in SHOWS.items()]
+    rows = [(name, "") for name in SEARCHES] + [
+        (name, seeded_bug) for seeded_bug, name in SEEDED_BUG_SEARCHES.items()
+    ]
     with ProcessPoolExecutor(processes or os.cpu_count()) as pool:
-        for (name, plant), (states, depth, took, found) in zip(
+        for (name, seeded_bug), (states, depth, took, found) in zip(
             rows, pool.map(partial(_search, most), rows), strict=True
         ):
-            failed = failed or bool(found) != bool(plant)
+            failed = failed or bool(found) != bool(seeded_bug)
             end = "all" if states < most else "the first"
-            print(f"search   {name}" + (f", planted {plant}" if plant else ""))
+            print(f"search   {name}" + (f", seeded bug {seeded_bug}" if seeded_bug else ""))
             said = (
                 "\n".join(["         " + row for row in found]) if found else "         every invariant holds"
             )
             print(f"         {end} {states} states to depth {depth}, {took:.0f} s\n{said}", flush=True)
-    sums, broken = courses(first, seeds, processes)
-    print("courses  " + ", ".join(f"{count} {name}" for name, count in sums.items()))
-    print("\n".join(broken[:20]) if broken else "courses  every history is linearizable, all members agree")
+    sums, broken = run_simulations(first, seeds, processes)
+    print("runs     " + ", ".join(f"{count} {name}" for name, count in sums.items()))
+    print("\n".join(broken[:20]) if broken else "runs     every history is linearizable, all members agree")
     return int(failed or bool(broken))
 
 
--- a/harriertide/lab/cluster.py
+++ b/harriertide/lab/cluster.py
@@ -1,8 +1,8 @@
-"""Members of the agreed log in virtual time: links, disks and clocks that fail, clients, and a judgement.
+"""Members of the agreed log in virtual time: links, disks and clocks that fail, clients, and checkers.
 
-A course is drawn from one seed and plays the same each time. Members are whole (replica, sessions, roster,
-founding on empty disks); only sockets and files are missing. What is judged is read from what members told
-and from the clients' history; the judges share no code with the members.
+A run is drawn from one seed and is the same each time. Members are whole (replica, sessions, roster,
+founding on empty disks); only sockets and files are missing. What is checked is read from what members emit
+and from the clients' history; the checkers share no code with the members.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from harriertide.consensus.node import NEVER_US, Node
 from harriertide.consensus.replica import CallCompleted, CallExpired, EntryApplied, ReadCompleted, Replica
 from harriertide.consensus.roster import Founding, Hello, Roster
-from harriertide.lab.history import Operation, crooked
+from harriertide.lab.history import Operation, non_linearizable
 
 SECOND = 1_000_000
 
 
 class Registers:
-    """The state machine of the courses: named registers."""
+    """The state machine of the runs: named registers."""
 
     def __init__(self) -> None:
         self.values: dict[str, str] = {}
@@ -99,8 +99,8 @@
     def new_disk(self) -> Disk:
         """An empty one under the same name."""
         self.disks += 1
-        disk_id = f"{self.name}{1 if self.sim.planted == 'empty-disk-votes' else self.disks}"
-        return Disk(disk_id, lies=self.sim.planted == "vote-not-synced")
+        disk_id = f"{self.name}{1 if self.sim.seeded_bug == 'empty-disk-votes' else self.disks}"
+        return Disk(disk_id, lies=self.sim.seeded_bug == "vote-not-synced")
 
     def now(self) -> int:
         """Its own clock."""
@@ -117,9 +117,8 @@
         me = Member(self.name, self.disk.id)
         self.replica = Replica(
             me, Registers(), self.sim.tuning, self.disk.restored(), Random(self.sim.random.random()),
-            self.now(), keep=self.sim.keep,
+            self.now(), snapshot_interval=self.sim.keep, node_class=self.sim.node_class,
         )  # fmt: skip
-        self.replica.node.__class__ = self.sim.node_class
         self.roster = Roster(me, tuple(self.sim.names))
         self.wake_us = NEVER_US
         self.do([])
@@ -228,7 +227,7 @@
 
 @dataclass
 class Verdict:
-    """What a course showed."""
+    """What a run showed."""
 
     broken: list[str] = field(default_factory=list)
     operations: int = 0
@@ -239,7 +238,7 @@
 
 
 class Cluster:
-    """The course: events by their time, links between hosts, and the judges' books."""
+    """A run: events by their time, links between hosts, and what the checkers keep."""
 
     def __init__(
         self,
@@ -247,11 +246,12 @@
         size: int = 5,
         tuning: Tuning | None = None,
         node_class: type[Node] = Node,
-        planted: str = "",
+        seeded_bug: str = "",
         keep: int = 40,
     ) -> None:
         self.random = Random(seed)
-        self.tuning, self.node_class, self.planted, self.keep = tuning or Tuning(), node_class, planted, keep
+        self.tuning, self.keep = tuning or Tuning(), keep
+        self.node_class, self.seeded_bug = node_class, seeded_bug
         self.now = 0
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._made = 0
@@ -292,7 +292,7 @@
         for _ in range(1 + (self.random.random() < self.doubled)):
             self.at(self.now + self.random.randint(*self.late), self.hosts[b].hear, message)
 
-    # --- the judges' books ----------------------------------------------------------------------------
+    # --- checkers ----------------------------------------------------------------------------------
 
     def applied(self, name: str, effect: EntryApplied) -> None:
         """A member's state at an index: the same at all members."""
@@ -380,9 +380,9 @@
                 return host
         return None
 
-    def judge(self) -> Verdict:
-        """After the course: histories too."""
-        for key in crooked(self.history):
+    def check_history(self) -> Verdict:
+        """After the run: histories too."""
+        for key in non_linearizable(self.history):
             self.verdict.broken.append(f"register {key}: its history can't have happened")
         return self.verdict
 
@@ -453,16 +453,16 @@
 )
 
 
-def course(
+def run_simulation(
     seed: int,
     size: int = 5,
     seconds: float = 12.0,
     node_class: type[Node] = Node,
-    planted: str = "",
+    seeded_bug: str = "",
     faults: tuple[str, ...] = FAULTS,
 ) -> Verdict:
-    """A drawn course under clients; at its end all is healed, and must agree and serve."""
-    sim = Cluster(seed, size, node_class=node_class, planted=planted)
+    """A drawn run under clients; at its end all is healed, and must agree and serve."""
+    sim = Cluster(seed, size, node_class=node_class, seeded_bug=seeded_bug)
     for host in sim.hosts.values():
         sim.at(sim.random.randint(0, 300_000), sim._start, host)
     end = int(seconds * SECOND)
@@ -505,4 +505,4 @@
         voters = sorted(m.name for m in led.replica.node.members.voters)
         if voters != sim.names:
             sim.verdict.broken.append(f"voters are {', '.join(voters)} in the end")
-    return sim.judge()
+    return sim.check_history()
--- a/harriertide/lab/history.py
+++ b/harriertide/lab/history.py
@@ -1,7 +1,7 @@
 """Whether what clients saw of registers can have happened in some order: a check of linearizability.
 
 After Wing and Gong (1993) with Lowe's memory of states that were seen (2017). It shares nothing with what it
-judges. An operation without an answer may have had its effect at any later time, or never.
+checks. An operation without an answer may have had its effect at any later time, or never.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
     return new if operation.done else state
 
 
-def linear(operations: list[Operation]) -> bool:
+def is_linearizable(operations: list[Operation]) -> bool:
     """Whether the operations on one register can be put in an order that their times and answers allow."""
     rows = sorted((o for o in operations if o.what != "get" or o.ended < NEVER), key=lambda o: o.began)
     everything = (1 << len(rows)) - 1
@@ -67,9 +67,9 @@
     return everything == 0
 
 
-def crooked(operations: list[Operation]) -> list[str]:
+def non_linearizable(operations: list[Operation]) -> list[str]:
     """The registers whose history is impossible."""
     by_key: dict[str, list[Operation]] = defaultdict(list)
     for operation in operations:
         by_key[operation.key].append(operation)
-    return [key for key, rows in sorted(by_key.items()) if not linear(rows)]
+    return [key for key, rows in sorted(by_key.items()) if not is_linearizable(rows)]
--- /dev/null
+++ b/harriertide/lab/seeded_bugs.py
@@ -0,0 +1,79 @@
+"""Members with a known bug each: the search and the simulated runs have to find every one of them, or what
+they do not find means nothing.
+"""
+
+from __future__ import annotations
+
+from harriertide.consensus import events as ev
+from harriertide.consensus.membership import MembershipChanges
+from harriertide.consensus.messages import (
+    Membership,
+    Message,
+    VoteRequest,
+    VoteResponse,
+    encode_membership,
+)
+from harriertide.consensus.node import Node
+from harriertide.consensus.outbox import Outbox
+from harriertide.consensus.replication import Replication
+
+
+class UnsyncedVotes(Outbox):
+    """Sends votes before they are on the disk."""
+
+    def send_when_durable(self, message: Message) -> None:
+        """Send a vote at once."""
+        if isinstance(message, (VoteRequest, VoteResponse)):
+            self.send(message)
+        else:
+            super().send_when_durable(message)
+
+
+class VotesBeforeSync(Node):
+    """Breaks ELECTION."""
+
+    outbox_class = UnsyncedVotes
+
+
+class CommitOfAnyTerm(Replication):
+    """Counts copies of entries of any term."""
+
+    def advance_commit(self) -> None:
+        """Commit what a majority has, whatever its term."""
+        if self.state.is_leader:
+            index = self.majority_index()
+            if index > self.state.commit_index:
+                self.outbox.commit(index)
+
+
+class CommitsEarlierTerms(Node):
+    """Breaks COMMIT."""
+
+    replication_class = CommitOfAnyTerm
+
+
+class ConcurrentChanges(MembershipChanges):
+    """Takes the next change of membership before the last one is committed."""
+
+    def change(self, event: ev.ChangeMembership) -> None:
+        """Remove a voter, whatever else is under way."""
+        present = self.state.members.voters
+        if self.state.is_leader and event.action == "remove" and event.member != self.state.me:
+            voters = tuple(voter for voter in present if voter != event.member)
+            if voters != present:
+                self.replication.append("members", encode_membership(Membership(voters)))
+                self.replication.advance_commit()
+
+
+class ChangesAtOnce(Node):
+    """Breaks CHANGE."""
+
+    membership_class = ConcurrentChanges
+
+
+SEEDED_BUGS: dict[str, type[Node]] = {
+    "vote-not-synced": VotesBeforeSync,
+    "earlier-term-by-count": CommitsEarlierTerms,
+    "two-majorities": ChangesAtOnce,
+    "empty-disk-votes": Node,  # as it is; the disk has the name of the one that was lost
+}
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""The agreed log: searched through its states, in drawn courses, and in situations known to hurt."""
+"""The agreed log: searched through its states, in simulated runs, and in situations known to hurt."""
 
 from __future__ import annotations
 
@@ -15,51 +15,55 @@
     SnapshotChunk,
     decode,
     encode,
+    encode_membership,
 )
-from harriertide.consensus.node import encode_members
-from harriertide.consensus.sessions import ANSWERS, CLIENTS, FORGOTTEN, Sessions
-from harriertide.lab.check import SEARCHES, SHOWS, search
-from harriertide.lab.cluster import FAULTS, SECOND, Cluster, Host, course
-from harriertide.lab.history import Operation, linear
+from harriertide.consensus.sessions import ANSWER_COUNT, CLIENT_COUNT, FORGOTTEN_ANSWER, Sessions
+from harriertide.lab.check import SEARCHES, SEEDED_BUG_SEARCHES, search
+from harriertide.lab.cluster import FAULTS, SECOND, Cluster, Host, run_simulation
+from harriertide.lab.history import Operation, is_linearizable
 
 
 @pytest.mark.parametrize("name", SEARCHES)
 def test_every_invariant_holds_in_each_state_of_a_search(name: str) -> None:
+    """Messages arrive in any order, twice or never, and members crash: no state breaks an invariant."""
     looked, found = search(name, 6_000)
     assert not found and looked.states > 3_000
 
 
-@pytest.mark.parametrize(("plant", "name"), SHOWS.items())
-def test_a_planted_fault_is_found_with_the_way_there(plant: str, name: str) -> None:
-    looked, found = search(name, 6_000, plant)
+@pytest.mark.parametrize(("seeded_bug", "name"), SEEDED_BUG_SEARCHES.items())
+def test_a_seeded_bug_is_found_with_the_way_there(seeded_bug: str, name: str) -> None:
+    """A member with a known bug: a search that did not find it would prove nothing of the real one."""
+    looked, found = search(name, 6_000, seeded_bug)
     assert found and found[0].partition(":")[0] in ("ELECTION", "COMMIT", "COMPLETE")
     assert len(found) <= 12  # short enough to read
 
 
 @pytest.mark.parametrize("first", range(0, 40, 10))
-def test_drawn_courses_of_five_keep_their_promises(first: int) -> None:
+def test_simulated_runs_of_five_keep_their_promises(first: int) -> None:
+    """Five members under drawn faults and clients: what clients saw is linearizable, and all end alike."""
     for seed in range(first, first + 10):
-        verdict = course(seed)
+        verdict = run_simulation(seed)
         assert not verdict.broken, f"seed {seed}: {verdict.broken}"
         assert verdict.answered > 50
 
 
 @pytest.mark.parametrize("size", [1, 3, 7])
-def test_drawn_courses_of_other_sizes(size: int) -> None:
+def test_simulated_runs_of_other_sizes(size: int) -> None:
     faults = FAULTS if size > 1 else ("kill", "pause", "slow-disk")
     for seed in range(6):
-        verdict = course(seed, size=size, seconds=6.0, faults=faults)
+        verdict = run_simulation(seed, size=size, seconds=6.0, faults=faults)
         assert not verdict.broken, f"seed {seed}: {verdict.broken}"
 
 
 def test_an_empty_disk_that_counts_as_before_loses_what_was_agreed_on() -> None:
-    """The loss without the check of the disk's identity; with it the same courses are whole."""
+    """A broker comes back with an empty disk under its old name, and its vote counts as before: a committed
+    entry is lost. With the identity of disks the same runs lose nothing.
+    """
     faults = ("lose-disk", "apart", "kill")
-    lost = [
-        seed for seed in range(60) if course(seed, 3, 8.0, planted="empty-disk-votes", faults=faults).broken
-    ]
+    bug = "empty-disk-votes"
+    lost = [seed for seed in range(60) if run_simulation(seed, 3, 8.0, seeded_bug=bug, faults=faults).broken]
     assert lost
-    assert not [seed for seed in lost if course(seed, 3, 8.0, faults=faults).broken]
+    assert not [seed for seed in lost if run_simulation(seed, 3, 8.0, faults=faults).broken]
 
 
 # --- situations ---------------------------------------------------------------------------------------
@@ -114,6 +118,7 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 def test_a_one_way_cut_of_any_single_link_leaves_a_leader_within_2_s(size: int) -> None:
+    """One link fails in one direction only. Within 2 s some leader commits, wherever the cut is."""
     for a in range(size):
         for b in range(size):
             if a == b:
@@ -133,6 +138,9 @@
 
 
 def test_a_member_that_was_cut_off_never_unseats_a_good_leader() -> None:
+    """A member is cut off five times and campaigns meanwhile. As it comes back the others still hear their
+    leader: it keeps its term.
+    """
     sim, leader = settled(size=5)
     away = others(sim, leader)[0]
     term = leader.replica.node.term  # type: ignore[union-attr]
@@ -147,6 +155,9 @@
 
 
 def test_a_leader_whose_disk_takes_500_ms_hands_over_by_itself() -> None:
+    """The leader's disk becomes slow, so each commit waits for it. It transfers leadership by itself, without
+    a series of elections.
+    """
     sim, leader = settled(size=5)
     leader.disk.late_us = 500_000
     for number in range(30):
@@ -154,7 +165,7 @@
         sim.run(sim.now + SECOND // 5)
     after = sim.leader()
     assert after is not None and after is not leader
-    assert leader.disk.late_us == 500_000 and not sim.judge().broken
+    assert leader.disk.late_us == 500_000 and not sim.check_history().broken
     leads = [when for when, name in sim_leads(sim)]
     assert len(leads) <= 3  # it is handed over, not fought for
 
@@ -164,6 +175,9 @@
 
 
 def test_a_leader_that_stands_still_for_8_s_answers_for_nobody_when_it_is_back() -> None:
+    """The process of a leader is stopped, another one is elected and commits. The old one goes on and takes
+    itself for the leader: a read that it is asked for must not show the old state.
+    """
     sim, leader = settled(size=5)
     leader.paused_until = sim.now + 8 * SECOND
     sim.run(sim.now + 3 * SECOND)
@@ -179,10 +193,13 @@
     sim._open[sim.values] = ("get", "k", "", sim.now, leader, leader.life, lambda: read.append(sim.now))
     leader.do(leader.replica.query(leader.now(), sim.values, leader.now() + 10 * SECOND))
     sim.run(sim.now + 10 * SECOND)
-    assert read and sim.history[-1].value == "new" and not sim.judge().broken
+    assert read and sim.history[-1].value == "new" and not sim.check_history().broken
 
 
 def test_a_failed_sync_is_final_for_the_process_and_the_others_go_on() -> None:
+    """A sync fails once on the leader. What the system holds in memory may be lost, so that process never
+    takes part again, even with a disk that works.
+    """
     sim, leader = settled()
     leader.disk.fails = True
     lost = put(sim, leader, "lost?")
@@ -199,6 +216,9 @@
 
 
 def test_a_broker_with_an_empty_disk_joins_as_a_new_member_and_may_vote_only_then() -> None:
+    """A broker loses its disk. It has forgotten its votes, so it counts for nothing until it was caught up
+    and took the place of the old disk.
+    """
     sim, leader = settled()
     for number in range(200):
         put(sim, leader, f"v{number}")
@@ -214,11 +234,13 @@
     assert leader.replica is not None
     voters = leader.replica.node.members.voters
     assert old not in voters and Member(back.name, back.disk.id) in voters and len(voters) == 3
-    assert value(back) == "v199" and not sim.judge().broken
+    assert value(back) == "v199" and not sim.check_history().broken
 
 
 def test_two_processes_under_one_name_throw_nobody_out() -> None:
-    """The second one's disk is not taken in while the first is there."""
+    """A second process is started under a member's name by mistake. Its disk is not taken in while the first
+    one answers.
+    """
     sim, leader = settled()
     other = others(sim, leader)[0]
     from harriertide.consensus.roster import Hello
@@ -232,6 +254,9 @@
 
 
 def test_a_member_that_was_away_long_gets_the_snapshot_in_pieces_and_goes_on_where_it_broke() -> None:
+    """A member was away until the log no longer holds what it lacks. It is sent the snapshot, the link breaks
+    in between, and the chunks go on where they stopped.
+    """
     sim, leader = settled(keep=40)
     away = others(sim, leader)[0]
     ways = behind(sim, leader, away)
@@ -257,10 +282,13 @@
     assert len(pieces) < 3 + 2 * (
         size // sim.tuning.snapshot_chunk_bytes + 1
     )  # not from the beginning each time
-    assert not sim.judge().broken
+    assert not sim.check_history().broken
 
 
 def test_a_piece_that_was_damaged_on_its_way_is_sent_again() -> None:
+    """A chunk is damaged in a way that its frame does not show. The checksum of the whole finds it, and all
+    is sent again.
+    """
     sim, leader = settled(keep=40)
     away = others(sim, leader)[0]
     behind(sim, leader, away)
@@ -279,10 +307,13 @@
     sim.cut.clear()
     sim.run(sim.now + 5 * SECOND)
     assert spoilt and away.replica is not None and leader.replica is not None
-    assert away.replica.applied == leader.replica.applied and not sim.judge().broken
+    assert away.replica.applied == leader.replica.applied and not sim.check_history().broken
 
 
 def test_a_proposal_repeated_after_a_change_of_leader_has_its_effect_once() -> None:
+    """A client repeats a command because the leader died before it answered. The command may be in the log
+    twice, and takes effect once.
+    """
     sim, leader = settled(size=5)
     host = others(sim, leader)[0]
     assert host.replica is not None
@@ -305,13 +336,14 @@
 
 
 def test_leadership_goes_over_when_it_is_asked_for() -> None:
+    """An operator moves leadership to a certain member: it leads within 200 ms."""
     sim, leader = settled(size=5)
-    heir = others(sim, leader)[2]
+    target = others(sim, leader)[2]
     assert leader.replica is not None
     before = sim.now
-    leader.do(leader.replica.step(leader.now(), ev.TransferLeadership(Member(heir.name, heir.disk.id))))
+    leader.do(leader.replica.step(leader.now(), ev.TransferLeadership(Member(target.name, target.disk.id))))
     sim.run(sim.now + SECOND // 5)
-    assert sim.leader() is heir and sim.now - before <= SECOND // 5
+    assert sim.leader() is target and sim.now - before <= SECOND // 5
 
 
 def test_a_second_cluster_is_not_founded_beside_one_that_exists() -> None:
@@ -332,7 +364,7 @@
 
 def test_messages_come_as_they_were_sent() -> None:
     a, b = Member("a", "a1"), Member("b", "b1")
-    entry = Entry(7, 3, "members", encode_members(Membership((a, b), ())), "client", 9)
+    entry = Entry(7, 3, "members", encode_membership(Membership((a, b), ())), "client", 9)
     message = AppendRequest("c", a, b, 3, 6, 2, (entry,), 5, 11, 400_000)
     assert decode(encode(message)) == message
     for junk in (b"", b"\xff" * 40, encode(message)[:-3], b"\x81\xa4type\xa3odd"):
@@ -342,31 +374,31 @@
 
 def test_sessions_forget_in_order_and_alike() -> None:
     one = Sessions()
-    for serial in range(1, ANSWERS + 3):
-        assert one.once("c", serial, lambda serial=serial: b"%d" % serial)[1]  # type: ignore[misc]
-    assert one.once("c", 1, lambda: b"again") == (FORGOTTEN, False)
-    assert one.once("c", ANSWERS, lambda: b"again") == (b"%d" % ANSWERS, False)
+    for serial in range(1, ANSWER_COUNT + 3):
+        assert one.apply_once("c", serial, lambda serial=serial: b"%d" % serial)[1]  # type: ignore[misc]
+    assert one.apply_once("c", 1, lambda: b"again") == (FORGOTTEN_ANSWER, False)
+    assert one.apply_once("c", ANSWER_COUNT, lambda: b"again") == (b"%d" % ANSWER_COUNT, False)
     two = Sessions()
     two.load(one.dump())
     assert two.dump() == one.dump()
-    for number in range(CLIENTS):
-        one.once(f"x{number}", 1, lambda: b"")
-    assert one.find("c", ANSWERS) is None and one.find("x0", 1) is not None
+    for number in range(CLIENT_COUNT):
+        one.apply_once(f"x{number}", 1, lambda: b"")
+    assert one.find("c", ANSWER_COUNT) is None and one.find("x0", 1) is not None
 
 
 def test_the_check_of_histories_tells_possible_from_impossible() -> None:
     put, get = "put", "get"
-    assert linear(
+    assert is_linearizable(
         [Operation(put, "k", "a", 0, 2), Operation(get, "k", "", 1, 3), Operation(get, "k", "a", 4, 5)]
     )
-    assert not linear([Operation(put, "k", "a", 0, 2), Operation(get, "k", "", 3, 4)])  # stale
-    assert not linear(
+    assert not is_linearizable([Operation(put, "k", "a", 0, 2), Operation(get, "k", "", 3, 4)])  # stale
+    assert not is_linearizable(
         [Operation(put, "k", "a", 0, 9), Operation(get, "k", "a", 1, 2), Operation(get, "k", "", 3, 4)]
     )  # seen, then not
     lost = Operation(put, "k", "b", 1)  # no answer: it may have its effect late, or never
-    assert linear([lost, Operation(get, "k", "", 2, 3), Operation(get, "k", "b", 4, 5)])
-    assert linear([lost, Operation(get, "k", "", 2, 3)])
-    assert not linear([lost, Operation(get, "k", "b", 2, 3), Operation(get, "k", "", 4, 5)])
+    assert is_linearizable([lost, Operation(get, "k", "", 2, 3), Operation(get, "k", "b", 4, 5)])
+    assert is_linearizable([lost, Operation(get, "k", "", 2, 3)])
+    assert not is_linearizable([lost, Operation(get, "k", "b", 2, 3), Operation(get, "k", "", 4, 5)])
     swap = Operation("swap", "k", ">a", 0, 1, True)
-    assert linear([swap, Operation("swap", "k", ">b", 2, 3, False)])
-    assert not linear([swap, Operation("swap", "k", ">b", 2, 3, True)])  # both won
+    assert is_linearizable([swap, Operation("swap", "k", ">b", 2, 3, False)])
+    assert not is_linearizable([swap, Operation("swap", "k", ">b", 2, 3, True)])  # both won
