--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -25,12 +25,10 @@
     ReplicaMessage,
 )
 from harriertide.consensus.node import Node
+from harriertide.consensus.pending_requests import ClientCall, ClientRead, PendingRequests
 from harriertide.consensus.roles import InvariantViolationError
 from harriertide.consensus.sessions import Sessions
 
-# A proposal or a read without an answer goes out again, perhaps to another leader. Over two heartbeats: where
-# nothing is lost the answer is here by then.
-RETRY_INTERVAL_US = 250_000
 # Entries behind the last snapshot before the next one is taken: bounds memory and a start's replay.
 SNAPSHOT_INTERVAL_COUNT = 1024
 # Up to so many intervals the log is kept for a member that lacks entries: a snapshot would cost it more.
@@ -75,28 +73,6 @@
 Effect = ev.Effect | CallCompleted | ReadCompleted | CallExpired | EntryApplied
 
 
-@dataclass(slots=True)
-class _Call:
-    """A command that waits to be committed. sent_to: the leader that was asked last."""
-
-    client: str
-    serial: int
-    data: bytes
-    deadline_us: int
-    retry_at_us: int = 0
-    sent_to: Member | None = None
-
-
-@dataclass(slots=True)
-class _Read:
-    """A read that waits. index: it is linearizable once this is applied; None while that is not known."""
-
-    deadline_us: int
-    retry_at_us: int = 0
-    sent_to: Member | None = None
-    index: int | None = None
-
-
 class Replica:
     """Node, sessions and state machine of one member.
 
@@ -118,8 +94,7 @@
         self.node = node_class.restore(me, tuning, restored, random, now_us)
         self.applied_state = AppliedState(machine)
         self._snapshot_interval = snapshot_interval
-        self._calls: dict[int, _Call] = {}
-        self._reads: dict[int, _Read] = {}
+        self._pending = PendingRequests()
         self._last_read_index_number = 0
         # As leader, by number of a ReadIndex: who asked under which number, and which read here waits.
         self._remote_reads: dict[int, tuple[Member, int]] = {}
@@ -152,11 +127,7 @@
     @property
     def next_tick_us(self) -> int:
         """When this replica needs a Tick."""
-        earliest_us = self.node.next_tick_us
-        waiting: list[_Call | _Read] = [*self._calls.values(), *self._reads.values()]
-        for request in waiting:
-            earliest_us = min(earliest_us, request.deadline_us, request.retry_at_us)
-        return earliest_us
+        return self._pending.earliest_us(self.node.next_tick_us)
 
     # --- calls, reads and events ----------------------------------------------------------------------
 
@@ -189,7 +160,7 @@
         answer = self.sessions.find(client, serial)
         if answer is not None:
             return [CallCompleted(number, self.applied, answer)]
-        self._calls[number] = _Call(client, serial, data, deadline_us)
+        self._pending.add_call(ClientCall(number, client, serial, data, deadline_us))
         self._send_waiting(now_us)
         return self._effects
 
@@ -200,7 +171,7 @@
         :returns: what is to be done, in order
         """
         self._effects = []
-        self._reads[number] = _Read(deadline_us)
+        self._pending.add_read(ClientRead(number, deadline_us))
         self._send_waiting(now_us)
         return self._effects
 
@@ -222,8 +193,8 @@
                 number = self._next_read_index_number()
                 self._remote_reads[number] = (message.sender, message.number)
                 self._step_node(now_us, ev.ReadRequested(number))
-        elif message.number in self._reads:
-            self._reads[message.number].index = message.index
+        else:
+            self._pending.set_read_index(message.number, message.index)
             self._complete_reads()
 
     def _propose(self, now_us: int, client: str, serial: int, data: bytes) -> None:
@@ -245,67 +216,45 @@
 
     def _send_waiting(self, now_us: int) -> None:
         """Send calls and reads to a new leader, and again after a while."""
-        self._expire_waiting(now_us)
-        for call in list(self._calls.values()):
+        for number in self._pending.expire(now_us):
+            self._effects.append(CallExpired(number))
+        for call in self._pending.start_call_attempts(now_us, self.node.leader):
             self._send_call(now_us, call)
-        for number, read in list(self._reads.items()):
-            self._send_read(now_us, number, read)
-
-    def _expire_waiting(self, now_us: int) -> None:
-        waiting: dict[int, _Call | _Read] = {**self._calls, **self._reads}
-        for number, request in waiting.items():
-            if request.deadline_us <= now_us:
-                self._calls.pop(number, None)
-                self._reads.pop(number, None)
-                self._effects.append(CallExpired(number))
-
-    def _send_call(self, now_us: int, call: _Call) -> None:
+        for read in self._pending.start_read_attempts(now_us, self.node.leader):
+            self._send_read(now_us, read)
+
+    def _send_call(self, now_us: int, call: ClientCall) -> None:
         node, leader = self.node, self.node.leader
-        if leader is None:
-            call.retry_at_us = max(call.retry_at_us, now_us + RETRY_INTERVAL_US)
-            return
-        if call.sent_to == leader and now_us < call.retry_at_us:
-            return
-        call.sent_to = leader
-        call.retry_at_us = now_us + RETRY_INTERVAL_US
         if node.is_leader:
             self._propose(now_us, call.client, call.serial, call.data)
-        else:
+        elif leader is not None:
             proposal = Proposal(node.cluster, node.me, leader, node.term, call.client, call.serial, call.data)
             self._effects.append(ev.SendMessage(proposal))
 
-    def _send_read(self, now_us: int, number: int, read: _Read) -> None:
+    def _send_read(self, now_us: int, read: ClientRead) -> None:
         node, leader = self.node, self.node.leader
-        is_index_known = read.index is not None
-        if is_index_known or leader is None or (read.sent_to == leader and now_us < read.retry_at_us):
-            read.retry_at_us = max(read.retry_at_us, now_us + RETRY_INTERVAL_US)
-            return
-        read.sent_to = leader
-        read.retry_at_us = now_us + RETRY_INTERVAL_US
         if node.is_leader:
             read_index_number = self._next_read_index_number()
-            self._own_reads[read_index_number] = number
+            self._own_reads[read_index_number] = read.number
             self._step_node(now_us, ev.ReadRequested(read_index_number))
-        else:
-            request = ReadIndexRequest(node.cluster, node.me, leader, node.term, number)
+        elif leader is not None:
+            request = ReadIndexRequest(node.cluster, node.me, leader, node.term, read.number)
             self._effects.append(ev.SendMessage(request))
 
     def _complete_reads(self) -> None:
-        for number, read in list(self._reads.items()):
-            if read.index is not None and read.index <= self.applied:
-                del self._reads[number]
-                self._effects.append(ReadCompleted(number))
+        for number in self._pending.complete_reads(self.applied):
+            self._effects.append(ReadCompleted(number))
 
     # --- effects of the node --------------------------------------------------------------------------
 
     def _step_node(self, now_us: int, event: ev.Event) -> None:
         """Have the node take an event; perform its effects that are meant for the state machine."""
-        pending = deque(self.node.step(now_us, event))
-        while pending:
-            effect = pending.popleft()
+        effects = deque(self.node.step(now_us, event))
+        while effects:
+            effect = effects.popleft()
             match effect:
                 case ev.Committed():
-                    pending.extend(self._on_committed(now_us, effect))
+                    effects.extend(self._on_committed(now_us, effect))
                 case ev.InstallSnapshot():
                     self._on_install_snapshot(effect)
                 case ev.ReadConfirmed():
@@ -330,23 +279,20 @@
 
     def _apply(self, entry: Entry) -> None:
         answer, fresh = self.applied_state.apply(entry)
-        command = (entry.client, entry.serial)
-        self._proposed.discard(command)
+        self._proposed.discard((entry.client, entry.serial))
         if entry.kind == "command":
-            for number, call in list(self._calls.items()):
-                if (call.client, call.serial) == command:
-                    del self._calls[number]
-                    self._effects.append(CallCompleted(number, entry.index, answer))
+            for number in self._pending.complete_command(entry.client, entry.serial):
+                self._effects.append(CallCompleted(number, entry.index, answer))
         self._effects.append(EntryApplied(entry.index, self.digest, fresh))
 
     def _on_install_snapshot(self, effect: ev.InstallSnapshot) -> None:
         self.applied_state.load(effect.snapshot.index, effect.snapshot.data)
         self._effects.append(EntryApplied(self.applied, self.digest, False))
-        for number, call in list(self._calls.items()):
+        for call in self._pending.calls():
             answer = self.sessions.find(call.client, call.serial)
             if answer is not None:
-                del self._calls[number]
-                self._effects.append(CallCompleted(number, self.applied, answer))
+                self._pending.complete_call(call)
+                self._effects.append(CallCompleted(call.number, self.applied, answer))
         self._complete_reads()
 
     def _on_read_confirmed(self, effect: ev.ReadConfirmed) -> None:
@@ -356,9 +302,8 @@
             member, number = remote
             response = ReadIndexResponse(node.cluster, node.me, member, node.term, number, effect.index)
             self._effects.append(ev.SendMessage(response))
-        read = self._reads.get(self._own_reads.pop(effect.number, -1))
-        if read is not None:
-            read.index = effect.index
+        if effect.number in self._own_reads:
+            self._pending.set_read_index(self._own_reads.pop(effect.number), effect.index)
             self._complete_reads()
 
     def _take_snapshot(self, now_us: int) -> list[ev.Effect]:
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -30,8 +30,8 @@
 from harriertide.consensus.fanout_messages import SubtreeReport, TreeUpdate
 from harriertide.consensus.follower import Follower
 from harriertide.consensus.messages import Member, Message, Proposal
+from harriertide.consensus.pending_requests import RETRY_INTERVAL_US
 from harriertide.consensus.replica import (
-    RETRY_INTERVAL_US,
     CallCompleted,
     CallExpired,
     Effect,
