--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -1,42 +1,43 @@
-"""A member with its state machine: proposals and reads from any member, each with its effect once. Pure."""
+"""A Raft node with its state machine: takes calls and reads on any member, and applies what is committed.
+
+A call is sent to the leader, and again until it is answered or its deadline has passed; sessions see to it
+that it takes effect once. A read waits until the state here holds all that was committed when it was asked
+for. Pure: events in, effects out.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass
 from random import Random
-from typing import Protocol
 
 import xxhash
-from msgspec import msgpack
 
 from harriertide.consensus import events as ev
-from harriertide.consensus.events import Tuning
-from harriertide.consensus.messages import Entry, Member, Message, Proposal, ReadAnswer, ReadAsk
-from harriertide.consensus.node import NEVER_US, InvariantViolationError, Node
+from harriertide.consensus.applied_state import AppliedState, StateMachine
+from harriertide.consensus.events import LogEvent, Tuning
+from harriertide.consensus.messages import (
+    Entry,
+    Member,
+    Proposal,
+    ReadIndexRequest,
+    ReadIndexResponse,
+    ReplicaMessage,
+)
+from harriertide.consensus.node import Node
+from harriertide.consensus.pending_requests import ClientCall, ClientRead, PendingRequests
+from harriertide.consensus.roles import InvariantViolationError
 from harriertide.consensus.sessions import Sessions
 
-AGAIN_US = 250_000  # a proposal or read that is not answered goes out again, perhaps to another leader
-KEEP = 1024  # entries behind the last snapshot before the next is made
-KEEP_SLOW = 4  # times as many, for the sake of members that are behind
-
-
-class Machine(Protocol):
-    """What is agreed on. apply must depend on nothing but the state and its arguments."""
-
-    def apply(self, index: int, data: bytes) -> bytes:
-        """Take a command; its answer."""
-
-    def dump(self) -> bytes:
-        """All of the state."""
-
-    def load(self, data: bytes) -> None:
-        """In place of the state."""
+# Entries behind the last snapshot before the next one is taken: bounds memory and a start's replay.
+SNAPSHOT_INTERVAL_COUNT = 1024
+# Up to so many intervals the log is kept for a member that lacks entries: a snapshot would cost it more.
+LAGGING_MEMBER_INTERVALS = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """A call's command is agreed on, and this is its answer."""
+class CallCompleted:
+    """The command of a call is committed and applied, with this answer."""
 
     number: int
     index: int
@@ -44,294 +45,277 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Readable:
-    """The state may be read: it holds all that was agreed on when the question came."""
+class ReadCompleted:
+    """The state may be read: it holds all that was committed when the read was asked for."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class GaveUp:
-    """Its time is over. A command may still be agreed on later."""
+class CallExpired:
+    """The deadline of a call or read has passed. The command may still be committed later."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """For judges: the state's chain of hashes at an index."""
+class EntryApplied:
+    """The state's chain of hashes at an index, for the lab's checkers.
+
+    :param fresh: False for a repeated command, which had no effect
+    """
 
     index: int
     digest: int
-    fresh: bool  # False: a repeated command, without effect
-
-
-Effect = ev.Effect | Done | Readable | GaveUp | Applied
-
-
-@dataclass(slots=True)
-class _Call:
-    client: str
-    serial: int
-    data: bytes
-    deadline_at_us: int
-    again_us: int = 0
-    to: Member | None = None
-
-
-@dataclass(slots=True)
-class _Query:
-    deadline_at_us: int
-    again_us: int = 0
-    to: Member | None = None
-    index: int = -1  # known by now: right once this is applied
-
-
-class Course:
-    """A state machine with its sessions, and the chain of hashes of what it took."""
-
-    def __init__(self, machine: Machine) -> None:
-        self.machine, self.sessions = machine, Sessions()
-        self.applied = self.digest = 0
-
-    def apply(self, entry: Entry) -> tuple[bytes, bool]:
-        """The next entry: the answer to it, and whether it had an effect now."""
-        self.applied = entry.index
-        answer, fresh = b"", False
-        if entry.kind == "command":
-            answer, fresh = self.sessions.once(
-                entry.client, entry.serial, lambda: self.machine.apply(entry.index, entry.data)
-            )
-        said = b"%d %d %d " % (self.digest, entry.index, entry.term) + entry.data
-        self.digest = xxhash.xxh3_64_intdigest(said)
-        return answer, fresh
+    fresh: bool
 
-    def dump(self) -> bytes:
-        """All of it, as a snapshot carries it."""
-        return msgpack.encode((self.digest, self.sessions.dump(), self.machine.dump()))
 
-    def load(self, index: int, data: bytes) -> None:
-        """In place of what is here."""
-        self.digest, sessions, state = msgpack.decode(data, type=tuple[int, bytes, bytes])
-        self.sessions.load(sessions)
-        self.machine.load(state)
-        self.applied = index
+Effect = ev.Effect | CallCompleted | ReadCompleted | CallExpired | EntryApplied
 
 
 class Replica:
-    """Node, sessions and machine as one state."""
+    """Node, sessions and state machine of one member.
+
+    :param snapshot_interval: entries behind the last snapshot before the next one is taken
+    :param node_class: another one for the lab's seeded bugs
+    """
 
     def __init__(
         self,
         me: Member,
-        machine: Machine,
+        machine: StateMachine,
         tuning: Tuning,
-        found: ev.Restored,
+        restored: ev.RestoredState,
         random: Random,
         now_us: int,
-        keep: int = KEEP,
+        snapshot_interval: int = SNAPSHOT_INTERVAL_COUNT,
+        node_class: type[Node] = Node,
     ) -> None:
-        self.node = Node(me, tuning, found, random, now_us)
-        self.course, self.broken = Course(machine), ""
-        self.machine, self.sessions = machine, self.course.sessions
-        self._keep = keep
-        self._calls: dict[int, _Call] = {}
-        self._queries: dict[int, _Query] = {}
-        self._asked: dict[int, tuple[Member, int]] = {}  # reads of others, as leader
-        self._own: dict[int, int] = {}  # reads of this member, as leader: to the query's number
-        self._numbers = 0
-        self._appended: dict[tuple[str, int], int] = {}  # as leader: proposals in the log, and their index
-        self._out: list[Effect] = []
-        if found.snapshot is not None:
-            self.course.load(found.snapshot.index, found.snapshot.data)
+        self.node = node_class.restore(me, tuning, restored, random, now_us)
+        self.applied_state = AppliedState(machine)
+        self._snapshot_interval = snapshot_interval
+        self._pending = PendingRequests()
+        self._last_read_index_number = 0
+        # As leader, by number of a ReadIndex: who asked under which number, and which read here waits.
+        self._remote_reads: dict[int, tuple[Member, int]] = {}
+        self._own_reads: dict[int, int] = {}
+        self._proposed: set[tuple[str, int]] = set()  # as leader: commands that are in the log
+        self._effects: list[Effect] = []
+        if restored.snapshot is not None:
+            self.applied_state.load(restored.snapshot.index, restored.snapshot.data)
+
+    @property
+    def machine(self) -> StateMachine:
+        """What commands are applied to."""
+        return self.applied_state.machine
+
+    @property
+    def sessions(self) -> Sessions:
+        """Answers to commands that were applied."""
+        return self.applied_state.sessions
 
     @property
     def applied(self) -> int:
-        """The index of the last entry that the state holds."""
-        return self.course.applied
+        """Index of the last entry that was applied."""
+        return self.applied_state.applied
 
     @property
     def digest(self) -> int:
-        """Of the state's chain of hashes."""
-        return self.course.digest
+        """The state's chain of hashes."""
+        return self.applied_state.digest
 
     @property
-    def due_us(self) -> int:
-        """When it wants a Tick."""
-        due = self.node.due_us
-        rows: list[_Call | _Query] = [*self._calls.values(), *self._queries.values()]
-        for row in rows:
-            due = min(due, row.deadline_at_us, row.again_us)
-        return due
+    def next_tick_us(self) -> int:
+        """When this replica needs a Tick."""
+        return self._pending.earliest_us(self.node.next_tick_us)
 
-    # --- the way in -----------------------------------------------------------------------------------
+    # --- calls, reads and events ----------------------------------------------------------------------
 
     def step(self, now_us: int, event: ev.Event) -> list[Effect]:
-        """Take an event of the node's."""
-        self._out = []
+        """Take an event of the node.
+
+        :returns: what is to be done, in order
+        """
+        self._effects = []
         try:
-            if isinstance(event, ev.Received) and isinstance(event.message, (Proposal, ReadAsk, ReadAnswer)):
-                self._hear(now_us, event.message)
+            if isinstance(event, ev.MessageReceived) and isinstance(event.message, ReplicaMessage):
+                self._on_replica_message(now_us, event.message)
             else:
-                self._do(now_us, self.node.step(now_us, event))
-            self._again(now_us)
-        except InvariantViolationError as fault:
-            self._break(now_us, str(fault))
-        return self._out
+                self._step_node(now_us, event)
+            self._send_waiting(now_us)
+        except InvariantViolationError as error:
+            self._halt(now_us, str(error))
+        return self._effects
 
     def call(
-        self, now_us: int, number: int, client: str, serial: int, data: bytes, deadline_at_us: int
+        self, now_us: int, number: int, client: str, serial: int, data: bytes, deadline_us: int
     ) -> list[Effect]:
-        """Agree on a command. client and serial: the same for each try of one command, and of no other."""
-        self._out = []
-        known = self.sessions.find(client, serial)
-        if known is not None:
-            return [Done(number, self.applied, known)]
-        self._calls[number] = _Call(client, serial, data, deadline_at_us)
-        self._again(now_us)
-        return self._out
-
-    def query(self, now_us: int, number: int, deadline_at_us: int) -> list[Effect]:
-        """Ask when the state may be read."""
-        self._out = []
-        self._queries[number] = _Query(deadline_at_us)
-        self._again(now_us)
-        return self._out
-
-    def _break(self, now_us: int, why: str) -> None:
-        self.broken = why
-        self._do(now_us, self.node.step(now_us, ev.SyncFailed()))
-        self.node.role = "halted"
-        self._out.append(ev.Noted("broken", self.node.term, why))
-
-    # --- proposals and reads --------------------------------------------------------------------------
-
-    def _hear(self, now_us: int, message: Message) -> None:
+        """Have a command committed and applied.
+
+        :param number: repeated in the CallCompleted or CallExpired
+        :param client: with serial the same for each attempt of one command, and of no other command
+        :returns: what is to be done, in order
+        """
+        self._effects = []
+        answer = self.sessions.find(client, serial)
+        if answer is not None:
+            return [CallCompleted(number, self.applied, answer)]
+        self._pending.add_call(ClientCall(number, client, serial, data, deadline_us))
+        self._send_waiting(now_us)
+        return self._effects
+
+    def query(self, now_us: int, number: int, deadline_us: int) -> list[Effect]:
+        """Find when the state may be read.
+
+        :param number: repeated in the ReadCompleted or CallExpired
+        :returns: what is to be done, in order
+        """
+        self._effects = []
+        self._pending.add_read(ClientRead(number, deadline_us))
+        self._send_waiting(now_us)
+        return self._effects
+
+    def _halt(self, now_us: int, reason: str) -> None:
+        """An invariant does not hold: answer nothing any more, and write nothing."""
+        self._step_node(now_us, ev.SyncFailed())
+        self._effects.append(ev.LogLine(LogEvent.BROKEN.value, self.node.term, reason))
+
+    # --- messages of other replicas -------------------------------------------------------------------
+
+    def _on_replica_message(self, now_us: int, message: ReplicaMessage) -> None:
         node = self.node
         if message.to != node.me or message.cluster != node.cluster:
             return
         if isinstance(message, Proposal):
             self._propose(now_us, message.client, message.serial, message.data)
-        elif isinstance(message, ReadAsk) and node.leads:
-            self._numbers += 1
-            self._asked[self._numbers] = (message.sender, message.number)
-            self._do(now_us, node.step(now_us, ev.ReadAsked(self._numbers)))
-        elif isinstance(message, ReadAnswer) and message.number in self._queries:
-            self._queries[message.number].index = message.index
-            self._readable()
+        elif isinstance(message, ReadIndexRequest):
+            if node.is_leader:
+                number = self._next_read_index_number()
+                self._remote_reads[number] = (message.sender, message.number)
+                self._step_node(now_us, ev.ReadRequested(number))
+        else:
+            self._pending.set_read_index(message.number, message.index)
+            self._complete_reads()
 
     def _propose(self, now_us: int, client: str, serial: int, data: bytes) -> None:
-        """As leader: append it, unless it is in the log or has had its effect."""
-        name = (client, serial)
-        if not self.node.leads or name in self._appended or self.sessions.find(client, serial) is not None:
+        """As leader: append a command, unless it is in the log already or was applied."""
+        command = (client, serial)
+        is_known = command in self._proposed or self.sessions.find(client, serial) is not None
+        if not self.node.is_leader or is_known:
             return
-        index = self.node.log.last_index + 1
-        self._do(now_us, self.node.step(now_us, ev.Proposed(client, serial, data)))
-        if self.node.log.last_index >= index:
-            self._appended[name] = index
-
-    def _again(self, now_us: int) -> None:
-        """Send on what waits: to a leader that is new, and again after a while."""
+        next_index = self.node.log.last_index + 1
+        self._step_node(now_us, ev.Proposed(client, serial, data))
+        if self.node.log.last_index >= next_index:
+            self._proposed.add(command)
+
+    def _next_read_index_number(self) -> int:
+        self._last_read_index_number += 1
+        return self._last_read_index_number
+
+    # --- what waits here ------------------------------------------------------------------------------
+
+    def _send_waiting(self, now_us: int) -> None:
+        """Send calls and reads to a new leader, and again after a while."""
+        for number in self._pending.expire(now_us):
+            self._effects.append(CallExpired(number))
+        for call in self._pending.start_call_attempts(now_us, self.node.leader):
+            self._send_call(now_us, call)
+        for read in self._pending.start_read_attempts(now_us, self.node.leader):
+            self._send_read(now_us, read)
+
+    def _send_call(self, now_us: int, call: ClientCall) -> None:
         node, leader = self.node, self.node.leader
-        rows: dict[int, _Call | _Query] = {**self._calls, **self._queries}
-        for number in [n for n, row in rows.items() if row.deadline_at_us <= now_us]:
-            self._calls.pop(number, None)
-            self._queries.pop(number, None)
-            self._out.append(GaveUp(number))
-        for call in list(self._calls.values()):
-            if leader is None or (call.to == leader and now_us < call.again_us):
-                call.again_us = max(call.again_us, now_us + AGAIN_US) if leader is None else call.again_us
-                continue
-            call.to, call.again_us = leader, now_us + AGAIN_US
-            if node.leads:
-                self._propose(now_us, call.client, call.serial, call.data)
-            else:
-                message = Proposal(
-                    node.cluster, node.me, leader, node.term, call.client, call.serial, call.data
-                )
-                self._out.append(ev.Transmit(message))
-        for number, query in list(self._queries.items()):
-            if query.index >= 0 or leader is None or (query.to == leader and now_us < query.again_us):
-                query.again_us = max(query.again_us, now_us + AGAIN_US)
-                continue
-            query.to, query.again_us = leader, now_us + AGAIN_US
-            if node.leads:
-                self._numbers += 1
-                self._own[self._numbers] = number
-                self._do(now_us, node.step(now_us, ev.ReadAsked(self._numbers)))
-            else:
-                self._out.append(ev.Transmit(ReadAsk(node.cluster, node.me, leader, node.term, number)))
-
-    def _readable(self) -> None:
-        for number in [n for n, q in self._queries.items() if 0 <= q.index <= self.applied]:
-            del self._queries[number]
-            self._out.append(Readable(number))
-
-    # --- the node's effects ---------------------------------------------------------------------------
-
-    def _do(self, now_us: int, effects: list[ev.Effect]) -> None:
-        todo = deque(effects)
-        while todo:
-            effect = todo.popleft()
-            if isinstance(effect, ev.Committed):
-                for entry in effect.entries:
-                    self._apply(entry)
-                self._readable()
-                todo.extend(self._compact(now_us))
-            elif isinstance(effect, ev.Install):
-                self.course.load(effect.snapshot.index, effect.snapshot.data)
-                self._out.append(Applied(self.applied, self.digest, False))
-                self._finish()
-                self._readable()
-            elif isinstance(effect, ev.ReadReady):
-                self._read_ready(effect)
-            elif isinstance(effect, ev.ReadLost):
-                self._asked.pop(effect.number, None)
-                self._own.pop(effect.number, None)
-            else:
-                if isinstance(effect, ev.Noted) and effect.what in ("leads", "follows"):
-                    self._appended = {}
-                self._out.append(effect)
+        if node.is_leader:
+            self._propose(now_us, call.client, call.serial, call.data)
+        elif leader is not None:
+            proposal = Proposal(node.cluster, node.me, leader, node.term, call.client, call.serial, call.data)
+            self._effects.append(ev.SendMessage(proposal))
 
-    def _read_ready(self, effect: ev.ReadReady) -> None:
-        node = self.node
-        if effect.number in self._asked:
-            member, number = self._asked.pop(effect.number)
-            answer = ReadAnswer(node.cluster, node.me, member, node.term, number, effect.index)
-            self._out.append(ev.Transmit(answer))
-        query = self._queries.get(self._own.pop(effect.number, -1))
-        if query is not None:
-            query.index = effect.index
-            self._readable()
+    def _send_read(self, now_us: int, read: ClientRead) -> None:
+        node, leader = self.node, self.node.leader
+        if node.is_leader:
+            read_index_number = self._next_read_index_number()
+            self._own_reads[read_index_number] = read.number
+            self._step_node(now_us, ev.ReadRequested(read_index_number))
+        elif leader is not None:
+            request = ReadIndexRequest(node.cluster, node.me, leader, node.term, read.number)
+            self._effects.append(ev.SendMessage(request))
+
+    def _complete_reads(self) -> None:
+        for number in self._pending.complete_reads(self.applied):
+            self._effects.append(ReadCompleted(number))
+
+    # --- effects of the node --------------------------------------------------------------------------
+
+    def _step_node(self, now_us: int, event: ev.Event) -> None:
+        """Have the node take an event; perform its effects that are meant for the state machine."""
+        effects = deque(self.node.step(now_us, event))
+        while effects:
+            effect = effects.popleft()
+            match effect:
+                case ev.Committed():
+                    effects.extend(self._on_committed(now_us, effect))
+                case ev.InstallSnapshot():
+                    self._on_install_snapshot(effect)
+                case ev.ReadConfirmed():
+                    self._on_read_confirmed(effect)
+                case ev.ReadAborted():
+                    self._remote_reads.pop(effect.number, None)
+                    self._own_reads.pop(effect.number, None)
+                case _:
+                    self._forget_proposals_of_other_terms(effect)
+                    self._effects.append(effect)
+
+    def _forget_proposals_of_other_terms(self, effect: ev.Effect) -> None:
+        """With the leader the log changes: what was proposed to the last one may be in no log any more."""
+        if isinstance(effect, ev.LogLine) and effect.event in (LogEvent.LEADS, LogEvent.FOLLOWS):
+            self._proposed.clear()
+
+    def _on_committed(self, now_us: int, effect: ev.Committed) -> list[ev.Effect]:
+        for entry in effect.entries:
+            self._apply(entry)
+        self._complete_reads()
+        return self._take_snapshot(now_us)
 
     def _apply(self, entry: Entry) -> None:
-        answer, fresh = self.course.apply(entry)
-        name = (entry.client, entry.serial)
-        self._appended.pop(name, None)
+        answer, fresh = self.applied_state.apply(entry)
+        self._proposed.discard((entry.client, entry.serial))
         if entry.kind == "command":
-            for number in [n for n, c in self._calls.items() if (c.client, c.serial) == name]:
-                del self._calls[number]
-                self._out.append(Done(number, entry.index, answer))
-        self._out.append(Applied(entry.index, self.digest, fresh))
-
-    def _finish(self) -> None:
-        """After a snapshot: calls that it holds the answers of."""
-        for number, call in list(self._calls.items()):
-            known = self.sessions.find(call.client, call.serial)
-            if known is not None:
-                del self._calls[number]
-                self._out.append(Done(number, self.applied, known))
-
-    def _compact(self, now_us: int) -> list[ev.Effect]:
+            for number in self._pending.complete_command(entry.client, entry.serial):
+                self._effects.append(CallCompleted(number, entry.index, answer))
+        self._effects.append(EntryApplied(entry.index, self.digest, fresh))
+
+    def _on_install_snapshot(self, effect: ev.InstallSnapshot) -> None:
+        self.applied_state.load(effect.snapshot.index, effect.snapshot.data)
+        self._effects.append(EntryApplied(self.applied, self.digest, False))
+        for call in self._pending.calls():
+            answer = self.sessions.find(call.client, call.serial)
+            if answer is not None:
+                self._pending.complete_call(call)
+                self._effects.append(CallCompleted(call.number, self.applied, answer))
+        self._complete_reads()
+
+    def _on_read_confirmed(self, effect: ev.ReadConfirmed) -> None:
+        node = self.node
+        remote = self._remote_reads.pop(effect.number, None)
+        if remote is not None:
+            member, number = remote
+            response = ReadIndexResponse(node.cluster, node.me, member, node.term, number, effect.index)
+            self._effects.append(ev.SendMessage(response))
+        if effect.number in self._own_reads:
+            self._pending.set_read_index(self._own_reads.pop(effect.number), effect.index)
+            self._complete_reads()
+
+    def _take_snapshot(self, now_us: int) -> list[ev.Effect]:
+        """Dump the state machine once the log is long, unless a member lacks entries that would go."""
         log = self.node.log
-        behind = self.applied - log.base_index
-        if behind < self._keep:
+        interval = self._snapshot_interval
+        log_length = self.applied - log.base_index
+        if log_length < interval:
             return []
-        near = [p.match for p in self.node.progress.values()]
-        if near and min(near) < self.applied - self._keep // 2 and behind < KEEP_SLOW * self._keep:
-            return []  # a member lacks what would go; a snapshot costs it more
-        data = self.course.dump()
-        return self.node.step(now_us, ev.Compacted(self.applied, data, xxhash.xxh3_64_intdigest(data)))
-
-
-__all__ = ["NEVER_US", "Applied", "Course", "Done", "Effect", "GaveUp", "Machine", "Readable", "Replica"]
+        match_indexes = [progress.match_index for progress in self.node.progress.values()]
+        is_member_lagging = bool(match_indexes) and min(match_indexes) < self.applied - interval // 2
+        if is_member_lagging and log_length < LAGGING_MEMBER_INTERVALS * interval:
+            return []
+        data = self.applied_state.dump()
+        return self.node.step(now_us, ev.SnapshotTaken(self.applied, data, xxhash.xxh3_64_intdigest(data)))
--- a/harriertide/control/follower_member.py
+++ b/harriertide/control/follower_member.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
+from harriertide.consensus.applied_state import AppliedState, StateMachine
 from harriertide.consensus.fanout import UPDATE_ENTRY_COUNT
 from harriertide.consensus.fanout_messages import TreeUpdate
 from harriertide.consensus.follower import Follower
 from harriertide.consensus.messages import Entry, Member, Message, Proposal
-from harriertide.consensus.applied_state import AppliedState, StateMachine
-from harriertide.consensus.replica import RETRY_INTERVAL_US
+from harriertide.consensus.pending_requests import RETRY_INTERVAL_US
 from harriertide.consensus.roster import Founding, Hello
 from harriertide.control.member_link import ClientCommand, MemberLink
 from harriertide.control.pending_calls import NOT_AGREED
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
+from harriertide.consensus.applied_state import StateMachine
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.fanout import FanoutTree
 from harriertide.consensus.fanout_messages import SubtreeReport, SubtreeTotals, TreeUpdate
-from harriertide.consensus.applied_state import StateMachine
 from harriertide.control.environment import Environment
 from harriertide.control.event_log import EventSink
 from harriertide.control.follower_member import FollowerMember
--- a/harriertide/control/member_link.py
+++ b/harriertide/control/member_link.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.fanout import FanoutTree, GrantRound
 from harriertide.consensus.fanout_messages import SubtreeReport, TreeUpdate
 from harriertide.consensus.messages import Entry, Message
-from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.roster import Founding, Hello
 from harriertide.control.environment import Environment
 from harriertide.control.event_log import EventSink
--- a/harriertide/control/tree_updates.py
+++ b/harriertide/control/tree_updates.py
@@ -10,10 +10,10 @@
 
 import xxhash
 
+from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.fanout import UPDATE_BYTES, UPDATE_ENTRY_COUNT, FanoutTree
 from harriertide.consensus.fanout_messages import TreeUpdate
 from harriertide.consensus.messages import Entry
-from harriertide.consensus.applied_state import AppliedState
 
 
 class UpdateSource(Protocol):
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -10,6 +10,8 @@
 import msgspec
 
 from harriertide.consensus import events as ev
+from harriertide.consensus.applied_state import AppliedState, StateMachine
+from harriertide.consensus.disk_format import DamagedError
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.fanout import (
     REPORT_INTERVAL_US,
@@ -19,7 +21,6 @@
 )
 from harriertide.consensus.fanout_messages import TreeUpdate
 from harriertide.consensus.messages import Entry, Member, Message, Proposal
-from harriertide.consensus.applied_state import AppliedState, StateMachine
 from harriertide.consensus.replica import (
     CallCompleted,
     CallExpired,
@@ -29,7 +30,6 @@
     Replica,
 )
 from harriertide.consensus.roster import Founding, Hello
-from harriertide.consensus.disk_format import DamagedError
 from harriertide.consensus.store import StoreError, set_aside
 from harriertide.control.cluster_membership import ClusterMembership
 from harriertide.control.disk_writer import DiskWriter
--- a/harriertide/lab/benchmarks/library_overhead.py
+++ b/harriertide/lab/benchmarks/library_overhead.py
@@ -33,10 +33,11 @@
 from harriertide.decide.settings import Names
 from harriertide.engine.clock import Clock, until
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import NodeClient
+from harriertide.http.node_client import NodeClient
 from harriertide.lab.simulation import stand_in_nodes
 from harriertide.library import Attempt, Broker, Node, NodeList, RequestSpec
 from harriertide.platform.configuration import Config
+from harriertide.platform.endpoint_page import parse_page
 
 WAYS = ("direct", "library", "daemon")
 FIGURES = ("p50", "p99", "p99.9", "cpu")
@@ -65,7 +66,9 @@
         known = {"seq": 0, "whole": True, "hosts": [
             {"host": "box-0", "dial": box, "site": "a", "block": 0, "health": "up", "born_ms": 0},
         ]}  # fmt: skip
-        config = Config("d", ("127.0.0.1", 0), "127.0.0.1:1", 1, SETTINGS, names, None, [], known)
+        config = Config(
+            "d", ("127.0.0.1", 0), "127.0.0.1:1", 1, SETTINGS, names, None, [], parse_page(known, {})
+        )
         daemon = Daemon(config, None)
         await daemon.start()
         gc.collect()
@@ -162,7 +165,7 @@
 ) -> dict[str, Any]:
     """Figures by way: medians over the rounds."""
     clock = Clock(asyncio.get_running_loop())
-    limits = Limits.share(512, 128)
+    limits = Limits.from_resources(512, 128)
     box, front = (f"127.0.0.1:{port}" for port in ports)
     clients = [NodeClient({"box-0": at}.get, CONNECT_US, IDLE_US, limits) for at in (box, front)]
     rows: dict[str, list[dict[str, float]]] = {way: [] for way in WAYS}
--- a/harriertide/lab/cluster.py
+++ b/harriertide/lab/cluster.py
@@ -1,8 +1,8 @@
-"""Members of the agreed log in virtual time: links, disks and clocks that fail, clients, and a judgement.
+"""Members of the agreed log in virtual time: links, disks and clocks that fail, clients, and checkers.
 
-A course is drawn from one seed and plays the same each time. Members are whole (replica, sessions, roster,
-founding on empty disks); only sockets and files are missing. What is judged is read from what members told
-and from the clients' history; the judges share no code with the members.
+A run is drawn from one seed and is the same each time. Members are whole (replica, sessions, roster,
+founding on empty disks); only sockets and files are missing. What is checked is read from what members emit
+and from the clients' history; the checkers share no code with the members.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.messages import Entry, Member, Message, Snapshot
 from harriertide.consensus.node import NEVER_US, Node
-from harriertide.consensus.replica import Applied, Done, GaveUp, Readable, Replica
-from harriertide.consensus.roster import Found, Hello, Roster
-from harriertide.lab.history import Operation, crooked
+from harriertide.consensus.replica import CallCompleted, CallExpired, EntryApplied, ReadCompleted, Replica
+from harriertide.consensus.roster import Founding, Hello, Roster
+from harriertide.lab.history import Operation, non_linearizable
 
 SECOND = 1_000_000
 
 
 class Registers:
-    """The state machine of the courses: named registers."""
+    """The state machine of the runs: named registers."""
 
     def __init__(self) -> None:
         self.values: dict[str, str] = {}
@@ -67,19 +67,19 @@
     def write(self, work: ev.Persist) -> None:
         """One that has come to the platter."""
         self.cluster, self.term = work.cluster, work.term
-        self.vote = None if self.lies else work.vote
+        self.vote = None if self.lies else work.voted_for
         if work.snapshot is not None:
             self.snapshot = work.snapshot
-        if work.cut:
-            self.entries = [entry for entry in self.entries if entry.index < work.cut]
+        if work.truncate_from:
+            self.entries = [entry for entry in self.entries if entry.index < work.truncate_from]
         base = self.snapshot.index if self.snapshot else 0
         self.entries += work.entries
         if work.snapshot is not None:
             self.entries = [entry for entry in self.entries if entry.index > base]
 
-    def found(self) -> ev.Restored:
+    def restored(self) -> ev.RestoredState:
         """As a start reads it."""
-        return ev.Restored(self.cluster, self.term, self.vote, self.snapshot, tuple(self.entries))
+        return ev.RestoredState(self.cluster, self.term, self.vote, self.snapshot, tuple(self.entries))
 
 
 class Host:
@@ -99,8 +99,8 @@
     def new_disk(self) -> Disk:
         """An empty one under the same name."""
         self.disks += 1
-        disk_id = f"{self.name}{1 if self.sim.planted == 'empty-disk-votes' else self.disks}"
-        return Disk(disk_id, lies=self.sim.planted == "vote-not-synced")
+        disk_id = f"{self.name}{1 if self.sim.seeded_bug == 'empty-disk-votes' else self.disks}"
+        return Disk(disk_id, lies=self.sim.seeded_bug == "vote-not-synced")
 
     def now(self) -> int:
         """Its own clock."""
@@ -116,10 +116,9 @@
         self.disk.waiting = []
         me = Member(self.name, self.disk.id)
         self.replica = Replica(
-            me, Registers(), self.sim.tuning, self.disk.found(), Random(self.sim.random.random()), self.now(),
-            keep=self.sim.keep,
+            me, Registers(), self.sim.tuning, self.disk.restored(), Random(self.sim.random.random()),
+            self.now(), snapshot_interval=self.sim.keep, node_class=self.sim.node_class,
         )  # fmt: skip
-        self.replica.node.__class__ = self.sim.node_class
         self.roster = Roster(me, tuple(self.sim.names))
         self.wake_us = NEVER_US
         self.do([])
@@ -142,21 +141,21 @@
             self.sim.at(self.paused_until, self._beat, life)
             return
         node, now = self.replica.node, self.now()
-        hello = self.roster.hello(now, node)
+        hello = self.roster.next_hello(now, node)
         if hello is not None:
             for name in self.sim.names:
                 if name != self.name:
                     self.sim.post(self.name, name, hello)
         if not node.cluster:
-            found = self.roster.found(now, f"c{self.sim.random.randrange(1 << 30)}")
-            if found is not None and self.roster.accepts(found, node):
-                self.do(node.form(now, found.cluster, found.members))
+            found = self.roster.propose_founding(now, f"c{self.sim.random.randrange(1 << 30)}")
+            if found is not None and self.roster.accepts_founding(found, node):
+                self.do(node.found_cluster(now, found.cluster, found.members))
                 self.sim.founded = found
         elif self.sim.founded is not None and node.log.last_index and self.name == self.sim.names[0]:
             for name in self.sim.names[1:]:
                 if not self.sim.hosts[name].disk.cluster:
                     self.sim.post(self.name, name, self.sim.founded)
-        step = self.roster.next(now, node)
+        step = self.roster.next_change(now, node)
         if step is not None:
             self.do(self.replica.step(now, step))
         self.sim.at(self.sim.now + 100_000, self._beat, life)
@@ -169,12 +168,12 @@
             self.sim.at(self.paused_until + 1, self._hear_late, self.life, message)
             return
         if isinstance(message, Hello):
-            self.roster.hear(self.now(), message)
-        elif isinstance(message, Found):
-            if self.roster.accepts(message, self.replica.node):
-                self.do(self.replica.node.form(self.now(), message.cluster, message.members))
+            self.roster.on_hello(self.now(), message)
+        elif isinstance(message, Founding):
+            if self.roster.accepts_founding(message, self.replica.node):
+                self.do(self.replica.node.found_cluster(self.now(), message.cluster, message.members))
         else:
-            self.do(self.replica.step(self.now(), ev.Received(message)))
+            self.do(self.replica.step(self.now(), ev.MessageReceived(message)))
 
     def _hear_late(self, life: int, message: Any) -> None:
         if life == self.life:
@@ -194,20 +193,20 @@
         """Perform effects."""
         sim = self.sim
         for effect in effects:
-            if isinstance(effect, ev.Transmit):
+            if isinstance(effect, ev.SendMessage):
                 sim.post(self.name, effect.message.to.name, effect.message)
             elif isinstance(effect, ev.Persist):
                 self.disk.waiting.append(effect)
                 took = int(self.disk.late_us * sim.random.uniform(0.5, 1.5))
                 sim.at(sim.now + took, self._synced, self.life, effect, took)
-            elif isinstance(effect, Applied):
+            elif isinstance(effect, EntryApplied):
                 sim.applied(self.name, effect)
-            elif isinstance(effect, (Done, Readable, GaveUp)):
+            elif isinstance(effect, (CallCompleted, ReadCompleted, CallExpired)):
                 sim.answered(self, effect)
-            elif isinstance(effect, ev.Noted):
+            elif isinstance(effect, ev.LogLine):
                 sim.noted(self.name, effect)
         if self.replica is not None:
-            due = self.replica.due_us
+            due = self.replica.next_tick_us
             if due < self.wake_us:
                 self.wake_us = due
                 sim.at(max(sim.now, self.real(due)), self.tick, self.life)
@@ -228,7 +227,7 @@
 
 @dataclass
 class Verdict:
-    """What a course showed."""
+    """What a run showed."""
 
     broken: list[str] = field(default_factory=list)
     operations: int = 0
@@ -239,7 +238,7 @@
 
 
 class Cluster:
-    """The course: events by their time, links between hosts, and the judges' books."""
+    """A run: events by their time, links between hosts, and what the checkers keep."""
 
     def __init__(
         self,
@@ -247,18 +246,19 @@
         size: int = 5,
         tuning: Tuning | None = None,
         node_class: type[Node] = Node,
-        planted: str = "",
+        seeded_bug: str = "",
         keep: int = 40,
     ) -> None:
         self.random = Random(seed)
-        self.tuning, self.node_class, self.planted, self.keep = tuning or Tuning(), node_class, planted, keep
+        self.tuning, self.keep = tuning or Tuning(), keep
+        self.node_class, self.seeded_bug = node_class, seeded_bug
         self.now = 0
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._made = 0
         self.lost, self.doubled = 0.0, 0.02
         self.late = (300, 8_000)
         self.cut: set[tuple[str, str]] = set()
-        self.founded: Found | None = None
+        self.founded: Founding | None = None
         self.names = [chr(ord("a") + place) for place in range(size)]
         self.hosts: dict[str, Host] = {}
         for name in self.names:
@@ -285,46 +285,46 @@
             act(*args)
         self.now = until
 
-    def post(self, a: str, b: str, message: Message | Hello | Found) -> None:
+    def post(self, a: str, b: str, message: Message | Hello | Founding) -> None:
         """Over the link from a to b."""
         if (a, b) in self.cut or b not in self.hosts or self.random.random() < self.lost:
             return
         for _ in range(1 + (self.random.random() < self.doubled)):
             self.at(self.now + self.random.randint(*self.late), self.hosts[b].hear, message)
 
-    # --- the judges' books ----------------------------------------------------------------------------
+    # --- checkers ----------------------------------------------------------------------------------
 
-    def applied(self, name: str, effect: Applied) -> None:
+    def applied(self, name: str, effect: EntryApplied) -> None:
         """A member's state at an index: the same at all members."""
         was = self._digests.setdefault(effect.index, effect.digest)
         if was != effect.digest:
             self.verdict.broken.append(f"{name}: another state at index {effect.index}")
 
-    def noted(self, name: str, effect: ev.Noted) -> None:
+    def noted(self, name: str, effect: ev.LogLine) -> None:
         """One leader a term; nobody finds an invariant broken."""
-        if effect.what == "leads":
+        if effect.event == "leads":
             self.verdict.elections += 1
             if self._leaders.setdefault(effect.term, name) != name:
                 self.verdict.broken.append(
                     f"term {effect.term}: {self._leaders[effect.term]} and {name} lead"
                 )
-        elif effect.what == "broken":
+        elif effect.event == "broken":
             self.verdict.broken.append(f"{name}: {effect.detail}")
 
-    def answered(self, host: Host, effect: Done | Readable | GaveUp) -> None:
+    def answered(self, host: Host, effect: CallCompleted | ReadCompleted | CallExpired) -> None:
         """A client's call is over."""
         row = self._open.pop(effect.number, None)
         if row is None:
             return
         what, key, value, began, _, _, then = row
-        if isinstance(effect, Readable):
+        if isinstance(effect, ReadCompleted):
             assert host.replica is not None and isinstance(host.replica.machine, Registers)
             value = host.replica.machine.values.get(key, "")
-        if isinstance(effect, GaveUp):
+        if isinstance(effect, CallExpired):
             self.history.append(Operation(what, key, value, began))  # type: ignore[arg-type]
         else:
             self.verdict.answered += 1
-            done = not isinstance(effect, Done) or effect.answer == b"yes"
+            done = not isinstance(effect, CallCompleted) or effect.answer == b"yes"
             self.history.append(Operation(what, key, value, began, self.now, done))  # type: ignore[arg-type]
         then()
 
@@ -370,7 +370,7 @@
     def leader(self) -> Host | None:
         """A leader that a majority can reach both ways, if there is one."""
         for host in self.hosts.values():
-            if host.replica is None or not host.replica.node.leads or self.now < host.paused_until:
+            if host.replica is None or not host.replica.node.is_leader or self.now < host.paused_until:
                 continue
             near = 1
             for name, other in self.hosts.items():
@@ -380,9 +380,9 @@
                 return host
         return None
 
-    def judge(self) -> Verdict:
-        """After the course: histories too."""
-        for key in crooked(self.history):
+    def check_history(self) -> Verdict:
+        """After the run: histories too."""
+        for key in non_linearizable(self.history):
             self.verdict.broken.append(f"register {key}: its history can't have happened")
         return self.verdict
 
@@ -453,16 +453,16 @@
 )
 
 
-def course(
+def run_simulation(
     seed: int,
     size: int = 5,
     seconds: float = 12.0,
     node_class: type[Node] = Node,
-    planted: str = "",
+    seeded_bug: str = "",
     faults: tuple[str, ...] = FAULTS,
 ) -> Verdict:
-    """A drawn course under clients; at its end all is healed, and must agree and serve."""
-    sim = Cluster(seed, size, node_class=node_class, planted=planted)
+    """A drawn run under clients; at its end all is healed, and must agree and serve."""
+    sim = Cluster(seed, size, node_class=node_class, seeded_bug=seeded_bug)
     for host in sim.hosts.values():
         sim.at(sim.random.randint(0, 300_000), sim._start, host)
     end = int(seconds * SECOND)
@@ -498,11 +498,11 @@
             sim.verdict.broken.append("a call is not answered after all was healed")
         behind = [
             h.name for h in sim.hosts.values()
-            if h.replica is None or h.replica.applied < led.replica.node.commit
+            if h.replica is None or h.replica.applied < led.replica.node.commit_index
         ]  # fmt: skip
         if behind:
             sim.verdict.broken.append(f"{', '.join(behind)} did not catch up")
         voters = sorted(m.name for m in led.replica.node.members.voters)
         if voters != sim.names:
             sim.verdict.broken.append(f"voters are {', '.join(voters)} in the end")
-    return sim.judge()
+    return sim.check_history()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -13,9 +13,9 @@
 import pytest
 
 from harriertide.config import operator_file
+from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.events import Persist, RestoredState, Synced, Tick, Tuning
 from harriertide.consensus.messages import Member, Membership
-from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.replica import CallCompleted, Replica
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
