--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -38,7 +38,7 @@
 from harriertide.platform.peers import parse_address
 
 TICK_S = 0.025  # a lease that ends is seen this late by the object front; writes ask by the clock
-LOOK_INTERVAL_US = 200_000  # of the planner, where nothing new has come
+PLANNING_INTERVAL_US = 200_000  # between planning rounds, where nothing new has come
 
 
 class MaintenanceService:
@@ -103,7 +103,7 @@
         preview = OrderPreview(self.machine, self.member, self.planner, self.planner_settings, nodes)
         self._api = MaintenanceApi(self.machine, self.member, self._observer, preview, self._events, self)
         self._led_term = 0  # the term in which this broker plans; 0: it does not
-        self._next_look_us = 0
+        self._next_planning_us = 0
         self._is_leaving = False
         self._is_ending = False
         self._timer: asyncio.Task[None] | None = None
@@ -143,8 +143,8 @@
             now_us = self.member.now_us()
             self.barrier.refresh_when_due(now_us)
             self._follow_leadership(now_us)
-            if self._led_term and now_us >= self._next_look_us:
-                self._next_look_us = now_us + LOOK_INTERVAL_US
+            if self._led_term and now_us >= self._next_planning_us:
+                self._next_planning_us = now_us + PLANNING_INTERVAL_US
                 self.plan(now_us)
             await asyncio.sleep(TICK_S)
 
@@ -165,17 +165,17 @@
     def on_applied(self) -> None:
         """Something was agreed on: notice new phases, close or open nodes, leave where it is this broker."""
         if self._observer.notice_changes():
-            self._next_look_us = 0
+            self._next_planning_us = 0
         self.barrier.refresh(self.member.now_us())
         self._follow_own_step()
 
     def on_leases_granted(self, granted: GrantRound) -> None:
-        """As leader: take in what was reported, and look soon: what a step waits for may have come."""
+        """As leader: take in what was reported, and plan soon: what a step waits for may have come."""
         totals = self.member.subtree_totals(self.build_report())
         active_fences = {step.fence for step in self.machine.state.active_steps()}
         now_us = self.member.now_us()
         update_facts(self.facts, now_us, granted, totals, active_fences, self._nodes.state)
-        self._next_look_us = 0
+        self._next_planning_us = 0
 
     def _follow_own_step(self) -> None:
         """Follow the step of this broker itself: it is taken out of service, or comes back."""
--- a/harriertide/control/node_barrier.py
+++ b/harriertide/control/node_barrier.py
@@ -56,7 +56,7 @@
         return self._closed is None or node in self._closed
 
     def refresh_when_due(self, now_us: int) -> None:
-        """Look again where the lease has changed, or where time alone changes the answer."""
+        """Refresh where the lease has changed, or where time alone changes the answer."""
         has_new_lease = self._lease_end_us != self._member.lease_end_us
         if has_new_lease or (self._next_change_us and now_us >= self._next_change_us):
             self.refresh(now_us)
@@ -68,7 +68,7 @@
         )
 
     def refresh(self, now_us: int) -> None:
-        """Look again which nodes are closed and which came back, and tell the object front of changes."""
+        """Determine anew which nodes are closed and which came back; tell the object front of changes."""
         self._lease_end_us = self._member.lease_end_us
         self._next_change_us = send_gate.next_change_us(now_us, self._lease_end_us, self._isolation_limit_us)
         closed = self.closed_now(now_us)
@@ -83,7 +83,7 @@
         if has_changed:
             names = "all" if closed is None else ",".join(machines) or "none"
             log("nodes closed for maintenance", nodes=names, reason=self._explain(has_lease))
-        self._nodes.bar(closed, dict(self._returned_us))
+        self._nodes.close_nodes(closed, dict(self._returned_us))
 
     def _explain(self, has_lease: bool) -> str:
         if has_lease:
--- a/harriertide/control/ports.py
+++ b/harriertide/control/ports.py
@@ -15,8 +15,8 @@
 
     state: State
 
-    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
-        """Send nothing new to these nodes; None: to none at all. started_us: when others came back."""
+    def close_nodes(self, closed: frozenset[str] | None, returned_us: dict[str, int]) -> None:
+        """Send nothing new to these nodes; None: to none at all. returned_us: when others came back."""
 
 
 class RequestCore(Protocol):
--- a/harriertide/control/proposals.py
+++ b/harriertide/control/proposals.py
@@ -22,7 +22,7 @@
 
 
 class Proposals:
-    """Proposes commands, each in a task of its own, and not the same one at each look."""
+    """Proposes commands, each in a task of its own, and not the same one in each planning round."""
 
     def __init__(self, member: AgreementMember, events: EventSink, counts: Counter[str]) -> None:
         self._member = member
--- a/harriertide/lab/experiments/maintenance.py
+++ b/harriertide/lab/experiments/maintenance.py
@@ -32,7 +32,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.checkers.maintenance_checker import Verdict, judge
-from harriertide.lab.rigs.fault_script import Fault, load
+from harriertide.lab.rigs.fault_script import Fault, load_script
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
 
@@ -141,7 +141,7 @@
     with kept_or_temporary(given["--folder"]) as kept:
         for number in range(seed, seed + runs):
             script = given["--script"]
-            faults = load(script, brokers, VERBS) if script else draw(number, brokers, seconds)
+            faults = load_script(script, brokers, VERBS) if script else draw(number, brokers, seconds)
             folder = kept / f"run-{number}"
             groups, _ = asyncio.run(play(folder, number, brokers, boxes, seconds, faults))
             verdict = judge(folder, groups, AT_ONCE)
--- a/harriertide/lab/experiments/parity.py
+++ b/harriertide/lab/experiments/parity.py
@@ -246,8 +246,10 @@
 
 
 def compare(one: Played, other: Played, brokers: int = 1) -> tuple[int, list[str]]:
-    """How many decisions match, and those that differ, as text. Several brokers decide at one moment in any
-    order among themselves."""
+    """Return how many decisions match, and those that differ, as text.
+
+    Several brokers decide at one moment in any order among themselves.
+    """
     both = [played.decisions if brokers == 1 else sorted(played.decisions) for played in (one, other)]
     pairs = zip_longest(*both)
     differ = [f"daemon {a}, library {b}" for a, b in pairs if a != b]
--- a/harriertide/lab/experiments/processes.py
+++ b/harriertide/lab/experiments/processes.py
@@ -33,7 +33,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.checkers.limit_checker import Verdict, judge
 from harriertide.lab.rigs.broker_settings import BURST, LIMIT, MAX_REQUEST_UNITS
-from harriertide.lab.rigs.fault_script import Fault, load
+from harriertide.lab.rigs.fault_script import Fault, load_script
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.process_rig import ProcessRig
 
@@ -90,7 +90,7 @@
     if not 2 <= brokers <= 8 or not 6 <= seconds <= 600:
         raise SettingsError("--brokers from 2 to 8, --seconds from 6 to 600")
     drawn = draw(seed, brokers, seconds, float(given["--lost"]))
-    faults = load(given["--script"], brokers, VERBS) if given["--script"] else drawn
+    faults = load_script(given["--script"], brokers, VERBS) if given["--script"] else drawn
     with kept_or_temporary(given["--folder"]) as folder:
         rows = [asdict(fault) for fault in faults]
         (folder / "script.json").write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
--- a/harriertide/lab/rigs/maintenance_rig.py
+++ b/harriertide/lab/rigs/maintenance_rig.py
@@ -26,7 +26,7 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.rigs.fault_script import HOST, Fault, ports
+from harriertide.lab.rigs.fault_script import HOST, Fault, free_ports
 from harriertide.lab.rigs.frame_relay import FrameFaults, FrameRelay
 from harriertide.lab.rigs.object_node import ObjectNode
 
@@ -98,7 +98,7 @@
         self.random = Random(seed)
         self.names = [f"b{place + 1}" for place in range(brokers)]
         self.nodes = [ObjectNode(f"x{place + 1}", service_s, self._on_node_request) for place in range(nodes)]
-        free = ports(3 * brokers)
+        free = free_ports(3 * brokers)
         self.ports = free[:brokers]
         self.fronts = free[brokers : 2 * brokers]
         self.admins = free[2 * brokers :]
--- a/harriertide/lab/rigs/process_rig.py
+++ b/harriertide/lab/rigs/process_rig.py
@@ -18,7 +18,7 @@
 from harriertide.engine.clock import until
 from harriertide.lab.rigs.broker_settings import DEADLINE_MS, MAX_REQUEST_UNITS, SETTINGS
 from harriertide.lab.rigs.datagram_relays import Relays
-from harriertide.lab.rigs.fault_script import HOST, Fault, ports
+from harriertide.lab.rigs.fault_script import HOST, Fault, free_ports
 
 READY_S = 10.0
 TURN_S = 3.0  # that one broker is the busiest
@@ -40,8 +40,8 @@
         self._random = Random(seed)
         self._request_count = 0
         self._brokers: dict[int, asyncio.subprocess.Process] = {}
-        self._fronts = ports(brokers)
-        self._relays = Relays(seed, ports(brokers, socket.SOCK_DGRAM))
+        self._fronts = free_ports(brokers)
+        self._relays = Relays(seed, free_ports(brokers, socket.SOCK_DGRAM))
         self._logs: dict[str, IO[str]] = {}
         self._stderr: list[IO[bytes]] = []
         self.began_s = 0.0  # of the loop's clock: times in logs are from then on
--- a/harriertide/lab/rigs/single_broker.py
+++ b/harriertide/lab/rigs/single_broker.py
@@ -21,7 +21,7 @@
 from harriertide.engine.clock import until
 from harriertide.lab.rigs import broker_settings
 from harriertide.lab.rigs.clients import DEADLINE_MS, Clients
-from harriertide.lab.rigs.fault_script import HOST, ports
+from harriertide.lab.rigs.fault_script import HOST, free_ports
 from harriertide.lab.rigs.nodes import Discovery, Logs, Node
 
 LIMIT, BURST = 40.0, 48.0  # units a second of the plan with a limit
@@ -119,7 +119,7 @@
             await node.start()
         self.discovery = Discovery(self.nodes, self.logs)
         await self.discovery.start()
-        self.peer_port = ports(1, socket.SOCK_DGRAM)[0]
+        self.peer_port = free_ports(1, socket.SOCK_DGRAM)[0]
         self.clients = Clients(self.address, self.random, self.logs)
         (self.folder / "tmp").mkdir(exist_ok=True)
         self._watch = asyncio.create_task(self._watch_stalls())
@@ -144,7 +144,7 @@
         program: str = "harriertide",
     ) -> Process:
         """Start a process of the broker, which inherits the clients' socket."""
-        operator, number = ports(1)[0], len(self.processes)
+        operator, number = free_ports(1)[0], len(self.processes)
         config = {
             "name": "n0", "listen": f"{HOST}:{self.address[1]}", "discovery": self.discovery.address,
             "peer_listen": f"{HOST}:{self.peer_port}", "peers": [f"{HOST}:{self.peer_port}"],
--- a/harriertide/lab/rigs/threaded_operators.py
+++ b/harriertide/lab/rigs/threaded_operators.py
@@ -19,6 +19,7 @@
     """The daemon, but for where its operators' address is served."""
 
     async def open_operator_api(self, at: tuple[str, int]) -> None:
+        """Serve it on a loop that runs on a thread of its own."""
         clients_loop, operators_loop = asyncio.get_running_loop(), asyncio.new_event_loop()
 
         def changed() -> None:
--- a/harriertide/lab/simulation/memory_parts.py
+++ b/harriertide/lab/simulation/memory_parts.py
@@ -136,7 +136,7 @@
     def __init__(self, state: State) -> None:
         self.state = state
 
-    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
+    def close_nodes(self, closed: frozenset[str] | None, returned_us: dict[str, int]) -> None:
         """Do nothing: the check right before a write is what counts here."""
 
 
--- a/harriertide/maintenance/facts.py
+++ b/harriertide/maintenance/facts.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanningContext:
-    """All that one look of the planner goes by. now_us: the leader's clock; now_s: its wall clock."""
+    """All that one planning round goes by. now_us: the leader's clock; now_s: its wall clock."""
 
     state: MaintenanceState
     settings: PlannerSettings
--- a/harriertide/maintenance/forecast.py
+++ b/harriertide/maintenance/forecast.py
@@ -12,9 +12,9 @@
 from harriertide.maintenance.state import Step
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 
-LOOKS_PER_MACHINE = 8  # no machine has more steps than that
-SHORTEST_ADVANCE_S = 0.01  # so that each look is later than the one before
-WARM_UP_PARTS = 4  # looks while a node warms up, as it serves more and more
+ROUNDS_PER_MACHINE = 8  # no machine has more steps than that
+SHORTEST_ADVANCE_S = 0.01  # so that each round is later than the one before
+WARM_UP_PARTS = 4  # rounds while a node warms up, as it serves more and more
 NO_CAPACITY_KNOWN = -1.0
 
 
@@ -69,12 +69,12 @@
     def run(self) -> list[ForecastPermit]:
         """Go from event to event until the order is over, or nothing can go.
 
-        No more looks than all machines have steps: guards the broker that is asked, which serves requests on
+        No more rounds than all machines have steps: guards the broker that is asked, which serves requests on
         the same loop, against orders that take days.
         """
         permits: list[ForecastPermit] = []
         state = self._copy.state
-        for _ in range(LOOKS_PER_MACHINE * sum(len(steps) for steps in state.steps.values())):
+        for _ in range(ROUNDS_PER_MACHINE * sum(len(steps) for steps in state.steps.values())):
             if not state.is_open(self._order.id):
                 break
             state.command_time_s = self._time_s
--- a/harriertide/maintenance/planner.py
+++ b/harriertide/maintenance/planner.py
@@ -3,8 +3,8 @@
 How it is known that nothing stands still: `describe_waits` names, for each machine that is not done, the one
 thing it waits for, and each of these is an event that comes by itself (work that takes its time, a lease that
 runs out, load that falls, attempts that end) or one that it names a person for (`done`, `gone`, `resume`, an
-order that is overdue). A machine for which it names nothing is proposed in the same look. So as long as any
-phase change is possible, one is proposed at each look, by whoever leads; a proposal that is lost is made
+order that is overdue). A machine for which it names nothing is proposed in the same round. So as long as any
+phase change is possible, one is proposed in each round, by whoever leads; a proposal that is lost is made
 again at the next.
 """
 
@@ -22,7 +22,7 @@
 
 
 class Planner:
-    """Looks at the agreed state and at what brokers report. It keeps nothing that a new leader needs."""
+    """Plans by the agreed state and by what brokers report. It keeps nothing that a new leader needs."""
 
     def __init__(self, machine: MaintenanceStateMachine, settings: PlannerSettings) -> None:
         self._machine = machine
@@ -30,7 +30,7 @@
         self._permits = PermitQueue()
 
     def context(self, facts: LeaderFacts, now_us: int, now_s: float) -> PlanningContext:
-        """Return what a look at this moment goes by.
+        """Return what a planning round at this moment goes by.
 
         :param now_us: the leader's clock
         :param now_s: its wall clock, in Unix seconds
@@ -40,7 +40,7 @@
     def propose(self, facts: LeaderFacts, now_us: int, now_s: float) -> list[Command]:
         """Return the commands to propose now.
 
-        At most one permit a look, as what it changes is not in the state yet; and none beside a failure.
+        At most one permit a round, as what it changes is not in the state yet; and none beside a failure.
         """
         context = self.context(facts, now_us, now_s)
         commands: list[Command] = [*propose_failures(context), *propose_peak_load(context)]
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -129,15 +129,15 @@
         }
         return {**self.state, "boxes": boxes}
 
-    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
+    def close_nodes(self, closed: frozenset[str] | None, returned_us: dict[str, int]) -> None:
         """Close nodes to new requests: those in maintenance, or about to be.
 
-        :param shut: their IDs; None: all nodes
-        :param started_us: when others returned, in Unix microseconds
+        :param closed: their IDs; None: all nodes
+        :param returned_us: when others returned, in Unix microseconds
         """
         before = self._effective_state()
-        self._closed_nodes = shut
-        self._started_us = started_us
+        self._closed_nodes = closed
+        self._started_us = returned_us
         self._post_changes(before)
 
     def _post_changes(self, before: State) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,7 +19,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.checkers import maintenance_checker
 from harriertide.lab.experiments import maintenance
-from harriertide.lab.rigs.fault_script import HOST, Fault, load
+from harriertide.lab.rigs.fault_script import HOST, Fault, load_script
 from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
 
 Body = Callable[[Rig], Awaitable[None]]
@@ -560,8 +560,8 @@
     assert {fault.verb for fault in one} == set(VERBS)
     path = tmp_path / "script.json"
     path.write_text(json.dumps([asdict(fault) for fault in one]))
-    assert load(str(path), 5, VERBS) == one
+    assert load_script(str(path), 5, VERBS) == one
     for text, word in (("{", "--script"), ('[{"at_s":1,"verb":"odd"}]', "odd")):
         path.write_text(text)
         with pytest.raises(SettingsError, match=word):
-            load(str(path), 5, VERBS)
+            load_script(str(path), 5, VERBS)
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -103,8 +103,8 @@
         volumes = {"a": {"grade": "gold"}, "b": {"grade": "gold"}, "c": {"grade": "free"}}
         self.state: Any = {"grades": grades, "volumes": volumes, "boxes": {}, "limits": {}}
 
-    def bar(self, shut: frozenset[str] | None, started_us: dict[str, int]) -> None:
-        self.closed.append(shut)
+    def close_nodes(self, closed: frozenset[str] | None, returned_us: dict[str, int]) -> None:
+        self.closed.append(closed)
 
 
 class Rows:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -26,7 +26,8 @@
 )
 from harriertide.decide.quota_grants import RECLAIM_US, QuotaDemand, QuotaGrants
 from harriertide.decide.rate_limits import QUOTA_RETRY_US
-from harriertide.lab.experiments.limits import COURSES, PLANS, Fleet, allowed, course
+from harriertide.lab.experiments.limits import CASES, run_case
+from harriertide.lab.simulation.shared_limit import PLANS, SharedLimitSimulation, allowed_units
 from tests.helpers import BrokerUnderTest, peer_datagrams, refusals, sends
 
 SECOND = 1_000_000
@@ -247,13 +248,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize(("brokers", "hosts"), COURSES)
+@pytest.mark.parametrize(("brokers", "hosts"), CASES)
 def test_a_limit_is_held_and_used_under_loss_deaths_restarts_and_a_busiest_head_that_changes(
     brokers: int, hosts: list[int], seed: int
 ) -> None:
     """Surges of five times the limit, 30% of messages lost, one broker dead and one fresh: never over the
     limit in rate or at once, not even by its slack, and nine tenths of it used."""
-    used, lowest = course(brokers, hosts, seed)
+    used, lowest = run_case(brokers, hosts, seed)
     assert lowest >= 0 and used > 0.9
 
 
@@ -263,26 +264,26 @@
         Leases, "is_holder", lambda self, slot, now_us: self.slots[slot].promised_until_us > 0
     )
     monkeypatch.setattr(Leases, "presumed_holder", lambda self, slot, now_us, unanswered: self.broker_index)
-    assert course(3, [0, 1, 2], 1, seconds=3, lost=0.0)[1] < 0
+    assert run_case(3, [0, 1, 2], 1, seconds=3, loss_ratio=0.0)[1] < 0
 
 
 def test_heads_that_hear_nobody_send_nothing_of_a_shared_limit_and_go_on_when_they_do() -> None:
     """A broker cut off can't know what the others send: safe before quick. The majority goes on."""
-    fleet = Fleet(3, [0, 1, 2], 1, lost=0.0)
-    fleet.play(3 * SECOND, 0, 50.0)
-    fleet.cut = {0}
-    fleet.play(2 * SECOND, 0, 50.0)
-    alone = fleet.by_head[0]
-    fleet.play(3 * SECOND, 0, 50.0)
-    assert fleet.by_head[0] == alone
-    before = fleet.sent
-    fleet.play(3 * SECOND, 1, 50.0)
-    assert fleet.sent - before > 0.85 * allowed(3 * SECOND)
-    fleet.cut = set()
-    fleet.play(2 * SECOND, 0, 50.0)
-    before = fleet.sent
-    fleet.play(3 * SECOND, 0, 50.0)
-    assert fleet.sent - before > 0.85 * allowed(3 * SECOND) and fleet.lowest >= 0
+    simulation = SharedLimitSimulation(3, [0, 1, 2], 1, loss_ratio=0.0)
+    simulation.run(3 * SECOND, 0, 50.0)
+    simulation.cut_off = {0}
+    simulation.run(2 * SECOND, 0, 50.0)
+    alone = simulation.sent_by_broker[0]
+    simulation.run(3 * SECOND, 0, 50.0)
+    assert simulation.sent_by_broker[0] == alone
+    before = simulation.sent_units
+    simulation.run(3 * SECOND, 1, 50.0)
+    assert simulation.sent_units - before > 0.85 * allowed_units(3 * SECOND)
+    simulation.cut_off = set()
+    simulation.run(2 * SECOND, 0, 50.0)
+    before = simulation.sent_units
+    simulation.run(3 * SECOND, 0, 50.0)
+    assert simulation.sent_units - before > 0.85 * allowed_units(3 * SECOND) and simulation.lowest_level >= 0
 
 
 def test_one_heads_own_volume_asks_nobody_and_no_limit_no_leases() -> None:
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -11,8 +11,9 @@
 from harriertide.cli.daemon import Daemon
 from harriertide.decide.settings import Names
 from harriertide.engine.clock import until
-from harriertide.lab.experiments.limits import PLANS, SETTINGS
 from harriertide.lab.simulation import virtual_time
+from harriertide.lab.simulation.memory_network import Address, Network
+from harriertide.lab.simulation.shared_limit import PLANS, SETTINGS
 from harriertide.platform.configuration import Config
 from harriertide.platform.endpoint_page import parse_page
 
@@ -139,11 +140,11 @@
     """30% of datagrams lost, 1.4 to 35 ms late; one broker dead, one fresh, the busiest changes each 3 s."""
     random = Random(number)
 
-    def delay(here: virtual_time.Address, there: virtual_time.Address) -> float:
+    def delay(here: Address, there: Address) -> float:
         between = there[1] in range(FIRST_PORT, FIRST_PORT + number)
         return random.uniform(0.0014, 0.035) if between else 0.0005
 
-    network = virtual_time.Network(delay, lambda here, there: random.random() < 0.3)
+    network = Network(delay, lambda here, there: random.random() < 0.3)
     used, lowest = virtual_time.run(course(number, hosts, number), network)
     assert lowest >= -SLACK - LIMIT * LATE_S
     assert used > 0.9
@@ -157,5 +158,5 @@
         Leases, "is_holder", lambda self, slot, now_us: self.slots[slot].promised_until_us > 0
     )
     monkeypatch.setattr(Leases, "presumed_holder", lambda self, slot, now_us, unanswered: self.broker_index)
-    _, lowest = virtual_time.run(course(3, [0, 1, 2], 3), virtual_time.Network(lambda here, there: 0.0005))
+    _, lowest = virtual_time.run(course(3, [0, 1, 2], 3), Network(lambda here, there: 0.0005))
     assert lowest < -SLACK - LIMIT * LATE_S
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -12,6 +12,7 @@
 from harriertide.engine.clock import until
 from harriertide.lab.experiments import parity
 from harriertide.lab.simulation import stand_in_nodes, virtual_time
+from harriertide.lab.simulation.memory_network import Network
 from harriertide.library import Broker, Node, RequestSpec
 
 
@@ -124,7 +125,7 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", port)
 
-    virtual_time.run(main(), virtual_time.Network(lambda here, there: 0.25))
+    virtual_time.run(main(), Network(lambda here, there: 0.25))
     assert heard == [(0.25, b"a"), (0.35, b"b")]
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -13,7 +13,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.checkers import limit_checker
 from harriertide.lab.experiments import processes
-from harriertide.lab.rigs.fault_script import Fault, load
+from harriertide.lab.rigs.fault_script import Fault, load_script
 
 
 def test_a_limit_holds_while_brokers_die_stand_still_and_do_not_hear_each_other(tmp_path: Path) -> None:
@@ -67,11 +67,11 @@
     assert {fault.verb for fault in one} == {"kill", "pause", "term", "cut", "lose", "box"}
     path = tmp_path / "script.json"
     path.write_text(json.dumps([asdict(fault) for fault in one]))
-    assert load(str(path), 4, processes.VERBS) == one
+    assert load_script(str(path), 4, processes.VERBS) == one
     for text, word in (("{", "--script"), ('[{"at_s":1,"verb":"odd"}]', "odd"), ('[{"x":1}]', "x")):
         path.write_text(text)
         with pytest.raises(SettingsError, match=word):
-            load(str(path), 4, processes.VERBS)
+            load_script(str(path), 4, processes.VERBS)
     path.write_text(json.dumps([asdict(one[0])]).replace('"a": 0', '"a": 9'))
     with pytest.raises(SettingsError, match="no broker 9"):
-        load(str(path), 4, processes.VERBS)
+        load_script(str(path), 4, processes.VERBS)
