--- a/harriertide/lab/checkers/upgrade_checker.py
+++ b/harriertide/lab/checkers/upgrade_checker.py
@@ -1,4 +1,7 @@
-"""What the logs of a broker that was upgraded or drained say; shares only the rules with what is judged."""
+"""Checks a broker that was upgraded or drained by what clients, nodes and the platform around it wrote.
+
+Shares only the rules with what it checks.
+"""
 
 from __future__ import annotations
 
@@ -11,135 +14,147 @@
 
 from harriertide.lab.rigs.single_broker import BURST, COLD_S, COLD_UNITS, FALL_S, LIMIT
 
-SLACK = 6.0  # units that a limit may be passed by: one of the largest requests
+SLACK_UNITS = 6.0  # that a limit may be passed by: one of the largest requests
 LATE_S = 0.15  # what the limit allows in so long is slack too, on sockets
-LEFT_S = 0.1  # after its client's connection ended, in which a request may still be sent on
+KILLED_ANSWER_S = 0.05  # after the end of a request, in which its process may be seen to have been killed
+FORWARD_S = 0.1  # after its client's connection ended, in which a request may still be forwarded
 KILL_S = 0.5  # after a process was killed, in which its clients' connections end
-GRACE_S = 0.3  # after a drain was told, in which a node may still get requests
-ATTEMPTS = 4
+DRAIN_GRACE_S = 0.3  # after a drain was notified, in which a node may still get requests
+MAX_ATTEMPTS = 4
 IDLE_S = 4.0  # after an evacuation, when no connection may rest or carry a late request
 LATE_REQUEST_S = 2.0  # before that moment: requests from here on
 REJOIN_S = 2.0
 CALL_S = 1.0  # for an answer to an operator
-FALL_MULTIPLE = 2.5
-FAILED_SHOWN = 10
+COLLAPSE_RATIO = 2.5  # of the units that a node serves at its start
+WARMER_RATIO = 2  # as the node has got warmer, and by its own answers, it serves more than at its start
+FAILED_SHOWN_COUNT = 10
+
+Row = dict[str, Any]
 
 
 @dataclass
-class Found:
-    """Counts, and what broke a rule in plain words."""
+class Verdict:
+    """Counts, and the steps that did not end as they should, in plain words."""
 
     requests: int = 0
     lost: int = 0
-    twice: int = 0
-    not_let_in: int = 0
+    twice: int = 0  # two attempts of one request at work, or more than it may have
+    closed_on: int = 0  # connections that were closed before a request on them was read: the client repeats
     over_limit: int = 0
-    cold_falls: int = 0
+    slow_start_overloads: int = 0
     after_drain: int = 0
     late_idle: int = 0
     rejoin_late: int = 0
-    door_late: int = 0
+    operator_late: int = 0
     ready_s: list[float] = field(default_factory=list)
-    failed: list[str] = field(default_factory=list)  # steps that did not end as they should
+    failed: list[str] = field(default_factory=list)
 
     @property
     def broken(self) -> bool:
-        """Whether anything is wrong. Requests not let in are priced, not forbidden."""
-        rules = (self.lost, self.twice, self.over_limit, self.cold_falls, self.after_drain)
-        drains = (self.late_idle, self.rejoin_late, self.door_late)
-        return any(rules) or any(drains) or bool(self.failed)
+        """Whether a rule is broken or a step failed. Connections that were closed on are no fault."""
+        upgrades = self.lost + self.twice + self.over_limit + self.slow_start_overloads + self.after_drain
+        drains = self.late_idle + self.rejoin_late + self.operator_late
+        return bool(upgrades + drains) or bool(self.failed)
 
     @property
     def ready_p99(self) -> float:
-        """Seconds from a start until it says yes."""
+        """Seconds from a start until the process is ready."""
         return sorted(self.ready_s)[int(0.99 * len(self.ready_s))] if self.ready_s else 0.0
 
 
-def conclude(found: Found, line: str) -> int:
-    """Print what was found: the exit status of a rig."""
-    for what in found.failed[:FAILED_SHOWN]:
+def conclude(verdict: Verdict, line: str) -> int:
+    """Print a verdict.
+
+    :param line: the sums
+    :returns: the exit status of the experiment
+    """
+    for what in verdict.failed[:FAILED_SHOWN_COUNT]:
         print(f"failed: {what}")
     print(line)
-    return int(found.broken)
-
-
-def rows(path: Path) -> Iterator[dict[str, Any]]:
-    """The rows of a log."""
+    return int(verdict.broken)
+
+
+def judge(folder: Path) -> Verdict:
+    """Check the logs of a run."""
+    verdict = Verdict()
+    clients, nodes, platform = (
+        list(_read_rows(folder / f"{name}.log")) for name in ("clients", "nodes", "platform")
+    )
+    _check_answers(verdict, clients, platform)
+    _check_attempts(verdict, nodes)
+    _check_closed_on(verdict, clients, nodes, platform)
+    _check_limit(verdict, nodes)
+    _check_slow_start(verdict, nodes, platform)
+    _check_drained_nodes(verdict, nodes, platform)
+    _read_steps(verdict, platform)
+    return verdict
+
+
+def _read_rows(path: Path) -> Iterator[Row]:
     for line in path.read_text(encoding="utf-8").splitlines():
         yield json.loads(line)
 
 
-def judge(folder: Path) -> Found:
-    """All of it."""
-    found = Found()
-    platform = list(rows(folder / "platform.log"))
-    _clients(found, list(rows(folder / "clients.log")), platform)
-    nodes = list(rows(folder / "nodes.log"))
-    _attempts(found, nodes)
-    _crossed(found, list(rows(folder / "clients.log")), nodes, platform)
-    _limit(found, nodes)
-    _cold(found, nodes, platform)
-    _drains(found, nodes, platform)
-    _steps(found, platform)
-    return found
-
-
-def _clients(found: Found, clients: list[dict[str, Any]], platform: list[dict[str, Any]]) -> None:
-    """Each request gets one whole answer, unless the process that had it was killed from outside."""
-    killed = [row["at_s"] for row in platform if row["event"] == "killed"]
-    asked: dict[str, float] = {}
+def _killed_s(platform: list[Row]) -> list[float]:
+    return [row["at_s"] for row in platform if row["event"] == "killed"]
+
+
+def _check_answers(verdict: Verdict, clients: list[Row], platform: list[Row]) -> None:
+    """Each request gets one complete answer, unless the process that had it was killed from outside."""
+    killed_s = _killed_s(platform)
+    asked_s: dict[str, float] = {}
     for row in clients:
         request = row.get("request", "")
-        if row["event"] == "asked":
-            found.requests += 1
-            asked[request] = row["at_s"]
-        elif row["event"] == "crossed":
-            found.not_let_in += 1
-            asked.pop(request)
-        elif row["event"] == "told":
-            asked.pop(request)
-        elif row["event"] == "ended":
-            begun = asked.pop(request)
-            found.lost += not any(begun <= at_s <= row["at_s"] + 0.05 for at_s in killed)
-    found.lost += len(asked)
-
-
-def _attempts(found: Found, nodes: list[dict[str, Any]]) -> None:
-    """One attempt of a request at work at a time, and four in all."""
-    seen: Counter[str] = Counter()
+        match row["event"]:
+            case "asked":
+                verdict.requests += 1
+                asked_s[request] = row["at_s"]
+            case "crossed":
+                verdict.closed_on += 1
+                asked_s.pop(request)
+            case "told":
+                asked_s.pop(request)
+            case "ended":
+                began_s = asked_s.pop(request)
+                end_s = row["at_s"] + KILLED_ANSWER_S
+                verdict.lost += not any(began_s <= at_s <= end_s for at_s in killed_s)
+    verdict.lost += len(asked_s)
+
+
+def _check_attempts(verdict: Verdict, nodes: list[Row]) -> None:
+    """One attempt of a request is at work at a time, and MAX_ATTEMPTS in all."""
+    made: Counter[str] = Counter()
     at_work: Counter[str] = Counter()
     for row in nodes:
         request = row["request"]
         if row["event"] == "answered":
             at_work[request] -= 1
             continue
-        seen[request] += 1
+        made[request] += 1
         at_work[request] += 1
-        found.twice += at_work[request] > 1 or seen[request] > ATTEMPTS
+        verdict.twice += at_work[request] > 1 or made[request] > MAX_ATTEMPTS
 
 
-def _crossed(
-    found: Found, clients: list[dict[str, Any]], nodes: list[dict[str, Any]], platform: list[dict[str, Any]]
-) -> None:
-    """A request whose connection was closed in its face may not have been sent on, nor be sent on later.
+def _check_closed_on(verdict: Verdict, clients: list[Row], nodes: list[Row], platform: list[Row]) -> None:
+    """A request whose connection was closed before it was read is not forwarded, neither before nor later.
 
     Only one whose process was killed from outside may have been.
     """
-    killed = [row["at_s"] for row in platform if row["event"] == "killed"]
-    closed = {row["request"]: row["at_s"] for row in clients if row["event"] == "crossed"}
-    sent_on = set()
+    killed_s = _killed_s(platform)
+    closed_s = {row["request"]: row["at_s"] for row in clients if row["event"] == "crossed"}
+    forwarded = set()
     for row in nodes:
         request = row["request"]
-        if row["event"] != "came" or request not in closed:
+        if row["event"] != "came" or request not in closed_s:
             continue
-        excused = any(at_s <= closed[request] <= at_s + KILL_S for at_s in killed)
-        if not excused or row["at_s"] > closed[request] + LEFT_S:
-            sent_on.add(request)
-    found.lost += len(sent_on)
+        is_excused = any(at_s <= closed_s[request] <= at_s + KILL_S for at_s in killed_s)
+        if not is_excused or row["at_s"] > closed_s[request] + FORWARD_S:
+            forwarded.add(request)
+    verdict.lost += len(forwarded)
 
 
-def _limit(found: Found, nodes: list[dict[str, Any]]) -> None:
-    """The plan's store, from the first attempts of its requests."""
+def _check_limit(verdict: Verdict, nodes: list[Row]) -> None:
+    """The token bucket of the plan, from the first attempts of its requests."""
     level, last_s = BURST, 0.0
     seen: set[str] = set()
     for row in nodes:
@@ -148,46 +163,49 @@
         seen.add(row["request"])
         level = min(BURST, level + LIMIT * (row["at_s"] - last_s)) - row["units"]
         last_s = row["at_s"]
-        found.over_limit += level < -SLACK - LIMIT * LATE_S
+        verdict.over_limit += level < -SLACK_UNITS - LIMIT * LATE_S
 
 
-def _cold(found: Found, nodes: list[dict[str, Any]], platform: list[dict[str, Any]]) -> None:
-    """What a cold node got within any window, against what the settings say that it bears."""
+def _check_slow_start(verdict: Verdict, nodes: list[Row], platform: list[Row]) -> None:
+    """What a warming node gets within any window, against what the settings say that it serves."""
     starts = {(row["node"], row["at_s"]) for row in platform if row["event"] == "restarted"}
-    for node, begun in starts:
+    most_units = WARMER_RATIO * COLD_UNITS * COLLAPSE_RATIO
+    for node, began_s in starts:
         window: list[tuple[float, float]] = []
         for row in nodes:
-            if row["event"] != "came" or row["node"] != node or not begun <= row["at_s"] <= begun + COLD_S:
+            is_there = row["event"] == "came" and row["node"] == node
+            if not is_there or not began_s <= row["at_s"] <= began_s + COLD_S:
                 continue
             window = [(at_s, units) for at_s, units in window if at_s > row["at_s"] - FALL_S]
             window.append((row["at_s"], row["units"]))
-            # twice: as the node has got warmer, and by its own answers, it bears more than at its start
-            found.cold_falls += sum(units for _, units in window) > 2 * COLD_UNITS * FALL_MULTIPLE
+            verdict.slow_start_overloads += sum(units for _, units in window) > most_units
 
 
-def _drains(found: Found, nodes: list[dict[str, Any]], platform: list[dict[str, Any]]) -> None:
-    """Nothing to a node after its drain was told and the grace is over."""
-    told: dict[str, list[tuple[float, str]]] = defaultdict(list)
+def _check_drained_nodes(verdict: Verdict, nodes: list[Row], platform: list[Row]) -> None:
+    """Nothing comes to a node after its drain was notified and the grace is over."""
+    notified: dict[str, list[tuple[float, str]]] = defaultdict(list)
     for row in platform:
         if row["event"] == "listed":
-            told[row["node"]].append((row["at_s"], row["health"]))
+            notified[row["node"]].append((row["at_s"], row["health"]))
     for row in nodes:
-        if row["event"] == "came":
-            states = [(at_s, health) for at_s, health in told[row["node"]] if at_s <= row["at_s"]]
-            late = bool(states) and states[-1][1] == "draining" and row["at_s"] > states[-1][0] + GRACE_S
-            found.after_drain += late
+        if row["event"] != "came":
+            continue
+        states = [(at_s, health) for at_s, health in notified[row["node"]] if at_s <= row["at_s"]]
+        is_draining = bool(states) and states[-1][1] == "draining"
+        verdict.after_drain += is_draining and row["at_s"] > states[-1][0] + DRAIN_GRACE_S
 
 
-def _steps(found: Found, platform: list[dict[str, Any]]) -> None:
+def _read_steps(verdict: Verdict, platform: list[Row]) -> None:
     """What the platform saw of processes and operators' calls."""
     for row in platform:
-        if row["event"] == "ready":
-            found.ready_s.append(row["took_s"])
-        elif row["event"] == "failed":
-            found.failed.append(row["what"])
-        elif row["event"] == "called":
-            found.door_late += row["status"] == 0 or row["took_s"] > CALL_S
-        elif row["event"] == "open":
-            found.late_idle += row["idle"] + row["late"]
-        elif row["event"] == "rejoined":
-            found.rejoin_late += row["took_s"] > REJOIN_S
+        match row["event"]:
+            case "ready":
+                verdict.ready_s.append(row["took_s"])
+            case "failed":
+                verdict.failed.append(row["what"])
+            case "called":
+                verdict.operator_late += row["status"] == 0 or row["took_s"] > CALL_S
+            case "open":
+                verdict.late_idle += row["idle"] + row["late"]
+            case "rejoined":
+                verdict.rejoin_late += row["took_s"] > REJOIN_S
--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -22,7 +22,14 @@
 from docopt import docopt
 
 from harriertide.engine.clock import until
-from harriertide.lab.checkers.upgrade_checker import IDLE_S, LATE_REQUEST_S, REJOIN_S, Found, conclude, judge
+from harriertide.lab.checkers.upgrade_checker import (
+    IDLE_S,
+    LATE_REQUEST_S,
+    REJOIN_S,
+    Verdict,
+    conclude,
+    judge,
+)
 from harriertide.lab.rigs.fault_script import HOST
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.process_rig import ask_status
@@ -108,11 +115,11 @@
         await world.close()
 
 
-def report(found: Found, drains: int) -> str:
+def report(verdict: Verdict, drains: int) -> str:
     """One line."""
     return (
-        f"drains {drains} requests {found.requests} lost {found.lost} late-idle {found.late_idle} "
-        f"rejoin-late {found.rejoin_late} door-late {found.door_late} failed {len(found.failed)}"
+        f"drains {drains} requests {verdict.requests} lost {verdict.lost} late-idle {verdict.late_idle} "
+        f"rejoin-late {verdict.rejoin_late} door-late {verdict.operator_late} failed {len(verdict.failed)}"
     )
 
 
@@ -121,5 +128,5 @@
     given: dict[str, Any] = docopt(__doc__ or "", arguments)
     with kept_or_temporary(given["--folder"]) as folder:
         asyncio.run(play(folder, int(given["--seed"]), int(given["--runs"])))
-        found = judge(folder)
-    return conclude(found, report(found, int(given["--runs"])))
+        verdict = judge(folder)
+    return conclude(verdict, report(verdict, int(given["--runs"])))
--- a/harriertide/lab/experiments/upgrades.py
+++ b/harriertide/lab/experiments/upgrades.py
@@ -25,7 +25,7 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.checkers.upgrade_checker import Found, conclude, judge
+from harriertide.lab.checkers.upgrade_checker import Verdict, conclude, judge
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.single_broker import COLD_S, Process, World, call
 
@@ -275,12 +275,13 @@
         await world.close()
 
 
-def report(found: Found, upgrades: int) -> str:
+def report(verdict: Verdict, upgrades: int) -> str:
     """One line."""
     return (
-        f"upgrades {upgrades} requests {found.requests} lost {found.lost} twice {found.twice} "
-        f"not-let-in {found.not_let_in} over-limit {found.over_limit} cold-falls {found.cold_falls} "
-        f"after-drain {found.after_drain} failed {len(found.failed)} ready-p99 {found.ready_p99:.2f}"
+        f"upgrades {upgrades} requests {verdict.requests} lost {verdict.lost} twice {verdict.twice} "
+        f"not-let-in {verdict.closed_on} over-limit {verdict.over_limit} "
+        f"cold-falls {verdict.slow_start_overloads} "
+        f"after-drain {verdict.after_drain} failed {len(verdict.failed)} ready-p99 {verdict.ready_p99:.2f}"
     )
 
 
@@ -301,5 +302,5 @@
     with kept_or_temporary(given["--folder"]) as folder:
         cases = draw(int(given["--seed"]), int(given["--runs"]), names)
         asyncio.run(play(folder, int(given["--seed"]), cases))
-        found = judge(folder)
-    return conclude(found, report(found, len(cases)))
+        verdict = judge(folder)
+    return conclude(verdict, report(verdict, len(cases)))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,7 +11,7 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.benchmarks import operator_calls
-from harriertide.lab.checkers.upgrade_checker import IDLE_S, Found, judge
+from harriertide.lab.checkers.upgrade_checker import IDLE_S, Verdict, judge
 from harriertide.lab.experiments import drains, upgrades
 from harriertide.lab.rigs.clients import Wanted
 from harriertide.lab.rigs.single_broker import BURST, COLD_UNITS, Called
@@ -89,7 +89,7 @@
     return row(at_s, "answered", request=request, node="s0")
 
 
-def found_in(folder: Path, **logs: list[Row]) -> Found:
+def found_in(folder: Path, **logs: list[Row]) -> Verdict:
     for name in ("clients", "nodes", "platform"):
         text = "".join(json.dumps(each) + "\n" for each in logs.get(name, []))
         (folder / f"{name}.log").write_text(text, encoding="utf-8")
@@ -119,7 +119,10 @@
         "twice", {"nodes": [each for n in range(5) for each in (came(n, "a"), answered(n + 0.1, "a"))]},
     ),
     "a limit passed": ("over_limit", {"nodes": HEAVY}),
-    "a cold node flooded": ("cold_falls", {"nodes": FLOOD, "platform": [row(1.0, "restarted", node="s0")]}),
+    "a cold node flooded": (
+        "slow_start_overloads",
+        {"nodes": FLOOD, "platform": [row(1.0, "restarted", node="s0")]},
+    ),
     "a drained node": (
         "after_drain",
         {"nodes": [came(2, "a")], "platform": [row(1.0, "listed", node="s0", health="draining")]},
@@ -127,8 +130,8 @@
     "a connection that rests": ("late_idle", {"platform": [row(IDLE_S, "open", idle=1, late=0)]}),
     "a late request": ("late_idle", {"platform": [row(IDLE_S, "open", idle=0, late=1)]}),
     "a late rejoin": ("rejoin_late", {"platform": [row(9.0, "rejoined", took_s=2.1)]}),
-    "a late call": ("door_late", {"platform": [row(1.0, "called", status=200, took_s=1.1)]}),
-    "an unanswered call": ("door_late", {"platform": [row(1.0, "called", status=0, took_s=0.1)]}),
+    "a late call": ("operator_late", {"platform": [row(1.0, "called", status=200, took_s=1.1)]}),
+    "an unanswered call": ("operator_late", {"platform": [row(1.0, "called", status=0, took_s=0.1)]}),
     "a step": ("failed", {"platform": [row(1.0, "failed", what="it ended with 1")]}),
 }  # fmt: skip
 
@@ -163,7 +166,7 @@
             row(2.0, "rejoined", took_s=0.1),
         ],
     )  # fmt: skip
-    assert not found.broken and found.not_let_in == 1 and found.ready_p99 == 0.4
+    assert not found.broken and found.closed_on == 1 and found.ready_p99 == 0.4
 
 
 def test_what_a_killed_process_had_taken_is_not_lost_by_the_broker(tmp_path: Path) -> None:
@@ -179,7 +182,7 @@
         nodes=[came(1.05, "a"), came(1.101, "a-repeat"), answered(1.15, "a"), answered(1.2, "a-repeat")],
         platform=[row(1.09, "killed")],
     )
-    assert not found.broken and found.not_let_in == 1
+    assert not found.broken and found.closed_on == 1
 
 
 def test_a_client_asks_again_under_a_name_of_its_own() -> None:
