--- a/harriertide/lab/benchmarks/operator_calls.py
+++ b/harriertide/lab/benchmarks/operator_calls.py
@@ -31,7 +31,7 @@
 from harriertide.engine.clock import until
 from harriertide.lab.rigs.fault_script import HOST
 from harriertide.lab.rigs.folders import kept_or_temporary
-from harriertide.lab.rigs.single_broker import Called, World, call
+from harriertide.lab.rigs.single_broker import OperatorCall, SingleBrokerRig, call_operator
 
 CALL_EVERY_S = 0.1
 WARM_UP_S = 2.0  # of load before the first call
@@ -45,7 +45,7 @@
 class Measured:
     """Calls, as they were answered."""
 
-    calls: list[Called]
+    calls: list[OperatorCall]
 
     @property
     def late(self) -> int:
@@ -78,25 +78,25 @@
 async def play(folder: Path, seed: int, calls: int, rate: float, busy: int, program: str) -> Measured:
     """Load a broker on a shared core, and call it."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    world = World(folder, Random(seed))
-    await world.start()
+    rig = SingleBrokerRig(folder, Random(seed))
+    await rig.start()
     others: list[asyncio.subprocess.Process] = []
     writers: list[asyncio.StreamWriter] = []
     core = max(os.sched_getaffinity(0))
     answers = []
     try:
-        process = await world.launch(program=program)
-        if await world.ready(process) < 0:
+        process = await rig.launch(program=program)
+        if await rig.wait_ready(process) < 0:
             raise SettingsError(f"the broker did not get ready; see {folder}")
         os.sched_setaffinity(process.handle.pid, {core})
         others = await _share_core(core, busy)
-        world.clients.rate = rate
-        load = asyncio.create_task(world.clients.offer(stop))
+        rig.clients.rate = rate
+        load = asyncio.create_task(rig.clients.offer(stop))
         await until(loop.time() + WARM_UP_S)
         for _ in range(SILENT_CALLERS):
             writers.append((await asyncio.open_connection(HOST, process.operator))[1])
         for _ in range(calls):
-            answers.append(await call(process.operator, "GET /api/ready"))
+            answers.append(await call_operator(process.operator, "GET /api/ready"))
             await until(loop.time() + CALL_EVERY_S)
         stop.set()
         await load
@@ -106,7 +106,7 @@
         for other in others:
             other.kill()
             await other.wait()
-        await world.close()
+        await rig.close()
     return Measured(answers)
 
 
--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -33,7 +33,7 @@
 from harriertide.lab.rigs.fault_script import HOST
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.process_rig import ask_status
-from harriertide.lab.rigs.single_broker import Called, Process, World, call
+from harriertide.lab.rigs.single_broker import BrokerProcess, OperatorCall, SingleBrokerRig, call_operator
 
 ASK_S, FURTHER_S = 0.1, 0.2  # the front's
 BAD_CALLERS = 12
@@ -41,26 +41,26 @@
 HEALTH = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-class Drill:
+class DrainRun:
     """A broker and its front."""
 
-    def __init__(self, world: World, process: Process) -> None:
-        self.world, self.process = world, process
+    def __init__(self, rig: SingleBrokerRig, process: BrokerProcess) -> None:
+        self.rig, self.process = rig, process
         self._bad: list[asyncio.StreamWriter] = []
 
     async def healthy(self) -> bool:
         """What the front hears."""
-        return await ask_status(self.world.address[1], HEALTH) == 200
+        return await ask_status(self.rig.address[1], HEALTH) == 200
 
-    async def operate(self, line: str) -> Called:
+    async def operate(self, line: str) -> OperatorCall:
         """An operator's call, its time written down."""
-        called = await call(self.process.operator, line)
-        self.world.logs.write("platform", "called", line=line, status=called.status, took_s=called.took_s)
+        called = await call_operator(self.process.operator, line)
+        self.rig.logs.write("platform", "called", line=line, status=called.status, took_s=called.took_s)
         return called
 
     async def drain(self) -> None:
         """Evacuate, look, rejoin."""
-        loop, logs, clients = asyncio.get_running_loop(), self.world.logs, self.world.clients
+        loop, logs, clients = asyncio.get_running_loop(), self.rig.logs, self.rig.clients
         await self._bad_callers()
         begun = loop.time()
         if (await self.operate("POST /api/evacuate")).status != 200:
@@ -68,11 +68,11 @@
         while await self.healthy():
             await until(loop.time() + ASK_S)
         await until(loop.time() + FURTHER_S)
-        clients.sent_here = False
+        clients.gets_new_connections = False
         while loop.time() < begun + IDLE_S:
             await self.operate("GET /api/ready")
             await until(min(begun + IDLE_S, loop.time() + 0.25))
-        resting, late = clients.still_open(LATE_REQUEST_S)
+        resting, late = clients.count_open(LATE_REQUEST_S)
         logs.write("platform", "open", idle=resting, late=late)
         if await self.healthy():
             logs.write("platform", "failed", what="the health check says yes in a drain")
@@ -81,7 +81,7 @@
         while not await self.healthy() and loop.time() < begun + 2 * REJOIN_S:
             await until(loop.time() + ASK_S)
         logs.write("platform", "rejoined", took_s=loop.time() - begun)
-        clients.sent_here = True
+        clients.gets_new_connections = True
         for writer in self._bad:
             writer.transport.abort()
 
@@ -96,23 +96,23 @@
 
 async def play(folder: Path, seed: int, runs: int) -> None:
     """So many drains; what happened is in the folder's logs."""
-    world = World(folder, Random(seed))
-    await world.start()
+    rig = SingleBrokerRig(folder, Random(seed))
+    await rig.start()
     stop = asyncio.Event()
     try:
-        process = await world.launch()
-        world.logs.write("platform", "ready", took_s=await world.ready(process))
-        load = asyncio.create_task(world.clients.offer(stop))
+        process = await rig.launch()
+        rig.logs.write("platform", "ready", took_s=await rig.wait_ready(process))
+        load = asyncio.create_task(rig.clients.offer(stop))
         for _ in range(runs):
             await until(asyncio.get_running_loop().time() + SETTLE_S)
-            await Drill(world, process).drain()
+            await DrainRun(rig, process).drain()
         await until(asyncio.get_running_loop().time() + SETTLE_S)
         stop.set()
         await load
-        if not process.lives:
-            world.logs.write("platform", "failed", what="the broker has ended")
+        if not process.is_running:
+            rig.logs.write("platform", "failed", what="the broker has ended")
     finally:
-        await world.close()
+        await rig.close()
 
 
 def report(verdict: Verdict, drains: int) -> str:
--- a/harriertide/lab/rigs/clients.py
+++ b/harriertide/lab/rigs/clients.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from harriertide.engine.clock import until
-from harriertide.lab.rigs.nodes import LONG_BYTES, Logs
+from harriertide.lab.rigs.nodes import LONG_BYTES, RigLogs
 
 SLOW_STEPS = 64  # parts in which a slow client reads a long answer
 PLANS = ("free", "capped")
@@ -15,12 +15,12 @@
 ANSWER_S = 8.0  # for an answer to come
 
 
-class Ended(Exception):  # noqa: N818
-    """A connection ended. begun: some of an answer had come."""
+class ConnectionEndedError(Exception):
+    """A connection ended. response_started: some of an answer had come."""
 
-    def __init__(self, begun: bool) -> None:
+    def __init__(self, response_started: bool) -> None:
         super().__init__()
-        self.begun = begun
+        self.response_started = response_started
 
 
 @dataclass(eq=False)
@@ -33,25 +33,25 @@
 
     async def ask(self, request: bytes) -> tuple[int, bool]:
         """One request: the status of its whole answer, and whether the connection is kept."""
-        begun = False
+        response_started = False
         try:
             self.writer.write(request)
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode().lower()
-            begun = True
+            response_started = True
             size = int(head.partition("content-length: ")[2].partition("\r\n")[0])
             while size > 0:
                 part = await self.reader.read(min(size, 1 << 18))
                 if not part:
-                    raise Ended(begun)
+                    raise ConnectionEndedError(response_started)
                 size -= len(part)
         except (ConnectionError, asyncio.IncompleteReadError):
-            raise Ended(begun) from None
+            raise ConnectionEndedError(response_started) from None
         self.used = True
         return int(head.split(" ", 2)[1]), "connection: close" not in head
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PlannedRequest:
     """What a client asks for."""
 
     key: int
@@ -78,13 +78,13 @@
 class Clients:
     """Open-loop clients that keep connections, as many as they need."""
 
-    def __init__(self, address: tuple[str, int], random: Random, logs: Logs) -> None:
+    def __init__(self, address: tuple[str, int], random: Random, logs: RigLogs) -> None:
         self._address, self._random, self._logs = address, random, logs
         self.idle: list[Connection] = []
-        self.made = 0
+        self.request_count = 0
         self.rate = 120.0  # requests a second
-        self.long_part = 0.02
-        self.sent_here = True  # the front sends new connections; else only kept ones are used
+        self.long_ratio = 0.02
+        self.gets_new_connections = True  # the front sends new connections; else only kept ones are used
         self.at_work: dict[Connection, float] = {}  # since when
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -93,7 +93,7 @@
         loop = asyncio.get_running_loop()
         while not stop.is_set():
             await until(loop.time() + self._random.expovariate(self.rate))
-            if not (self.sent_here or self.idle):
+            if not (self.gets_new_connections or self.idle):
                 continue  # the front sends it to another broker
             task = loop.create_task(self._one())
             self._tasks.add(task)
@@ -102,41 +102,41 @@
         for connection in self.idle:
             connection.writer.transport.abort()
 
-    def _draw(self) -> Wanted:
-        self.made += 1
+    def _draw(self) -> PlannedRequest:
+        self.request_count += 1
         random = self._random
-        return Wanted(
-            key=self.made,
+        return PlannedRequest(
+            key=self.request_count,
             plan=random.choice(PLANS),
             units=random.randint(1, 3),
             shard=random.randrange(3),
-            long=random.random() < self.long_part,
+            long=random.random() < self.long_ratio,
         )
 
     async def _one(self) -> None:
         """Ask; once more on a new connection, where a kept one was closed before an answer began."""
-        wanted = self._draw()
+        planned = self._draw()
         self.idle = [each for each in self.idle if not each.reader.at_eof()]
         if not self.idle:
-            await self._attempt(wanted, 0, None)
-        elif not await self._attempt(wanted, 0, self.idle.pop()):
-            await self._attempt(wanted, 1, None)
+            await self._attempt(planned, 0, None)
+        elif not await self._attempt(planned, 0, self.idle.pop()):
+            await self._attempt(planned, 1, None)
 
-    async def _attempt(self, wanted: Wanted, attempt: int, kept: Connection | None) -> bool:
+    async def _attempt(self, planned: PlannedRequest, attempt: int, kept: Connection | None) -> bool:
         """Ask on a kept connection, or on a new one; False where the kept one was closed first."""
-        request = wanted.request_id(attempt)
+        request = planned.request_id(attempt)
         self._logs.write("clients", "asked", request=request)
         connection = kept
         try:
             connection = kept or await self._connect()
             self.at_work[connection] = asyncio.get_running_loop().time()
             async with asyncio.timeout(ANSWER_S):
-                status, keep = await connection.ask(wanted.encode(attempt))
-        except Ended as end:
-            if kept is not None and not end.begun:
+                status, keep = await connection.ask(planned.encode(attempt))
+        except ConnectionEndedError as end:
+            if kept is not None and not end.response_started:
                 self._logs.write("clients", "crossed", request=request)
                 return False
-            self._logs.write("clients", "ended", request=request, begun=end.begun)
+            self._logs.write("clients", "ended", request=request, begun=end.response_started)
             return True
         except (OSError, TimeoutError):
             self._logs.write("clients", "ended", request=request, begun=False)
@@ -153,11 +153,11 @@
 
     async def read_slowly(self, over_s: float) -> bool:
         """Ask for a long answer and read it over this time: whether it came whole."""
-        loop, wanted = asyncio.get_running_loop(), replace(self._draw(), long=True)
-        request, left = wanted.request_id(0), LONG_BYTES
+        loop, planned = asyncio.get_running_loop(), replace(self._draw(), long=True)
+        request, left = planned.request_id(0), LONG_BYTES
         self._logs.write("clients", "asked", request=request)
         connection = await self._connect()
-        connection.writer.write(wanted.encode(0))
+        connection.writer.write(planned.encode(0))
         status = int((await connection.reader.readuntil(b"\r\n\r\n")).split(b" ")[1])
         while status == 200 and left > 0 and (part := await connection.reader.read(LONG_BYTES // SLOW_STEPS)):
             left -= len(part)
@@ -169,7 +169,7 @@
         self._logs.write("clients", "told", request=request, status=status)
         return True
 
-    def still_open(self, late_s: float) -> tuple[int, int]:
+    def count_open(self, late_s: float) -> tuple[int, int]:
         """Connections that rest and were not ended, and those that carry a request younger than that."""
         now = asyncio.get_running_loop().time()
         resting = sum(not connection.reader.at_eof() for connection in self.idle)
--- a/harriertide/lab/rigs/nodes.py
+++ b/harriertide/lab/rigs/nodes.py
@@ -20,7 +20,7 @@
 LONG_BYTES = 4 << 20  # of a long answer
 
 
-class Logs:
+class RigLogs:
     """What happened, by file."""
 
     def __init__(self, folder: Path) -> None:
@@ -46,7 +46,7 @@
 
     name: str
     shard: int
-    logs: Logs
+    logs: RigLogs
     started_us: int = 0
     health: str = "up"
     server: asyncio.Server | None = None
@@ -88,10 +88,10 @@
             await writer.drain()
 
 
-class Discovery:
+class StandInDiscovery:
     """Pushes the list; while it is dark it hangs up on all."""
 
-    def __init__(self, nodes: list[Node], logs: Logs) -> None:
+    def __init__(self, nodes: list[Node], logs: RigLogs) -> None:
         self._nodes, self._logs, self._seq = nodes, logs, 1
         self._watches: set[asyncio.StreamWriter] = set()
         self.dark = False
@@ -105,27 +105,27 @@
         """Where."""
         return f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         """The list by now."""
         return {"seq": self._seq, "whole": True, "hosts": [node.entry() for node in self._nodes]}
 
-    def change(self) -> None:
+    def notify(self) -> None:
         """Tell all watches."""
         self._seq += 1
         for node in self._nodes:
             row = {"node": node.name, "health": node.health, "started_us": node.started_us}
             self._logs.write("platform", "listed", **row)
         for watch in list(self._watches):
-            self._tell(watch)
+            self._send_list(watch)
 
-    def go_dark(self, dark: bool) -> None:
+    def set_dark(self, dark: bool) -> None:
         """Away, or back."""
         self.dark = dark
         for watch in list(self._watches) if dark else ():
             watch.transport.abort()
 
-    def _tell(self, watch: asyncio.StreamWriter) -> None:
-        self._chunk(watch, json.dumps(self.whole()).encode() + b"\n")
+    def _send_list(self, watch: asyncio.StreamWriter) -> None:
+        self._chunk(watch, json.dumps(self.full_list()).encode() + b"\n")
 
     @staticmethod
     def _chunk(watch: asyncio.StreamWriter, data: bytes) -> None:
@@ -138,7 +138,7 @@
             if not self.dark:
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 self._watches.add(writer)
-                self._tell(writer)
+                self._send_list(writer)
                 while not writer.is_closing():
                     await until(asyncio.get_running_loop().time() + 1.0)
                     self._chunk(writer, b"\n")
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,8 +13,8 @@
 from harriertide.lab.benchmarks import operator_calls
 from harriertide.lab.checkers.upgrade_checker import IDLE_S, Verdict, judge
 from harriertide.lab.experiments import drains, upgrades
-from harriertide.lab.rigs.clients import Wanted
-from harriertide.lab.rigs.single_broker import BURST, COLD_UNITS, Called
+from harriertide.lab.rigs.clients import PlannedRequest
+from harriertide.lab.rigs.single_broker import BURST, COLD_UNITS, OperatorCall
 
 COURSES = {
     "replaced, in a drain, from a bad configuration": ["plain", "in-a-drain", "bad-configuration"],
@@ -55,7 +55,9 @@
 
 def test_late_and_unanswered_calls_are_counted() -> None:
     """A call that is late or lost must show in the measurement."""
-    measured = operator_calls.Measured([Called(200, "", 0.1), Called(200, "", 1.1), Called(0, "", 0.1)])
+    measured = operator_calls.Measured(
+        [OperatorCall(200, "", 0.1), OperatorCall(200, "", 1.1), OperatorCall(0, "", 0.1)]
+    )
     assert measured.late == 2 and measured.milliseconds(0.5) == 100 and measured.milliseconds(1.0) == 1100
 
 
@@ -187,6 +189,6 @@
 
 def test_a_client_asks_again_under_a_name_of_its_own() -> None:
     """A retry of a client is another request to the broker."""
-    wanted = Wanted(key=1, plan="free", units=1, shard=0, long=False)
-    assert wanted.request_id(0) != wanted.request_id(1)
-    assert wanted.request_id(1).encode() in wanted.encode(1)
+    planned = PlannedRequest(key=1, plan="free", units=1, shard=0, long=False)
+    assert planned.request_id(0) != planned.request_id(1)
+    assert planned.request_id(1).encode() in planned.encode(1)
