--- a/harriertide/lab/experiments/maintenance.py
+++ b/harriertide/lab/experiments/maintenance.py
@@ -32,9 +32,10 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.checkers.maintenance_checker import Verdict, judge
+from harriertide.lab.rigs.fault_player import VERBS, draw
 from harriertide.lab.rigs.fault_script import Fault, load_script
 from harriertide.lab.rigs.folders import kept_or_temporary
-from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
+from harriertide.lab.rigs.maintenance_rig import Rig
 
 AT_ONCE = {"boxes": 2, "brokers": 1}
 END_S = 60.0  # after all was healed
@@ -110,7 +111,7 @@
     try:
         await rig.start()
         load = asyncio.get_running_loop().create_task(run.load(30.0))
-        fault = asyncio.get_running_loop().create_task(rig.play(faults))
+        fault = asyncio.get_running_loop().create_task(rig.faults.play(faults))
         await run.request("boxes", sorted(groups), at_once=AT_ONCE["boxes"])
         if brokers > 3:
             await run.request("brokers", rig.names)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,8 +19,9 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.checkers import maintenance_checker
 from harriertide.lab.experiments import maintenance
+from harriertide.lab.rigs.fault_player import VERBS, draw
 from harriertide.lab.rigs.fault_script import HOST, Fault, load_script
-from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
+from harriertide.lab.rigs.maintenance_rig import Rig
 
 Body = Callable[[Rig], Awaitable[None]]
 
@@ -348,7 +349,7 @@
         away = next(place for place in range(3) if place != led)
         await request(rig, ["x1", "x2"], place=led)
         await phase(rig, "x1", "out", at=led)
-        await rig.fault(Fault(0.0, "lose-disk", away, for_s=0.1))
+        await rig.faults.play_one(Fault(0.0, "lose-disk", away, for_s=0.1))
 
         async def member() -> bool:
             rows = [
@@ -372,7 +373,7 @@
 
     async def body(rig: Rig) -> None:
         led = await leader(rig)
-        fault = asyncio.ensure_future(rig.fault(Fault(0.0, verb, led, for_s=2.5)))
+        fault = asyncio.ensure_future(rig.faults.play_one(Fault(0.0, verb, led, for_s=2.5)))
         await asyncio.sleep(0.05)
         other = (led + 1) % 3
         await request(rig, ["x1"], place=other)
