--- a/harriertide/lab/second_copy.py
+++ b/harriertide/lab/experiments/duplicate_attempts.py
@@ -39,13 +39,15 @@
 from docopt import docopt
 
 from harriertide.core import events as ev
-from harriertide.core import reducer
+from harriertide.core import requests
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
-from harriertide.engine.runtime import Attempt, Ending, Runtime
+from harriertide.engine.runtime import Attempt, AttemptResult, Runtime
+from harriertide.http.errors import AttemptFailedError
 from harriertide.http.limits import Limits
-from harriertide.http.nodes import AttemptFailedError, NodeClient, outcome
+from harriertide.http.node_client import NodeClient
+from harriertide.http.node_response import classify_response
 
 BOXES = 4
 PIECE = b"x" * 1000
@@ -230,23 +232,23 @@
     def __init__(self, client: NodeClient, request: str, done: asyncio.Semaphore) -> None:
         self._client, self._request, self._done = client, request, done
 
-    async def attempt(self, attempt: Attempt) -> Ending:
+    async def perform(self, attempt: Attempt) -> AttemptResult:
         """As the platform's front; a quarter with bodies that pass through, as the object front has."""
         headers = {"X-Call-Id": self._request}
         if int(self._request, 16) % 4:
-            return await self._client.exchange(attempt, "GET", "/api", headers, b"")
+            return AttemptResult(*await self._client.exchange(attempt, "GET", "/api", headers, b""))
         headers["Content-Length"] = str(2 * len(PIECE))
         try:
             async with self._client.open(attempt, "PUT", "/api", headers, _pieces()) as answer:
                 await answer.read()
-                return outcome(answer), None
+                return AttemptResult(classify_response(answer))
         except AttemptFailedError as end:
-            return end.kind, None
+            return AttemptResult(end.outcome)
 
-    def gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         return False
 
-    def answer(self, answer: ev.Respond) -> None:
+    def respond(self, answer: ev.Respond) -> None:
         """Room for the next one."""
         self._done.release()
 
@@ -259,7 +261,13 @@
     )
     core = Reducer(settings, seed, Eager)
     runtime = Runtime(core, Clock(asyncio.get_running_loop()))
-    limits = Limits(clients=1, boxes=4 * width, answer=65536, held=1 << 24, bodies=1 << 24)
+    limits = Limits(
+        max_client_connections=1,
+        max_node_connections=4 * width,
+        max_response_bytes=65536,
+        max_buffered_response_bytes=1 << 24,
+        max_buffered_request_bytes=1 << 24,
+    )
     dial = {f"n{place}": f"127.0.0.1:{port}" for place, port in enumerate(ports)}
     client = NodeClient(dial.get, 500_000, 5_000_000, limits)
     runtime.post(
@@ -300,7 +308,7 @@
     """Print what was found; 1 where the broker itself made a second copy."""
     given = docopt(__doc__ or "", arguments)
     if given["--settle-ms"] is not None:
-        reducer.SETTLE_US = int(1000 * float(given["--settle-ms"]))
+        requests.CUT_OFF_GAP_US = int(1000 * float(given["--settle-ms"]))
     figures = look(
         int(given["--attempts"]), int(given["--width"]), float(given["--late-ms"]), int(given["--seed"])
     )
--- a/harriertide/lab/parity.py
+++ b/harriertide/lab/experiments/parity.py
@@ -33,11 +33,13 @@
 from harriertide.engine.clock import until
 from harriertide.engine.runtime import Runtime
 from harriertide.engine.workload import Workload, absolute_event, load
-from harriertide.lab import plant, virtual
-from harriertide.library import Ask, Attempt, Box, Broker, FailedError, Fixed, RefusedError
-from harriertide.library.exchange import Exchange, Loopback
+from harriertide.lab.simulation import stand_in_nodes, virtual_time
+from harriertide.library import Attempt, Broker, FailedError, Node, NodeList, RejectedError, RequestSpec
+from harriertide.library.loopback_peers import LoopbackPeers
+from harriertide.library.peer_transport import PeerTransport
 from harriertide.platform.configuration import Config
-from harriertide.platform.fields import SENT_BEFORE_US
+from harriertide.platform.endpoint_page import EMPTY_PAGE
+from harriertide.platform.fields import DEADLINE_MARGIN_US
 
 LEAD_S = 0.5  # before the first row
 APART = 0.02  # that the scores on sockets may be
@@ -59,8 +61,8 @@
     """Write down what the reducer asks for."""
     step = core.step
 
-    def watched(now_us: int, happened: list[ev.Event]) -> list[ev.Effect]:
-        effects = step(now_us, happened)
+    def watched(now_us: int, events: list[ev.Event]) -> list[ev.Effect]:
+        effects = step(now_us, events)
         for effect in effects:
             at = now_us - start_us
             if isinstance(effect, ev.StartAttempt):
@@ -97,10 +99,10 @@
 
 
 def _budget_ms(arrival: api.Arrival, now_us: int) -> int:
-    return max(1, -(-(arrival.deadline_at_us - now_us + SENT_BEFORE_US) // 1000))
+    return max(1, -(-(arrival.deadline_at_us - now_us + DEADLINE_MARGIN_US) // 1000))
 
 
-async def _boxes(boxes: list[plant.Box], begin: float) -> dict[str, str]:
+async def _boxes(boxes: list[stand_in_nodes.Box], begin: float) -> dict[str, str]:
     """Bring them up; where each listens."""
     found = {}
     for box in boxes:
@@ -111,7 +113,7 @@
     return found
 
 
-async def through_daemon(workload: Workload, boxes: list[plant.Box], brokers: int = 1) -> Played:
+async def through_daemon(workload: Workload, boxes: list[stand_in_nodes.Box], brokers: int = 1) -> Played:
     """The platform's front, over HTTP, as a client of the platform sees it; brokers take requests in turn."""
     played, loop = Played(), asyncio.get_running_loop()
     settings = workload.header.settings
@@ -128,7 +130,7 @@
         config = Config(
             "parity", ("127.0.0.1", 0), "127.0.0.1:1", workload.header.seed + place, own, names,
             ("127.0.0.1", FIRST_PORT + place) if brokers > 1 else None, peers,
-            {"seq": 0, "whole": True, "hosts": []},
+            EMPTY_PAGE,
         )  # fmt: skip
         daemon = Daemon(config, None)
         daemon.directory.find = places.get  # type: ignore[assignment]
@@ -139,7 +141,7 @@
     clock, turn = daemons[0].runtime.clock, count()
 
     async def submit(arrival: api.Arrival) -> None:
-        port = daemons[next(turn) % brokers].port(0)
+        port = daemons[next(turn) % brokers].listeners.port(0)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         method, body = ("PUT", b"x" * 16) if arrival.request_class else ("GET", b"")
         extent = f"volume={arrival.volume},units={arrival.units:g},shard={arrival.shard}"
@@ -159,13 +161,13 @@
     return played
 
 
-Seats = Callable[[int], Exchange | None]
+Seats = Callable[[int], PeerTransport | None]
 Kill = Callable[[list[Broker]], Awaitable[None]]
 
 
 async def through_library(
     workload: Workload,
-    boxes: list[plant.Box],
+    boxes: list[stand_in_nodes.Box],
     brokers: int = 1,
     seat: Seats = lambda place: None,
     beside: Kill | None = None,
@@ -181,14 +183,14 @@
     runtimes: list[Runtime] = []
     start_us = 0
     for place in range(brokers):
-        source = Fixed([Box("none", 0, state="gone")])
-        source.find = places.get  # type: ignore[assignment]
+        source = NodeList([Node("none", 0, state="gone")])
+        source.find_address = places.get  # type: ignore[assignment]
         settings, seed = workload.header.settings, workload.header.seed + place
-        broker = Broker(settings, source, seed=seed, exchange=seat(place))
+        broker = Broker(settings, source, seed=seed, peers=seat(place))
         await broker.start()
         all_brokers.append(broker)
-        assert broker._runtime is not None
-        runtimes.append(broker._runtime)
+        assert broker.runtime is not None
+        runtimes.append(broker.runtime)
         start_us = start_us or runtimes[0].clock.unix_us(loop.time() + LEAD_S)
         _watch(broker.core, start_us, played)
     clock, taking = runtimes[0].clock, list(all_brokers)
@@ -198,20 +200,20 @@
         broker = taking[next(turn) % len(taking)]
         method, body = ("PUT", b"x" * 16) if arrival.request_class else ("GET", b"")
         now_us = clock.now_us()
-        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - SENT_BEFORE_US
+        last_us = now_us + 1000 * _budget_ms(arrival, now_us) - DEADLINE_MARGIN_US
         kind = broker.core.settings.classes[arrival.request_class]
-        last_us = min(last_us, now_us + kind.deadline_us - SENT_BEFORE_US)
+        last_us = min(last_us, now_us + kind.deadline_us - DEADLINE_MARGIN_US)
 
         async def perform(attempt: Attempt) -> bytes:
             headers = {"X-Call-Id": arrival.request_id}
             target = f"/api?key={arrival.key}"
-            return (await broker.boxes.request(attempt, method, target, headers, body)).body
+            return (await broker.nodes.request(attempt, method, target, headers, body)).body
 
-        ask = Ask(
+        ask = RequestSpec(
             arrival.volume, arrival.shard, arrival.units, arrival.request_class, arrival.plan, arrival.key,
             clock.loop_time(last_us), arrival.sharing_broker_count, arrival.request_id,
         )  # fmt: skip
-        with suppress(RefusedError, FailedError):
+        with suppress(RejectedError, FailedError):
             await broker.call(ask, perform)
 
     other = asyncio.ensure_future(beside(taking)) if beside is not None else None
@@ -252,15 +254,17 @@
     return max(len(one.decisions), len(other.decisions)) - len(differ), differ
 
 
-def play(workload: Workload, make: Callable[[], list[plant.Box]], brokers: int = 1) -> tuple[Played, Played]:
+def play(
+    workload: Workload, make: Callable[[], list[stand_in_nodes.Box]], brokers: int = 1
+) -> tuple[Played, Played]:
     """Through both, each with boxes of its own."""
 
-    def seat(place: int) -> Exchange | None:
-        return Loopback(FIRST_PORT, brokers) if brokers > 1 else None
+    def seat(place: int) -> PeerTransport | None:
+        return LoopbackPeers(FIRST_PORT, brokers) if brokers > 1 else None
 
     return (
-        virtual.run(through_daemon(workload, make(), brokers)),
-        virtual.run(through_library(workload, make(), brokers, seat)),
+        virtual_time.run(through_daemon(workload, make(), brokers)),
+        virtual_time.run(through_library(workload, make(), brokers, seat)),
     )
 
 
@@ -269,7 +273,7 @@
     scores: dict[str, list[float]] = {"daemon": [], "library": []}
     for place in range(pairs):
         for name, through in (("daemon", through_daemon), ("library", through_library)):
-            workload, boxes = plant.draw("surge", seed + place, seconds, SOCKET_UNIT_S)
+            workload, boxes = stand_in_nodes.draw("surge", seed + place, seconds, SOCKET_UNIT_S)
             played = asyncio.run(through(workload, boxes))
             scores[name].append(worth(workload, played) / due(workload))
         last = {name: f"{held[-1]:.3f}" for name, held in scores.items()}
@@ -282,7 +286,7 @@
 def main(arguments: list[str]) -> int:
     """Print what matched."""
     given = docopt(__doc__ or "", arguments)
-    known = [*plant.KINDS, "pair"]
+    known = [*stand_in_nodes.KINDS, "pair"]
     kinds = [given["--kind"]] if given["--kind"] else known
     if not set(kinds) <= set(known):
         raise SettingsError(f"--kind: {given['--kind']} is none of {', '.join(known)}")
@@ -290,7 +294,7 @@
         return on_sockets(int(given["--seed"]), float(given["--seconds"]))
     seed, seconds = int(given["--seed"]), float(given["--seconds"])
     matched, differed = 0, 0
-    plays = [(given["FILE"], "first")] if given["FILE"] else list(product(kinds, plant.SHAPES))
+    plays = [(given["FILE"], "first")] if given["FILE"] else list(product(kinds, stand_in_nodes.SHAPES))
     for kind, shape in plays:
         brokers = 2 if kind == "pair" else 1
         if given["FILE"]:
@@ -302,14 +306,14 @@
                 for e in row.endpoint_update.entries
             }
 
-            def make(names: dict[str, int] = names) -> list[plant.Box]:
-                return [plant.Box(name, shard, seed) for name, shard in sorted(names.items())]
+            def make(names: dict[str, int] = names) -> list[stand_in_nodes.Box]:
+                return [stand_in_nodes.Box(name, shard, seed) for name, shard in sorted(names.items())]
         else:
             drawn = "surge" if kind == "pair" else kind
-            workload, _ = plant.draw(drawn, seed, seconds, hosts=brokers, shape=shape)
+            workload, _ = stand_in_nodes.draw(drawn, seed, seconds, hosts=brokers, shape=shape)
 
-            def make(drawn: str = drawn, shape: str = shape) -> list[plant.Box]:  # type: ignore[misc]
-                return plant.draw(drawn, seed, seconds, shape=shape)[1]
+            def make(drawn: str = drawn, shape: str = shape) -> list[stand_in_nodes.Box]:  # type: ignore[misc]
+                return stand_in_nodes.draw(drawn, seed, seconds, shape=shape)[1]
 
         daemon, library = play(workload, make, brokers)
         same, differ = compare(daemon, library, brokers)
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -15,9 +15,10 @@
 from harriertide.decide import api
 from harriertide.decide.settings import from_wire
 from harriertide.engine.clock import until
-from harriertide.lab import virtual
+from harriertide.lab.simulation import virtual_time
 from harriertide.platform.configuration import BadConfigError, read_config
-from harriertide.platform.discovery import Directory, Watch
+from harriertide.platform.endpoint_directory import EndpointDirectory
+from harriertide.platform.endpoint_watch import EndpointWatch
 from tests.test_net import OK, WIRE, play
 
 PUSHED: dict[str, Any] = {**WIRE, "membershipMode": "push"}
@@ -173,9 +174,13 @@
 def test_a_new_process_whose_agent_says_nothing_is_ready_all_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from harriertide.cli import daemon
+    """The agent on the machine is silent when a broker starts.
 
-    monkeypatch.setattr(daemon, "LIST_S", 0.2)
+    The broker waits for its list for a while, and then serves from the list in its configuration.
+    """
+    from harriertide.cli import startup
+
+    monkeypatch.setattr(startup, "FIRST_LIST_TIMEOUT_S", 0.2)
     script = """s expect GET /registry/instances?watch=1&after=7
         c send GET /health/ready
         c expect 503
@@ -188,10 +193,14 @@
 def test_an_agent_that_falls_silent_is_asked_again_and_heard_when_it_is_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    from harriertide.platform import discovery
+    """An agent goes silent and says nothing to two more calls.
+
+    Requests are served meanwhile, and the drain that it brings when it is back holds at once.
+    """
+    from harriertide.platform import endpoint_watch
 
-    monkeypatch.setattr(discovery, "PUSH_HEAD_S", 0.15)
-    monkeypatch.setattr(discovery, "QUIET_S", 0.3)
+    monkeypatch.setattr(endpoint_watch, "PUSHED_HEAD_TIMEOUT_S", 0.15)
+    monkeypatch.setattr(endpoint_watch, "WATCH_SILENCE_S", 0.3)
     script = f"""{WATCHED}
         s expect GET /registry/instances?watch=1&after=7
         s expect GET /registry/instances?watch=1&after=7
@@ -254,6 +263,10 @@
 
 
 def test_where_probes_are_not_allowed_a_request_finds_out(tmp_path: Path) -> None:
+    """A node is ejected, and the settings allow no probes.
+
+    A client's request is the trial that reinstates it.
+    """
     script = f"""{WATCHED}
         c send GET /api @0
         {LOST * 3}
@@ -463,17 +476,17 @@
         if event.update.entries:
             told.append((loop.time(), event.update))
 
-    directory = Directory({})
+    directory = EndpointDirectory({})
     hosts = [{"host": n, "dial": "127.0.0.1:1", "block": 0, "health": "up"} for n in ("b1", "b2")]
-    directory.read({"seq": 7, "whole": True, "hosts": hosts}, "cached")
+    directory.apply(directory.parse_page({"seq": 7, "whole": True, "hosts": hosts}), "cached")
     address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
-    watch = Watch(address, directory, post)
-    watch.follow(pushed=True)
+    watch = EndpointWatch(address, directory, post)
+    watch.set_pushed(True)
     await until(loop.time() + 10.0)
     assert agent.watches == 1 and not told
     agent.silent = True
     await until(loop.time() + 30.0)
-    assert directory.known() == 2 and not told  # silence is no news
+    assert directory.address_count() == 2 and not told  # silence is no news
     assert 10 <= agent.watches <= 31
     agent.silent, agent.lines = False, [json.dumps({"seq": 9, "whole": False, "hosts": [
         {**hosts[0], "health": "draining"}]})]  # fmt: skip
@@ -486,4 +499,9 @@
 
 
 def test_an_agent_that_is_silent_for_thirty_seconds_and_comes_back_with_a_late_drain() -> None:
-    virtual.run(thirty_silent_seconds())
+    """An agent is silent for half a minute.
+
+    Its nodes stay in service, it is asked again about once a second, and the drain that it comes back with
+    holds within 1.2 s.
+    """
+    virtual_time.run(thirty_silent_seconds())
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -101,14 +101,18 @@
 def test_requests_volumes_and_nodes_leave_nothing_behind() -> None:
     core = Reducer(SETTINGS, 1)
     assert churn(core, REQUESTS, NODES) >= NODES
-    assert core.counts["taken"] == REQUESTS and core.counts["served"] > REQUESTS / 30 and core.owed() == 0
+    assert (
+        core.counts["taken"] == REQUESTS
+        and core.counts["served"] > REQUESTS / 30
+        and core.open_request_count() == 0
+    )
     assert census(core, MOST) == {}
 
 
 def test_hours_of_changing_volumes_nodes_and_peers_leave_no_more_than_the_heads_there_are() -> None:
     core = Reducer(replace(SETTINGS, broker_count=200), 1)
     assert churn(core, REQUESTS, NODES, step_us=100_000) >= NODES  # nearly three hours
-    assert core.counts["served"] > 1_000 and core.owed() == 0
+    assert core.counts["served"] > 1_000 and core.open_request_count() == 0
     assert census(core, 201) == {}
 
 
@@ -140,7 +144,7 @@
     sizes: list[dict[str, int]] = []
 
     async def crowd(daemon: Daemon) -> None:
-        port = daemon.port(0)
+        port = daemon.listeners.port(0)
         for first in range(0, CONNECTIONS, TOGETHER):
             await asyncio.gather(*(one(port, number) for number in range(first, first + TOGETHER)))
         await until(asyncio.get_running_loop().time() + 1.0)  # some rounds
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -11,15 +11,23 @@
 from harriertide.decide import api, warming
 from harriertide.decide.derived import POLL_FIRST_WAIT_US, PREFERRED_SHARD_COUNT
 from harriertide.decide.health import PROBING_BROKER_COUNT, TRIAL_INTERVAL_US
-from harriertide.lab.plant import OTHER
-from harriertide.platform import discovery
+from harriertide.lab.simulation.stand_in_nodes import OTHER
+from harriertide.platform import endpoint_watch
 from tests.helpers import SETTINGS, START_US
 from tests.plant import Plant
 
 HEADS, SHARDS, SECOND = 200, 119, 1_000_000
 WITHIN_US = 8 * SECOND
 # between two calls: one may last CONNECT_S and HEAD_S before it fails, the next is answered within a second
-LONGEST_US = int((discovery.TOLD_S - discovery.CONNECT_S - discovery.HEAD_S - 1.0) * SECOND)
+LONGEST_US = int(
+    (
+        endpoint_watch.NOTIFICATION_DEADLINE_S
+        - endpoint_watch.CONNECT_TIMEOUT_S
+        - endpoint_watch.HEAD_TIMEOUT_S
+        - 1.0
+    )
+    * SECOND
+)
 MASS = replace(SETTINGS, broker_count=HEADS, shard_count=SHARDS)
 SHAPES = {
     "first": MASS,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,15 +13,16 @@
 import pytest
 
 from harriertide.cli.daemon import Daemon
-from harriertide.config import model
+from harriertide.config import operator_file
 from harriertide.decide.settings import from_wire, names_from_wire
-from harriertide.http import clients
+from harriertide.http import client_connection
 from harriertide.http.node_connection import NodeConnection
-from harriertide.http.pool import Pool
+from harriertide.http.node_pool import NodeConnectionPool
 from harriertide.objects.catalogue import Catalogue
-from harriertide.platform import connection, discovery
+from harriertide.platform import endpoint_watch, request_body
 from harriertide.platform.configuration import Config
-from harriertide.platform.peers import address
+from harriertide.platform.endpoint_page import parse_page
+from harriertide.platform.peers import parse_address
 from tests.scenario import Stand, World
 from tests.test_wire import SETTINGS
 
@@ -734,7 +735,7 @@
     if objects:
         boxes = {n: {"address": f"127.0.0.1:{ports[n]}", "shard": int(n[1]) - 1} for n in ("b1", "b2")}
         raw = {**OPERATOR, "boxes": boxes, "catalogue": str(folder / "catalogue")}
-        daemon = Daemon(None, model.read_operator(raw))
+        daemon = Daemon(None, operator_file.read_operator_file(raw))
 
         async def operate(words: list[str]) -> None:
             for word in words:
@@ -744,20 +745,22 @@
                 else:
                     boxes[name]["state"] = state
             assert daemon.objects is not None
-            daemon.objects.enact(model.read_state(raw))
+            daemon.objects.enact(operator_file.read_state(raw))
 
         world.operate = operate
     else:
         config = Config(
             name="n",
-            listen=address("127.0.0.1:0"),
+            listen=parse_address("127.0.0.1:0"),
             discovery=f"127.0.0.1:{ports['s']}",
             seed=1,
             settings=from_wire(wire),
             names=names_from_wire(wire),
             peer_listen=None,
             peers=[],
-            known={"seq": 7, "whole": True, "hosts": [world.host("b1", "up"), world.host("b2", "up")]},
+            cached_list=parse_page(
+                {"seq": 7, "whole": True, "hosts": [world.host("b1", "up"), world.host("b2", "up")]}, {}
+            ),
             raw_settings=wire,
         )
 
@@ -777,10 +780,10 @@
 
         world.reload = reload
         raw = {**OPERATOR, "catalogue": str(folder / "catalogue")}
-        daemon = Daemon(config, model.read_operator(raw) if both else None)
+        daemon = Daemon(config, operator_file.read_operator_file(raw) if both else None)
     world.daemon = daemon
     await daemon.start()
-    ports["front"] = daemon.port(1 if both else 0)
+    ports["front"] = daemon.listeners.port(1 if both else 0)
     if not objects and not script.lstrip().startswith("s "):
         script = "s expect GET /registry/*\ns send 200 Transfer-Encoding=chunked\ns send raw ''\n" + script
     try:
@@ -790,7 +793,7 @@
         for client in list(world.clients):
             await world._leave(client, [])
         await asyncio.sleep(0.05)
-        assert daemon.core.owed() == 0
+        assert daemon.core.open_request_count() == 0
         counts = daemon.core.counts
         assert counts["taken"] == sum(counts[kind] for kind in ("served", "rejected", "failed", "left"))
     finally:
@@ -833,6 +836,10 @@
 def test_what_comes_while_a_connection_is_idle_never_reaches_a_client(
     stray: str, wait: str, tmp_path: Path
 ) -> None:
+    """A node sends something on an idle connection.
+
+    It must not pass for the response to the next request: the connection is closed.
+    """
     script = f"""
         c send GET /api @0
         b1 expect GET /api
@@ -852,7 +859,7 @@
 def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(answer: str, tmp_path: Path) -> None:
     """Guards against answers without bounds, and against passing on what no box made."""
     script = f"""
-        d set boxes.answer=65536
+        d set boxes.max_response_bytes=65536
         c send GET /api @0
         b1 expect GET /api
         b1 send bytes '{answer}'
@@ -865,6 +872,7 @@
 
 
 def test_1xx_in_front_and_a_load_report_that_cannot_be_read_leave_an_answer_good(tmp_path: Path) -> None:
+    """Interim responses and fields that make no sense come with a good response. It is served."""
     script = r"""
         c send GET /api @0
         b1 expect GET /api
@@ -889,7 +897,7 @@
         b2 expect GET /api
         b2 send 200 body=400000*x
         c3 expect 200 body=400000*x
-        d set boxes.held_most=1000
+        d set boxes.max_buffered_bytes=1000
         c send GET /api @0
         b1 expect GET /api
         b1 send 200 body=800*x
@@ -911,8 +919,12 @@
 
 
 def test_answers_that_nobody_reads_do_not_use_up_the_memory(tmp_path: Path) -> None:
+    """Clients ask and do not read.
+
+    Where their answers lie the longest, the connection is closed, before they use up the memory.
+    """
     script = """
-        d set clients.held_most=10000
+        d set clients.max_unsent_bytes=10000
         c send GET /api @0
         b1 expect GET /api
         b1 send 200 body=8000000*x
@@ -924,7 +936,7 @@
 def test_connections_to_boxes_stay_within_their_bound_and_idle_ones_make_room(tmp_path: Path) -> None:
     """Guards against the pool using up the descriptors: past its bound a request is turned away early."""
     script = f"""
-        d set boxes.most=1
+        d set boxes.max_connections=1
         c send GET /api @0
         b1 expect GET /api
         c2 send GET /api @1
@@ -956,7 +968,8 @@
 
 
 def test_a_watch_that_falls_silent_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "QUIET_S", 0.4)
+    """Discovery goes silent on a watch. The watch is ended, and another one opened."""
+    monkeypatch.setattr(endpoint_watch, "WATCH_SILENCE_S", 0.4)
     script = f"""{WATCH}
         wait 0.3
         s send raw ''
@@ -970,14 +983,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Decided before the drain was told, written after it: what the look at the moment of writing is for."""
-    connect = Pool.open
+    connect = NodeConnectionPool.connect
 
-    async def slow(pool: Pool, address: str) -> NodeConnection | None:
+    async def slow(pool: NodeConnectionPool, address: str) -> NodeConnection | None:
         line = await connect(pool, address)
         await asyncio.sleep(0.15)
         return line
 
-    monkeypatch.setattr(Pool, "open", slow)
+    monkeypatch.setattr(NodeConnectionPool, "connect", slow)
     script = f"""{WATCH}
         wait 0.3
         c send GET /api @0
@@ -994,7 +1007,7 @@
 ) -> None:
     """Guards against kept or silent connections using up the descriptors."""
     script = f"""
-        d set clients.most=2
+        d set clients.max_connections=2
         c send GET /api @0
         b1 expect GET /api
         c2 send GET /health/ready
@@ -1008,8 +1021,9 @@
 
 
 def test_with_all_connections_at_work_a_new_one_is_turned_away(tmp_path: Path) -> None:
+    """All connections carry requests. A new one gets no room: it is closed, and theirs are not."""
     script = f"""
-        d set clients.most=1
+        d set clients.max_connections=1
         c send GET /api @0
         b1 expect GET /api
         c2 send
@@ -1036,7 +1050,7 @@
     send: str, objects: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client that waits for its answer, meanwhile, is not held to it."""
-    monkeypatch.setattr(clients, "READ_S", 0.4)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.4)
     if objects:
         if "PUT" in send or "ready" in send:
             pytest.skip("bodies have the deadline of their call there; there is no such route")
@@ -1079,7 +1093,7 @@
 ) -> None:
     """Guards against passing on a request that hides another, and against reading bodies nobody wants."""
     monkeypatch.setattr(
-        connection, "BODY_BYTES", 65_536
+        request_body, "MAX_REQUEST_BODY_BYTES", 65_536
     )  # in place of 32 MiB, so that chunks may go beyond it
     script = f"""
         c send bytes '{text}'
@@ -1090,6 +1104,10 @@
 
 
 def test_requests_sent_ahead_are_not_taken_and_a_client_that_floods_is_closed(tmp_path: Path) -> None:
+    """A client sends many requests at once, against the protocol.
+
+    The first is answered, the others are not read, and its connection is closed.
+    """
     script = f"""
         c send GET /api @0
         c send GET /api @0
@@ -1105,6 +1123,11 @@
 def test_a_catalogue_that_cannot_be_read_is_an_internal_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The disk under the catalogue fails.
+
+    The client gets the interface's own error, not a broken connection.
+    """
+
     def broken(*given: object) -> None:
         raise sqlite3.OperationalError("disk I/O error")
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from harriertide.http import clients
-from harriertide.http.limits import OPERATORS, Limits
-from harriertide.http.listening import listen
+from harriertide.http import connection_table
+from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT, Limits
+from harriertide.http.listener import listen
 from harriertide.lifecycle import operator_api
 from harriertide.lifecycle.machine import Lifecycle, Stage
-from harriertide.lifecycle.operator_api import MOST_CALLERS, OperatorApi
+from harriertide.lifecycle.operator_api import MAX_CONNECTION_COUNT, OperatorApi
 from harriertide.platform.configuration import BadConfigError
 from tests.test_crossings import House, inside
 from tests.test_crossings import answer as reply
@@ -30,46 +30,86 @@
 
 
 def test_a_process_that_starts_is_not_ready_and_a_drain_told_then_holds_from_its_first_moment() -> None:
-    life = Lifecycle()
-    assert not life.ready().done and not life.healthy
-    assert life.evacuate().done
-    life.serve()
-    assert life.ready().done and not life.healthy and life.ends_connections
-    assert life.rejoin().done and life.healthy and not life.ends_connections
+    """Operators drain a process that is still starting: no client may be sent to it for a moment."""
+    lifecycle = Lifecycle()
+    assert not lifecycle.report_readiness().accepted and not lifecycle.is_healthy
+    assert lifecycle.evacuate().accepted
+    lifecycle.mark_serving()
+    assert lifecycle.report_readiness().accepted and not lifecycle.is_healthy and lifecycle.closes_connections
+    assert lifecycle.rejoin().accepted and lifecycle.is_healthy and not lifecycle.closes_connections
 
 
 def test_calls_that_come_twice_change_nothing_more() -> None:
-    life = Lifecycle(Stage.SERVING)
+    """A script repeats its call as the answer got lost."""
+    lifecycle = Lifecycle(Stage.SERVING)
     for _ in range(2):
-        assert life.evacuate().done and life.drained
+        assert lifecycle.evacuate().accepted and lifecycle.is_draining
     for _ in range(2):
-        assert life.rejoin().done and life.healthy
+        assert lifecycle.rejoin().accepted and lifecycle.is_healthy
 
 
 def test_a_process_that_stops_takes_no_clients_back() -> None:
-    life = Lifecycle(Stage.SERVING)
-    life.evacuate()
-    life.stop()
-    assert not life.rejoin().done and not life.healthy and not life.ready().done
-    assert life.evacuate().done
+    """A rejoin crosses SIGTERM: the process ends, whatever operators ask."""
+    lifecycle = Lifecycle(Stage.SERVING)
+    lifecycle.evacuate()
+    lifecycle.mark_stopping()
+    assert not lifecycle.rejoin().accepted and not lifecycle.is_healthy
+    assert not lifecycle.report_readiness().accepted
+    assert lifecycle.evacuate().accepted
 
 
 def test_a_superseded_process_speaks_for_the_newer_one_and_takes_no_calls() -> None:
-    life = Lifecycle(Stage.SERVING)
-    life.supersede()
-    assert life.healthy and life.ends_connections
-    assert not life.evacuate().done and not life.rejoin().done
-    life.stop()
-    assert life.healthy  # the broker serves, if not this process
+    """Health checks reach the old process during an upgrade: the broker is up, but drains are the newer
+    one's.
+    """
+    lifecycle = Lifecycle(Stage.SERVING)
+    lifecycle.mark_superseded()
+    assert lifecycle.is_healthy and lifecycle.closes_connections
+    assert not lifecycle.evacuate().accepted and not lifecycle.rejoin().accepted
+    lifecycle.mark_stopping()
+    assert lifecycle.is_healthy  # the broker serves, if not this process
 
 
 def test_a_process_takes_back_from_a_newer_one_that_died_unless_it_stops() -> None:
-    life = Lifecycle(Stage.SERVING, superseded=True)
-    life.take_back()
-    assert not life.superseded
-    life = Lifecycle(Stage.STOPPING, superseded=True)
-    life.take_back()
-    assert life.superseded
+    """The newer process has died: the old one is in charge again, but not when it is ending itself."""
+    lifecycle = Lifecycle(Stage.SERVING, is_superseded=True)
+    lifecycle.mark_active_again()
+    assert not lifecycle.is_superseded
+    lifecycle = Lifecycle(Stage.STOPPING, is_superseded=True)
+    lifecycle.mark_active_again()
+    assert lifecycle.is_superseded
+
+
+def test_a_stage_moves_by_its_table_alone() -> None:
+    """The end is asked for before all is ready, or readiness comes again: a stage never goes back."""
+    reached = {}
+    for stage in Stage:
+        for event, move in (("ready", Lifecycle.mark_serving), ("stop", Lifecycle.mark_stopping)):
+            lifecycle = Lifecycle(stage)
+            move(lifecycle)
+            reached[stage, event] = lifecycle.stage
+    assert reached == {
+        (Stage.STARTING, "ready"): Stage.SERVING,
+        (Stage.STARTING, "stop"): Stage.STOPPING,
+        (Stage.SERVING, "ready"): Stage.SERVING,
+        (Stage.SERVING, "stop"): Stage.STOPPING,
+        (Stage.STOPPING, "ready"): Stage.STOPPING,
+        (Stage.STOPPING, "stop"): Stage.STOPPING,
+    }
+
+
+@pytest.mark.parametrize(
+    ("lifecycle", "line"),
+    [
+        (Lifecycle(), "starting"),
+        (Lifecycle(Stage.SERVING, is_draining=True), "serving, drained"),
+        (Lifecycle(Stage.STOPPING, is_superseded=True), "stopping, superseded"),
+        (Lifecycle(Stage.SERVING, is_in_maintenance=True), "serving, in maintenance"),
+    ],
+)
+def test_operators_read_the_state_in_the_words_of_their_page(lifecycle: Lifecycle, line: str) -> None:
+    """Scripts match these lines: docs/operators/operations.md lists them."""
+    assert lifecycle.report_readiness().state == line
 
 
 # --- calls on sockets ----------------------------------------------------------------------------
@@ -86,8 +126,8 @@
 
 
 @asynccontextmanager
-async def address(life: Lifecycle) -> AsyncIterator[tuple[int, OperatorApi]]:
-    api = OperatorApi(life, lambda: None)
+async def address(lifecycle: Lifecycle) -> AsyncIterator[tuple[int, OperatorApi]]:
+    api = OperatorApi(lifecycle, lambda: None)
     server = await listen(("127.0.0.1", 0), api.connection)
     try:
         yield server.sockets[0].getsockname()[1], api
@@ -117,6 +157,8 @@
 
 @pytest.mark.parametrize("data, status", CALLS.values(), ids=CALLS.keys())
 def test_a_call_is_answered_once_and_closed(data: bytes, status: int) -> None:
+    """Good, wrong and hostile calls: each is answered once, and never leaves its connection open."""
+
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, _):
             got, answer = await call(port, data)
@@ -128,38 +170,42 @@
 
 
 def test_a_call_in_single_bytes_counts_once_it_is_whole_and_half_of_one_never() -> None:
+    """A call trickles in, and another is cut off in the middle: half a call must not end a drain."""
+
     async def main() -> None:
-        life = Lifecycle(Stage.SERVING)
-        async with address(life) as (port, _):
+        lifecycle = Lifecycle(Stage.SERVING)
+        async with address(lifecycle) as (port, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             whole = b"POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nyes"
             for byte in whole[:-1]:
                 writer.write(bytes([byte]))
                 await writer.drain()
             await call(port, GOOD)  # all that was written has been read by now, or nearly
-            assert not life.drained
+            assert not lifecycle.is_draining
             writer.write(whole[-1:])
-            assert (await reader.read()).startswith(b"HTTP/1.1 200") and life.drained
+            assert (await reader.read()).startswith(b"HTTP/1.1 200") and lifecycle.is_draining
             _, half = await asyncio.open_connection("127.0.0.1", port)
             half.write(b"POST /api/rejoin HTTP/1.1\r\nHost: x\r\n")
             half.close()
             await call(port, GOOD)
-            assert life.drained
+            assert lifecycle.is_draining
 
     asyncio.run(main())
 
 
 def test_callers_that_say_nothing_never_keep_out_one_that_calls() -> None:
+    """A monitor leaks connections until all are held: a drain must still get through at once."""
+
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, api):
             silent = []
-            for number in range(MOST_CALLERS + 40):
+            for number in range(MAX_CONNECTION_COUNT + 40):
                 silent.append(await asyncio.open_connection("127.0.0.1", port))
                 if number % 2:
                     silent[-1][1].write(b"GET /api/re")
                 if number % 8 == 0:
                     assert (await call(port, GOOD))[0] == 200
-            assert len(api._callers) <= MOST_CALLERS
+            assert len(api._connections) <= MAX_CONNECTION_COUNT
             for _, writer in silent:
                 writer.close()
 
@@ -167,22 +213,31 @@
 
 
 def test_half_a_call_is_ended_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operator_api, "CALL_S", 0.05)
+    """A caller stops in the middle of a call: its connection is answered 408 and closed."""
+    monkeypatch.setattr(operator_api, "REQUEST_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, api):
             assert (await call(port, b"GET /api/ready HTTP/1.1\r\n"))[0] == 408
             async with asyncio.timeout(SOON_S):
-                while api._callers:
+                while api._connections:
                     await asyncio.sleep(0.01)
 
     asyncio.run(main())
 
 
 def test_descriptors_of_callers_are_kept_from_clients() -> None:
-    without, with_callers = Limits.share(384, 80), Limits.share(384, 80, OPERATORS)
-    taken = without.clients + without.boxes - with_callers.clients - with_callers.boxes
-    assert taken >= 0.9 * OPERATORS - 1
+    without, with_callers = (
+        Limits.from_resources(384, 80),
+        Limits.from_resources(384, 80, OPERATOR_DESCRIPTOR_COUNT),
+    )
+    taken = (
+        without.max_client_connections
+        + without.max_node_connections
+        - with_callers.max_client_connections
+        - with_callers.max_node_connections
+    )
+    assert taken >= 0.9 * OPERATOR_DESCRIPTOR_COUNT - 1
 
 
 # --- the drain -----------------------------------------------------------------------------------
@@ -194,10 +249,10 @@
 
 def drain(play: Callable[[House, int], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
     """Play on a daemon with an operators' address, whose drains are short."""
-    monkeypatch.setattr(clients, "RETIRE_S", 0.1)
+    monkeypatch.setattr(connection_table, "RETIRE_DELAY_S", 0.1)
 
     async def main(house: House) -> None:
-        await play(house, house.daemon.operator_port())
+        await play(house, house.daemon.listeners.operator_port())
 
     inside(main, operator=("127.0.0.1", 0))
 
@@ -217,6 +272,8 @@
 def test_from_the_call_on_the_health_check_says_no_and_answers_end_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """From the moment of a drain no client is attracted or kept, and a rejoin turns that round."""
+
     async def play(house: House, port: int) -> None:
         kept = house.client()
         kept.sendall(READY)
@@ -237,6 +294,10 @@
 def test_a_drained_broker_serves_what_still_comes_and_no_connection_rests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Clients are slow to hear of a drain: what they still send is served, idle connections are closed
+    in order.
+    """
+
     async def play(house: House, port: int) -> None:
         resting = [await house.resting("/health/ready", "idle") for _ in range(20)]
         busy = house.client()
@@ -249,7 +310,11 @@
         assert b"200 OK" in await house.read(late)
         for client in resting:
             assert (await house.read(client)).endswith(b"ready\n")  # to an end in order, no reset
-        assert [len(house.daemon.clients.lines(state)) for state in ("silent", "idle", "busy")] == [0, 0, 1]
+        assert [len(house.daemon.clients.in_state(state)) for state in ("silent", "idle", "busy")] == [
+            0,
+            0,
+            1,
+        ]
         reply(line)
         assert b"200 OK" in await house.read(busy)
 
@@ -259,6 +324,8 @@
 def test_three_hundred_clients_that_never_stop_sending_are_all_sent_away(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Clients that always have a next request would keep their connections for ever: a drain has to end."""
+
     async def play(house: House, port: int) -> None:
         crowd = [await house.resting("/health/ready", "idle") for _ in range(300)]
 
@@ -281,6 +348,8 @@
 
 
 def test_a_client_that_pipelines_is_answered_once_and_sent_away(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client sends three requests at once to a drained broker: it must not be served on for all of them."""
+
     async def play(house: House, port: int) -> None:
         await call(port, EVACUATE)
         client = house.client()
@@ -291,6 +360,8 @@
 
 
 def test_a_rejoin_within_the_drain_keeps_connections_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Operators change their mind within the drain: connections that it has not closed yet are kept."""
+
     async def play(house: House, port: int) -> None:
         client = await house.resting("/health/ready", "idle")
         await call(port, EVACUATE)
@@ -304,6 +375,8 @@
 
 
 def test_a_drain_outlasts_a_reload_and_a_stop_ends_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A bad configuration is reloaded during a drain: the drain stays; SIGTERM is above a rejoin."""
+
     async def play(house: House, port: int) -> None:
         await call(port, EVACUATE)
         house.daemon.reload({})  # LB_CONFIG can't be read: what is in force stays
@@ -334,5 +407,6 @@
 
 
 def test_an_address_that_is_taken_is_named_with_its_key() -> None:
+    """Another program has the operators' address: the start ends with a line that names the key."""
     with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(BadConfigError, match="operator: "):
         inside(lambda house: house.settle(), operator=other.getsockname())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from harriertide.cli import replacement
+from harriertide.cli import in_place_upgrade
 from harriertide.cli.daemon import Daemon
 from harriertide.decide import api, handover
 from harriertide.decide.demand_aggregate import DemandAggregate
@@ -19,13 +19,14 @@
 from harriertide.decide.state import VolumeState
 from harriertide.decide.token_bucket import TokenBucket
 from harriertide.http.limits import Limits
-from harriertide.http.listening import IN_FLIGHT
-from harriertide.lifecycle import record, upgrade
+from harriertide.http.listener import UNREPORTED_ACCEPT_COUNT
+from harriertide.lifecycle import active_process, record
+from harriertide.lifecycle.active_process import ActiveProcessHooks, ActiveProcessLease
+from harriertide.lifecycle.process_registry import ACTIVE_LEASE_S, ProcessRegistry
 from harriertide.lifecycle.record import Handover, RecordError
-from harriertide.lifecycle.succession import LEASE_S, Succession
-from harriertide.lifecycle.upgrade import Hooks, Upgrade
 from harriertide.platform.configuration import BadConfigError, Config
-from harriertide.platform.discovery import Directory, DirectoryState
+from harriertide.platform.endpoint_directory import DirectoryState, EndpointDirectory
+from harriertide.platform.endpoint_page import EndpointPage, parse_page
 from tests.helpers import START_US, BrokerUnderTest, sends
 from tests.scenario import Stand, World
 from tests.test_crossings import answer
@@ -39,139 +40,159 @@
 
 
 def test_epochs_rise_and_a_process_lives_for_as_long_as_it_holds_its_lock(tmp_path: Path) -> None:
-    first, second = Succession(tmp_path), Succession(tmp_path)
-    assert first.epoch < second.epoch and first.others() and second.lives(first.epoch)
+    """A process dies without a word: the system ends its lock, and the others see it from that."""
+    first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
+    assert first.epoch < second.epoch and first.has_other_processes() and second.is_alive(first.epoch)
     first.close()
-    assert not second.lives(first.epoch) and not second.others()
-    assert Succession(tmp_path).epoch > second.epoch
+    assert not second.is_alive(first.epoch) and not second.has_other_processes()
+    assert ProcessRegistry(tmp_path).epoch > second.epoch
 
 
 def test_one_process_at_a_time_takes_over(tmp_path: Path) -> None:
-    first, second = Succession(tmp_path), Succession(tmp_path)
-    assert first.begin() and not second.begin()
-    first.take_charge()
-    first.end()
-    assert second.begin() and second.current() == first.epoch
+    """Two new processes start at once: the second waits until the first has become active."""
+    first, second = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
+    assert first.try_lock_takeover() and not second.try_lock_takeover()
+    first.become_active()
+    first.end_takeover()
+    assert second.try_lock_takeover() and second.active_epoch() == first.epoch
 
 
 def test_a_claim_counts_for_as_long_as_its_process_lives(tmp_path: Path) -> None:
-    old, new = Succession(tmp_path), Succession(tmp_path)
-    new.begin()
-    new.ask()
-    assert old.claim() == new.epoch and new.claim() == 0
+    """A process claims the lease and dies: the active one must not hand over to nobody."""
+    old, new = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
+    new.try_lock_takeover()
+    new.write_claim()
+    assert old.claimed_epoch() == new.epoch and new.claimed_epoch() == 0
     new.close()
-    assert old.claim() == 0
+    assert old.claimed_epoch() == 0
 
 
 def test_files_of_processes_that_are_gone_go_with_the_next_take_over(tmp_path: Path) -> None:
-    gone, new = Succession(tmp_path), Succession(tmp_path)
+    """Upgrade after upgrade leaves files behind; each takeover removes those of the dead."""
+    gone, new = ProcessRegistry(tmp_path), ProcessRegistry(tmp_path)
     gone.close()
-    new.begin()
-    new.ask()
-    new.leave_state(gone.epoch, b"x")
-    new.take_charge()
-    new.end()
+    new.try_lock_takeover()
+    new.write_claim()
+    new.write_handover_record(gone.epoch, b"x")
+    new.become_active()
+    new.end_takeover()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["current", f"process-{new.epoch}", "takeover"]
 
 
 class Process:
-    """An Upgrade whose hooks write down what they are told."""
+    """An ActiveProcessLease whose hooks write down what they are told."""
 
     def __init__(self, folder: Path) -> None:
-        self.said: list[str] = []
-        self.succession = Succession(folder)
-        hooks = Hooks(
-            self.give_up,
-            lambda: self.said.append("fenced"),
-            lambda: self.said.append("took back"),
+        self.events: list[str] = []
+        self.registry = ProcessRegistry(folder)
+        hooks = ActiveProcessHooks(
+            self.release,
+            lambda: self.events.append("fenced"),
+            lambda: self.events.append("reclaimed"),
             lambda on: None,
         )
-        self.upgrade = Upgrade(self.succession, hooks)
+        self.lease = ActiveProcessLease(self.registry, hooks)
 
-    def give_up(self, claimed: int) -> bytes:
-        self.said.append("gave up")
+    def release(self, claimed: int) -> bytes:
+        self.events.append("released")
         return b"state for %d" % claimed
 
     def die(self) -> None:
-        self.upgrade.close()
+        self.lease.close()
 
     def stand_still(self) -> None:
         """As under SIGSTOP: it looks at nothing, and lives."""
-        assert self.upgrade._timer is not None
-        self.upgrade._timer.cancel()
+        assert self.lease._timer is not None
+        self.lease._timer.cancel()
 
-    async def heard(self, *said: str) -> None:
+    async def wait_until(self, *said: str) -> None:
         async with asyncio.timeout(PATIENCE_S):
-            while self.said != list(said):
+            while self.events != list(said):
                 await asyncio.sleep(0.005)
 
 
 def test_the_first_process_takes_charge_with_nothing_and_the_next_with_its_record(tmp_path: Path) -> None:
+    """The course without a failure, twice in a row: each process passes its state to the next."""
+
     async def course() -> None:
         old, new, third = Process(tmp_path), Process(tmp_path), Process(tmp_path)
-        assert await old.upgrade.take_over() is None
-        assert await new.upgrade.take_over() == b"state for %d" % new.upgrade.epoch
-        assert old.said == ["gave up"] and new.upgrade.in_charge and not old.upgrade.in_charge
-        assert await third.upgrade.take_over() == b"state for %d" % third.upgrade.epoch
-        assert old.said == ["gave up"] and new.said == ["gave up"]
+        assert await old.lease.take_over() is None
+        assert await new.lease.take_over() == b"state for %d" % new.lease.epoch
+        assert old.events == ["released"] and new.lease.is_active and not old.lease.is_active
+        assert await third.lease.take_over() == b"state for %d" % third.lease.epoch
+        assert old.events == ["released"] and new.events == ["released"]
 
     asyncio.run(course())
 
 
 def test_two_that_take_over_at_once_do_so_one_after_the_other(tmp_path: Path) -> None:
+    """Two upgrades are started at once: one process ends up active, and no state is lost on the way."""
+
     async def course() -> None:
         old, *both = [Process(tmp_path) for _ in range(3)]
-        await old.upgrade.take_over()
-        records = await asyncio.gather(*(each.upgrade.take_over() for each in both))
+        await old.lease.take_over()
+        records = await asyncio.gather(*(each.lease.take_over() for each in both))
         assert None not in records
-        assert sorted(len(each.said) for each in both) == [0, 1] and old.said == ["gave up"]
+        assert sorted(len(each.events) for each in both) == [0, 1] and old.events == ["released"]
 
     asyncio.run(course())
 
 
 @pytest.mark.parametrize("charged", [False, True], ids=["before it is in charge", "right after"])
 def test_the_old_process_takes_back_from_one_that_dies(tmp_path: Path, charged: bool) -> None:
+    """The new process is killed in the middle of its takeover, or right after it: the old one reclaims
+    the lease.
+    """
+
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
+        await old.lease.take_over()
         if charged:
-            await new.upgrade.take_over()
+            await new.lease.take_over()
         else:
-            new.succession.begin()
-            new.succession.ask()
-            await old.heard("gave up")
+            new.registry.try_lock_takeover()
+            new.registry.write_claim()
+            await old.wait_until("released")
         new.die()
         if not charged:
-            new.succession.end()  # as the system does with a dead process's locks
-        await old.heard("gave up", "took back")
-        assert old.upgrade.in_charge and old.succession.current() == old.upgrade.epoch
+            new.registry.end_takeover()  # as the system does with a dead process's locks
+        await old.wait_until("released", "reclaimed")
+        assert old.lease.is_active and old.registry.active_epoch() == old.lease.epoch
 
     asyncio.run(course())
 
 
 def test_a_process_that_was_told_to_end_takes_nothing_back(tmp_path: Path) -> None:
+    """The old process has had SIGTERM when the new one dies: it still hands over, but never becomes
+    active again.
+    """
+
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
-        old.upgrade.stop()
-        assert await new.upgrade.take_over() is not None  # it still answers
+        await old.lease.take_over()
+        old.lease.stop_reclaiming()
+        assert await new.lease.take_over() is not None  # it still answers
         new.die()
         await asyncio.sleep(0.1)
-        assert old.said == ["gave up"]
+        assert old.events == ["released"]
 
     asyncio.run(course())
 
 
 def test_the_next_process_starts_from_nothing_where_the_old_one_is_gone(tmp_path: Path) -> None:
+    """The active process is killed after the claim and before its answer: the new one does not wait for
+    ever.
+    """
+
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
+        await old.lease.take_over()
         old.stand_still()
-        taking = asyncio.create_task(new.upgrade.take_over())
-        while old.succession.claim() == 0:  # killed in the middle: asked, and not answered yet
+        taking = asyncio.create_task(new.lease.take_over())
+        while old.registry.claimed_epoch() == 0:  # killed in the middle: asked, and not answered yet
             await asyncio.sleep(0)
         old.die()
-        assert await taking is None and new.upgrade.in_charge
+        assert await taking is None and new.lease.is_active
 
     asyncio.run(course())
 
@@ -179,17 +200,21 @@
 def test_one_that_stood_still_is_fenced_before_it_acts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upgrade, "ANSWER_S", 0.05)
+    """The active process is stopped (SIGSTOP), and the new one goes on without its answer.
+
+    Once it runs again it must find that out before it forwards anything: two would spend one limit.
+    """
+    monkeypatch.setattr(active_process, "CLAIM_ANSWER_TIMEOUT_S", 0.05)
 
     async def course() -> None:
         old, new = Process(tmp_path), Process(tmp_path)
-        await old.upgrade.take_over()
+        await old.lease.take_over()
         old.stand_still()
         begun = time.monotonic()
-        assert await new.upgrade.take_over() is None
-        assert time.monotonic() - begun > LEASE_S  # what the old one may still have done is over
-        old.upgrade.check()
-        assert old.said == ["fenced"] and not old.upgrade.in_charge
+        assert await new.lease.take_over() is None
+        assert time.monotonic() - begun > ACTIVE_LEASE_S  # what the old one may still have done is over
+        old.lease.check_fence()
+        assert old.events == ["fenced"] and not old.lease.is_active
 
     asyncio.run(course())
 
@@ -200,6 +225,7 @@
 
 
 def test_a_record_comes_back_as_it_went() -> None:
+    """Everything that is exported is there after the import."""
     ballots = {3: (5, {1, 2})}
     slot = handover.LeaseSlotRecord(-1, 0, 0, 0, ballots, 0, 0)
     leases = handover.LeasesRecord(7, {1: slot}, {})
@@ -230,11 +256,15 @@
 def test_a_record_of_no_use_is_set_aside(
     spoil: Callable[[bytes], bytes], broker: str, epoch: int, now_s: float, reason: str
 ) -> None:
+    """A record is damaged, of another release, of another broker or process, or left by an upgrade long
+    ago.
+    """
     with pytest.raises(RecordError, match=reason):
         record.decode(spoil(record.encode(EMPTY)), broker, epoch, now_s)
 
 
 def test_a_record_of_another_shape_is_set_aside() -> None:
+    """Another release of the same version number wrote other fields: that is found, not imported by half."""
     import msgspec
     from xxhash import xxh3_64_digest
 
@@ -246,36 +276,38 @@
 # --- the list and the decisions ------------------------------------------------------------------
 
 
-def page(seq: int, *hosts: str, **health: str) -> dict:  # type: ignore[type-arg]
+def page(seq: int, *hosts: str, **health: str) -> EndpointPage:
     rows = [
         {"host": host, "dial": f"{host}:1", "block": 0, "health": health.get(host, "up")} for host in hosts
     ]
-    return {"seq": seq, "whole": True, "hosts": rows}
+    return parse_page({"seq": seq, "whole": True, "hosts": rows}, {})
 
 
 def test_the_newer_list_holds_and_drains_that_either_was_told() -> None:
-    old, new = Directory({}), Directory({})
-    old.read(page(9, "a", "b", "c", b="draining"))
-    new.read(page(5, "a", "b", "d"), "cached")
+    """One process knows a newer endpoint list, the other a drain: neither may be lost in the hand-over."""
+    old, new = EndpointDirectory({}), EndpointDirectory({})
+    old.apply(page(9, "a", "b", "c", b="draining"))
+    new.apply(page(5, "a", "b", "d"), "cached")
     told = new.import_state(old.export_state())
     assert {entry.node_id: entry.state for entry in told.entries} == {
         "a": "live",
         "b": "draining",
         "c": "live",
     }
-    assert new.seq == 9 and new.find("c") == "c:1" and new.find("d") is None
-    newer = Directory({})
-    newer.read(page(12, "a", "b", "d"))
+    assert new.version == 9 and new.find("c") == "c:1" and new.find("d") is None
+    newer = EndpointDirectory({})
+    newer.apply(page(12, "a", "b", "d"))
     told = newer.import_state(old.export_state())
     assert {entry.node_id: entry.state for entry in told.entries} == {
         "a": "live",
         "b": "draining",
         "d": "live",
     }
-    assert newer.seq == 12
+    assert newer.version == 12
 
 
 def test_what_was_learned_goes_on_and_nothing_is_given_out_twice() -> None:
+    """Capacity, quotas and grants that the old process has learned or given out hold in the new one."""
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
     old, new = BrokerUnderTest((cold,)), BrokerUnderTest((cold,))
     keeper, taker = old.scheduler, new.scheduler
@@ -319,6 +351,7 @@
 
 
 def test_a_superseded_process_gives_out_no_limit_and_nothing_of_cold_nodes() -> None:
+    """Both processes live on for a while: only the active one may spend rate limits and slow-start budget."""
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
     head = BrokerUnderTest((cold, api.NodeEntry("n1", 1)))
     head.do(api.SettingsChanged(handover.superseded(head.settings)))
@@ -360,8 +393,9 @@
         config = Config(
             name="n", listen=self.door.getsockname(), discovery=f"127.0.0.1:{self.ports['s']}", seed=1,
             settings=from_wire(WIRE), names=names_from_wire(WIRE), peer_listen=self.peer_listen,
-            peers=["127.0.0.1:1", "127.0.0.1:2"], known={"seq": 7, "whole": True, "hosts": [host]},
-            raw_settings=WIRE, operator=("127.0.0.1", 0), inherited_descriptor=self.door.fileno(),
+            peers=["127.0.0.1:1", "127.0.0.1:2"], raw_settings=WIRE,
+            cached_list=parse_page({"seq": 7, "whole": True, "hosts": [host]}, {}),
+            operator=("127.0.0.1", 0), inherited_descriptor=self.door.fileno(),
         )  # fmt: skip
         daemon = Daemon(replace(config, **stated), None)  # type: ignore[arg-type]
         await daemon.start()
@@ -392,7 +426,7 @@
 def on_platform(
     course: Callable[[Platform], Awaitable[None]], folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(replacement, "folder", lambda name: folder / name)
+    monkeypatch.setattr(in_place_upgrade, "meeting_folder", lambda name: folder / name)
 
     async def main() -> None:
         async with Platform(folder) as platform:
@@ -404,6 +438,8 @@
 def test_a_kept_connection_of_the_old_process_is_served_and_sent_to_the_new(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Clients keep connections to the old process: each is served once more there, and told to reconnect."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         kept = await platform.client()
@@ -412,7 +448,7 @@
         waiting[1].write(platform.request())
         asked = (await platform.box.asked.get())[3]
         new = await platform.process()
-        assert old.life.superseded and new.life.can_serve and old.life.can_serve
+        assert old.lifecycle.is_superseded and new.lifecycle.is_serving and old.lifecycle.is_serving
         answer(asked)
         assert b"200" in await waiting[0].readuntil(b"ok")
         assert b"Connection: close" in await platform.served(*kept)
@@ -427,13 +463,15 @@
 def test_a_request_half_read_and_one_behind_sigterm_are_served_by_the_old_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A request is half read as the upgrade and then SIGTERM come: it is still served."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         kept, half = await platform.client(), await platform.client()
         await platform.served(*kept)
         request = platform.request()
         half[1].write(request[:40])
-        while not old.clients.lines("reading"):
+        while not old.clients.in_state("reading"):
             await asyncio.sleep(0)
         await platform.process()
         stopping = asyncio.create_task(old.stop())
@@ -450,6 +488,8 @@
 def test_a_long_answer_on_its_way_is_finished_by_the_old_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """An answer of 32 MB is on its way as the upgrade comes: the client gets all of it."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         reader, writer = await platform.client()
@@ -459,7 +499,7 @@
         line.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * 200_000)
         await reader.readuntil(b"\r\n\r\n")
         await platform.process()
-        assert old.life.superseded
+        assert old.lifecycle.is_superseded
         line.writer.write(b"x" * (size - 200_000))
         async with asyncio.timeout(PATIENCE_S):
             assert len(await reader.readexactly(size)) == size
@@ -470,6 +510,8 @@
 def test_connections_that_come_while_one_takes_over_wait_and_are_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Clients connect all through a takeover: none is refused and none is closed unserved."""
+
     async def course(platform: Platform) -> None:
         await platform.process()
         starting = asyncio.create_task(platform.process())
@@ -483,14 +525,16 @@
 def test_the_old_process_accepts_and_hears_its_peers_again_where_the_new_one_dies(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The new process crashes once it is active: the old one accepts clients and peers again."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         new = await platform.process()
-        assert new.replacement is not None and new.peers is not None
-        new.close_door()  # as the system does with a dead process's descriptors
-        new.replacement.upgrade.close()
+        assert new.in_place_upgrade is not None and new.peers is not None
+        new.stop_accepting()  # as the system does with a dead process's descriptors
+        new.in_place_upgrade.close()
         async with asyncio.timeout(PATIENCE_S):
-            while old.life.superseded or len(old.servers) < 1:
+            while old.lifecycle.is_superseded or len(old.listeners.servers) < 1:
                 await asyncio.sleep(0.01)
         assert b"Connection: close" not in await platform.served(*await platform.client())
         assert old.core.settings.plans == from_wire(WIRE).plans
@@ -502,6 +546,10 @@
 def test_a_state_that_cannot_be_written_down_leaves_one_in_charge(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The export of the state fails on a bug of ours: the new process starts with none, and is the only
+    active one.
+    """
+
     def fail(scheduler: object) -> None:
         raise ValueError("a fault of the broker itself")
 
@@ -509,7 +557,7 @@
         old = await platform.process()
         monkeypatch.setattr(handover, "export_state", fail)
         new = await platform.process()
-        assert old.life.superseded and old._door_server is None and new.life.can_serve
+        assert old.lifecycle.is_superseded and not old.listeners.accepts_clients and new.lifecycle.is_serving
         await platform.served(*await platform.client())
         assert new.core.counts["taken"] == 1
 
@@ -519,6 +567,10 @@
 def test_a_record_that_cannot_be_gone_on_from_ends_no_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The import fails on a record that another release wrote: the new process starts with no state,
+    and serves.
+    """
+
     def fail(scheduler: object, state: object) -> None:
         raise KeyError("another release's")
 
@@ -527,7 +579,7 @@
         monkeypatch.setattr(handover, "import_state", fail)
         new = await platform.process()
         async with asyncio.timeout(PATIENCE_S):
-            while not new.life.can_serve:
+            while not new.lifecycle.is_serving:
                 await asyncio.sleep(0.01)
         await platform.served(*await platform.client())
 
@@ -537,17 +589,23 @@
 def test_a_drain_and_what_was_learned_cross_an_upgrade(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Operators drain a broker and then upgrade it: it stays drained, with what it knows of nodes and
+    discovery.
+    """
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        old.life.evacuate()
+        old.lifecycle.evacuate()
         old.core.scheduler.endpoints.shards[0].capacity = 42.0  # type: ignore[attr-defined]
-        old.directory.read(
-            {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
+        old.directory.apply(
+            old.directory.parse_page(
+                {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
+            )
         )
         new = await platform.process()
-        assert new.life.drained and not new.life.healthy and new.life.can_serve
+        assert new.lifecycle.is_draining and not new.lifecycle.is_healthy and new.lifecycle.is_serving
         assert new.core.scheduler.endpoints.shards[0].capacity == 42.0  # type: ignore[attr-defined]
-        assert new.directory.seq == 8 and new.core.nodes()["b1"].state == "draining"
+        assert new.directory.version == 8 and new.core.nodes()["b1"].state == "draining"
 
     on_platform(course, tmp_path, monkeypatch)
 
@@ -555,23 +613,27 @@
 def test_sigterm_reaches_the_old_process_before_the_new_one_is_ready(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The platform stops the old process too early: the new one serves all the same."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         stopping = asyncio.create_task(old.stop())
         await asyncio.sleep(0)
         new = await platform.process()
         await stopping
-        assert new.life.can_serve and b"200" in await platform.served(*await platform.client())
+        assert new.lifecycle.is_serving and b"200" in await platform.served(*await platform.client())
 
     on_platform(course, tmp_path, monkeypatch)
 
 
 def test_two_upgrades_at_once_end_with_one_in_charge(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two new processes are started beside a running one: exactly one of the three accepts at the end."""
+
     async def course(platform: Platform) -> None:
         await platform.process()
         await asyncio.gather(platform.process(), platform.process())
-        assert sorted(daemon.life.superseded for daemon in platform.started) == [False, True, True]
-        assert sum(daemon._door_server is not None for daemon in platform.started) == 1
+        assert sorted(daemon.lifecycle.is_superseded for daemon in platform.started) == [False, True, True]
+        assert sum(daemon.listeners.accepts_clients for daemon in platform.started) == 1
         await platform.served(*await platform.client())
 
     on_platform(course, tmp_path, monkeypatch)
@@ -581,22 +643,26 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old one takes no clients any more: what it has, and all that it may still open, counts."""
-    monkeypatch.setattr(upgrade, "ALONE_S", 0.05)
+    monkeypatch.setattr(active_process, "LIVENESS_CHECK_INTERVAL_S", 0.05)
 
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        clients, nodes = old.clients.most, old.client.pool.most
+        clients, nodes = old.clients.max_connections, old.client.pool.max_connections
         kept = [await platform.client() for _ in range(5)]
         for each in kept:
             await platform.served(*each)
         new = await platform.process()
-        assert len(old.clients) == 5 and new.clients.most == clients - 5 - IN_FLIGHT
-        assert old.client.pool.most >= len(old.client.pool)
-        assert old.client.pool.most + new.client.pool.most <= nodes
-        assert old.bodies.most == new.bodies.most == new.config.limits.bodies // 2
+        assert len(old.clients) == 5 and new.clients.max_connections == clients - 5 - UNREPORTED_ACCEPT_COUNT
+        assert old.client.pool.max_connections >= len(old.client.pool)
+        assert old.client.pool.max_connections + new.client.pool.max_connections <= nodes
+        assert (
+            old.bodies.limit_bytes
+            == new.bodies.limit_bytes
+            == new.config.limits.max_buffered_request_bytes // 2
+        )
         await old.stop()
         async with asyncio.timeout(PATIENCE_S):
-            while (new.clients.most, new.client.pool.most) != (clients, nodes):
+            while (new.clients.max_connections, new.client.pool.max_connections) != (clients, nodes):
                 await asyncio.sleep(0.01)
 
     on_platform(course, tmp_path, monkeypatch)
@@ -606,18 +672,25 @@
 def test_connections_accepted_as_a_process_is_superseded_are_not_turned_away(
     turns: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Connections are accepted and not yet heard of as the limit of the process shrinks.
+
+    Their clients have sent requests: rejecting them now would fail requests for the sake of a count.
+    """
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        assert old.replacement is not None
-        clients = [socket.create_connection(platform.door.getsockname()) for _ in range(2 * IN_FLIGHT)]
+        assert old.in_place_upgrade is not None
+        clients = [
+            socket.create_connection(platform.door.getsockname()) for _ in range(2 * UNREPORTED_ACCEPT_COUNT)
+        ]
         for client in clients:
             client.sendall(platform.request())
         for _ in range(turns):
             await asyncio.sleep(0)
-        old.replacement._supersede()
+        old.in_place_upgrade._supersede()
         await asyncio.sleep(0.05)
         assert old.clients.counts["turned_away"] == 0
-        assert len(old.clients) <= old.clients.most
+        assert len(old.clients) <= old.clients.max_connections
         for client in clients:
             client.close()
 
@@ -625,15 +698,23 @@
 
 
 def test_a_process_that_knows_nothing_of_the_other_goes_by_half(tmp_path: Path) -> None:
-    limits = Limits.share(384, 80)
+    limits = Limits.from_resources(384, 80)
     half = limits.half()
-    assert 2 * half.clients <= limits.clients and 2 * half.boxes <= limits.boxes
-    assert 2 * half.held <= limits.held and 2 * half.bodies <= limits.bodies
+    assert (
+        2 * half.max_client_connections <= limits.max_client_connections
+        and 2 * half.max_node_connections <= limits.max_node_connections
+    )
+    assert (
+        2 * half.max_buffered_response_bytes <= limits.max_buffered_response_bytes
+        and 2 * half.max_buffered_request_bytes <= limits.max_buffered_request_bytes
+    )
 
 
 def test_no_message_of_a_peer_is_lost_where_the_address_changes_hands(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Peers send all through an upgrade: each datagram reaches one of the two processes, and only one."""
+
     async def course(platform: Platform) -> None:
         old = await platform.process()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
@@ -662,6 +743,8 @@
 def test_an_inherited_descriptor_that_is_another_socket_is_named(
     make: Callable[[], tuple[socket.socket, tuple[str, int]]], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The platform passes on the wrong descriptor: the start ends with a line that names the variable."""
+
     async def course(platform: Platform) -> None:
         door, listen = make()
         with door, pytest.raises(BadConfigError, match="LB_INHERITED_FD: descriptor"):
@@ -673,6 +756,8 @@
 def test_an_inherited_descriptor_that_is_not_open_is_named(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The platform passes on a number without a descriptor: the start ends with a line that names it."""
+
     async def course(platform: Platform) -> None:
         with pytest.raises(BadConfigError, match="LB_INHERITED_FD: descriptor 999 is not open"):
             await platform.process(inherited_descriptor=999)
