--- a/harriertide/http/limits.py
+++ b/harriertide/http/limits.py
@@ -5,7 +5,7 @@
 import resource
 from dataclasses import dataclass
 
-from harriertide.decide.settings import Part
+from harriertide.decide.settings import SettingsSection
 
 # Standard streams, the loop's own, listeners, peers, two watches on discovery, the catalogue, logs.
 OWN_DESCRIPTOR_COUNT = 28
@@ -80,16 +80,16 @@
         )
 
 
-def read_limits(stated: Part | None = None, reserved: int = 0) -> Limits:
+def read_limits(stated: SettingsSection | None = None, reserved: int = 0) -> Limits:
     """The limits that the configuration states, but never more than the system grants.
 
     :param stated: the part `limits` of the configuration; None or a missing key: the defaults
     :param reserved: descriptors that are left out, beside the process's own
     :raises ValueError: a figure can't be used
     """
-    stated = stated or Part({}, "limits")
+    stated = stated or SettingsSection({}, "limits")
     granted, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    sockets = stated.whole("sockets", 0) or DEFAULT_SOCKETS
+    sockets = stated.integer("sockets", 0) or DEFAULT_SOCKETS
     memory_mb = int(stated.number("memory_mb", 0)) or DEFAULT_MEMORY_MB
     if sockets < MIN_SOCKETS:
         raise ValueError(f"limits.sockets: must be at least {MIN_SOCKETS}")
--- a/harriertide/platform/configuration.py
+++ b/harriertide/platform/configuration.py
@@ -14,7 +14,14 @@
 import orjson
 
 from harriertide.decide import api
-from harriertide.decide.settings import Names, Part, SettingsError, from_wire, in_places, names_from_wire
+from harriertide.decide.settings import (
+    Names,
+    SettingsError,
+    SettingsSection,
+    from_wire,
+    keep_numbers,
+    names_from_wire,
+)
 from harriertide.http.limits import OPERATOR_DESCRIPTOR_COUNT, Limits, read_limits
 from harriertide.platform.endpoint_page import EMPTY_PAGE, EndpointPage, EndpointPageError, parse_page
 from harriertide.platform.peers import parse_address
@@ -105,14 +112,14 @@
 
 
 def _parse_config(raw: Any, environment: Mapping[str, str], running: Config | None) -> Config:
-    top = Part(raw, "")
+    top = SettingsSection(raw, "")
     addresses = _parse_addresses(top, environment)
     inherited_descriptor = _parse_descriptor(environment.get("LB_INHERITED_FD", ""))
-    limits = top.part("limits") if raw.get("limits") else Part({}, "limits")
+    limits = top.section("limits") if raw.get("limits") else SettingsSection({}, "limits")
     seed = _parse_seed(raw)
     settings, names = _parse_settings(raw["settings"], running)
     cached_list = _parse_cached_list(raw, names)
-    domain = Part(settings, "settings").part("domain")
+    domain = SettingsSection(settings, "settings").section("domain")
     serves_operators = bool(addresses.operator or (running and running.operator))
     return Config(
         name=addresses.name,
@@ -132,7 +139,7 @@
     )
 
 
-def _parse_addresses(top: Part, environment: Mapping[str, str]) -> _Addresses:
+def _parse_addresses(top: SettingsSection, environment: Mapping[str, str]) -> _Addresses:
     addresses = _Addresses(
         name=environment.get("LB_NAME") or top.text("name"),
         listen=environment.get("LB_LISTEN") or top.text("listen"),
@@ -178,7 +185,7 @@
     from_wire(stated)  # they must be good by themselves, before they are put in the running broker's places
     if running is None:
         return stated, names_from_wire(stated)
-    settings = in_places(stated, running.raw_settings)
+    settings = keep_numbers(stated, running.raw_settings)
     return settings, names_from_wire(settings, stated)
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -67,7 +67,7 @@
 
 def deciding_modules() -> set[str]:
     """All modules of decide/ but the formats: what crosses its border, on the wire, in files or in memory."""
-    formats = {"__init__", "api", "settings", "peer_messages", "handover"}
+    formats = {"__init__", "api", "settings", "settings_section", "peer_messages", "handover"}
     paths = (ROOT / "harriertide" / "decide").glob("*.py")
     return {f"harriertide/decide/{path.name}" for path in paths if path.stem not in formats}
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -14,7 +14,7 @@
 
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
-from harriertide.decide.settings import Part, from_wire, names_from_wire
+from harriertide.decide.settings import SettingsSection, from_wire, names_from_wire
 from harriertide.engine import counters, log
 from harriertide.engine.clock import Clock
 from harriertide.http.limits import OWN_DESCRIPTOR_COUNT, OWN_MEMORY_MB, Limits, read_limits
@@ -194,9 +194,11 @@
             limits.max_buffered_response_bytes + limits.max_response_bytes < (64 - OWN_MEMORY_MB) << 20
             and limits.max_response_bytes >= 1 << 20
         )
-    assert read_limits(Part({"sockets": 300, "memory_mb": 80}, "limits")) == Limits.from_resources(300, 80)
+    assert read_limits(SettingsSection({"sockets": 300, "memory_mb": 80}, "limits")) == Limits.from_resources(
+        300, 80
+    )
     with pytest.raises(ValueError, match="limits.sockets"):
-        read_limits(Part({"sockets": 10}, "limits"))
+        read_limits(SettingsSection({"sockets": 10}, "limits"))
 
 
 def test_the_address_of_a_node_that_is_gone_goes_too() -> None:
