--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -22,11 +22,18 @@
 from docopt import docopt
 
 from harriertide.engine.clock import until
-from harriertide.lab.checkers.upgrade_checker import IDLE_S, LATE_REQUEST_S, REJOIN_S, Found, conclude, judge
+from harriertide.lab.checkers.upgrade_checker import (
+    IDLE_S,
+    LATE_REQUEST_S,
+    REJOIN_S,
+    Verdict,
+    conclude,
+    judge,
+)
 from harriertide.lab.rigs.fault_script import HOST
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.process_rig import ask_status
-from harriertide.lab.rigs.single_broker import Called, Process, World, call
+from harriertide.lab.rigs.single_broker import BrokerProcess, OperatorCall, SingleBrokerRig, call_operator
 
 ASK_S, FURTHER_S = 0.1, 0.2  # the front's
 BAD_CALLERS = 12
@@ -34,26 +41,26 @@
 HEALTH = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-class Drill:
+class DrainRun:
     """A broker and its front."""
 
-    def __init__(self, world: World, process: Process) -> None:
-        self.world, self.process = world, process
+    def __init__(self, rig: SingleBrokerRig, process: BrokerProcess) -> None:
+        self.rig, self.process = rig, process
         self._bad: list[asyncio.StreamWriter] = []
 
     async def healthy(self) -> bool:
         """What the front hears."""
-        return await ask_status(self.world.address[1], HEALTH) == 200
+        return await ask_status(self.rig.address[1], HEALTH) == 200
 
-    async def operate(self, line: str) -> Called:
+    async def operate(self, line: str) -> OperatorCall:
         """An operator's call, its time written down."""
-        called = await call(self.process.operator, line)
-        self.world.logs.write("platform", "called", line=line, status=called.status, took_s=called.took_s)
+        called = await call_operator(self.process.operator, line)
+        self.rig.logs.write("platform", "called", line=line, status=called.status, took_s=called.took_s)
         return called
 
     async def drain(self) -> None:
         """Evacuate, look, rejoin."""
-        loop, logs, clients = asyncio.get_running_loop(), self.world.logs, self.world.clients
+        loop, logs, clients = asyncio.get_running_loop(), self.rig.logs, self.rig.clients
         await self._bad_callers()
         begun = loop.time()
         if (await self.operate("POST /api/evacuate")).status != 200:
@@ -61,11 +68,11 @@
         while await self.healthy():
             await until(loop.time() + ASK_S)
         await until(loop.time() + FURTHER_S)
-        clients.sent_here = False
+        clients.gets_new_connections = False
         while loop.time() < begun + IDLE_S:
             await self.operate("GET /api/ready")
             await until(min(begun + IDLE_S, loop.time() + 0.25))
-        resting, late = clients.still_open(LATE_REQUEST_S)
+        resting, late = clients.count_open(LATE_REQUEST_S)
         logs.write("platform", "open", idle=resting, late=late)
         if await self.healthy():
             logs.write("platform", "failed", what="the health check says yes in a drain")
@@ -74,7 +81,7 @@
         while not await self.healthy() and loop.time() < begun + 2 * REJOIN_S:
             await until(loop.time() + ASK_S)
         logs.write("platform", "rejoined", took_s=loop.time() - begun)
-        clients.sent_here = True
+        clients.gets_new_connections = True
         for writer in self._bad:
             writer.transport.abort()
 
@@ -89,30 +96,30 @@
 
 async def play(folder: Path, seed: int, runs: int) -> None:
     """So many drains; what happened is in the folder's logs."""
-    world = World(folder, Random(seed))
-    await world.start()
+    rig = SingleBrokerRig(folder, Random(seed))
+    await rig.start()
     stop = asyncio.Event()
     try:
-        process = await world.launch()
-        world.logs.write("platform", "ready", took_s=await world.ready(process))
-        load = asyncio.create_task(world.clients.offer(stop))
+        process = await rig.launch()
+        rig.logs.write("platform", "ready", took_s=await rig.wait_ready(process))
+        load = asyncio.create_task(rig.clients.offer(stop))
         for _ in range(runs):
             await until(asyncio.get_running_loop().time() + SETTLE_S)
-            await Drill(world, process).drain()
+            await DrainRun(rig, process).drain()
         await until(asyncio.get_running_loop().time() + SETTLE_S)
         stop.set()
         await load
-        if not process.lives:
-            world.logs.write("platform", "failed", what="the broker has ended")
+        if not process.is_running:
+            rig.logs.write("platform", "failed", what="the broker has ended")
     finally:
-        await world.close()
+        await rig.close()
 
 
-def report(found: Found, drains: int) -> str:
+def report(verdict: Verdict, drains: int) -> str:
     """One line."""
     return (
-        f"drains {drains} requests {found.requests} lost {found.lost} late-idle {found.late_idle} "
-        f"rejoin-late {found.rejoin_late} door-late {found.door_late} failed {len(found.failed)}"
+        f"drains {drains} requests {verdict.requests} lost {verdict.lost} late-idle {verdict.late_idle} "
+        f"rejoin-late {verdict.rejoin_late} door-late {verdict.operator_late} failed {len(verdict.failed)}"
     )
 
 
@@ -121,5 +128,5 @@
     given: dict[str, Any] = docopt(__doc__ or "", arguments)
     with kept_or_temporary(given["--folder"]) as folder:
         asyncio.run(play(folder, int(given["--seed"]), int(given["--runs"])))
-        found = judge(folder)
-    return conclude(found, report(found, int(given["--runs"])))
+        verdict = judge(folder)
+    return conclude(verdict, report(verdict, int(given["--runs"])))
