--- a/harriertide/cli/reload.py
+++ b/harriertide/cli/reload.py
@@ -71,7 +71,7 @@
     process.directory.zones = names.zones
     process.client.connect_us = names.connect_us
     if process.objects is not None:
-        process.objects.replan(names.plans)
+        process.objects.add_platform_plans(names.plans)
 
 
 def _follow_discovery(watch: EndpointWatch, config: Config) -> None:
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -58,7 +58,7 @@
         self._catalogue = Catalogue(operator.catalogue)
         self.store = ObjectStore(runtime, client, self._catalogue, lambda: self.state, self.plans, classes)
         self.front = ObjectFront(self.store)
-        self.admin = AdminApi(lambda: self.state, self.enact)
+        self.admin = AdminApi(lambda: self.state, self.apply_state)
         self._sweeper: asyncio.Task[None] | None = None
 
     def _check(self, state: State) -> None:
@@ -80,7 +80,7 @@
             return self._platform
         return {name: place for place, name in enumerate(self._grades)}
 
-    def replan(self, platform: dict[str, int]) -> None:
+    def add_platform_plans(self, platform: dict[str, int]) -> None:
         """The platform's plans have changed; those there were keep their numbers."""
         self._platform = {**(self._platform or {}), **platform}
 
@@ -103,7 +103,7 @@
         """Begin the clean-up."""
         self._sweeper = asyncio.get_running_loop().create_task(sweep_forever(self.store))
 
-    def enact(self, state: State) -> None:
+    def apply_state(self, state: State) -> None:
         """Make this the running state. The core learns of nodes as a change of the endpoint list.
 
         :raises OperatorFileError: it can't be used; nothing has changed
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -745,7 +745,7 @@
                 else:
                     boxes[name]["state"] = state
             assert daemon.objects is not None
-            daemon.objects.enact(operator_file.read_state(raw))
+            daemon.objects.apply_state(operator_file.read_state(raw))
 
         world.operate = operate
     else:
