--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -284,6 +284,7 @@
 
 
 def test_the_newer_list_holds_and_drains_that_either_was_told() -> None:
+    """One process knows a newer endpoint list, the other a drain: neither may be lost in the hand-over."""
     old, new = EndpointDirectory({}), EndpointDirectory({})
     old.apply(page(9, "a", "b", "c", b="draining"))
     new.apply(page(5, "a", "b", "d"), "cached")
@@ -594,16 +595,16 @@
 
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        old.life.evacuate()
-        old.core.scheduler._cells[0].capacity = 42.0  # type: ignore[attr-defined]
+        old.lifecycle.evacuate()
+        old.core.scheduler.endpoints.shards[0].capacity = 42.0  # type: ignore[attr-defined]
         old.directory.apply(
             old.directory.parse_page(
                 {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
             )
         )
         new = await platform.process()
-        assert new.life.drained and not new.life.healthy and new.life.can_serve
-        assert new.core.scheduler._cells[0].capacity == 42.0  # type: ignore[attr-defined]
+        assert new.lifecycle.is_draining and not new.lifecycle.is_healthy and new.lifecycle.is_serving
+        assert new.core.scheduler.endpoints.shards[0].capacity == 42.0  # type: ignore[attr-defined]
         assert new.directory.version == 8 and new.core.nodes()["b1"].state == "draining"
 
     on_platform(course, tmp_path, monkeypatch)
@@ -678,7 +679,7 @@
 
     async def course(platform: Platform) -> None:
         old = await platform.process()
-        assert old.replacement is not None
+        assert old.in_place_upgrade is not None
         clients = [
             socket.create_connection(platform.door.getsockname()) for _ in range(2 * UNREPORTED_ACCEPT_COUNT)
         ]
