--- a/harriertide/consensus/log.py
+++ b/harriertide/consensus/log.py
@@ -60,11 +60,11 @@
 
     def members_at(self, index: int) -> Membership:
         """The membership that holds at an index."""
-        found = self.base_members
+        latest = self.base_members
         for start, members in self._memberships:
             if start <= index:
-                found = members
-        return found
+                latest = members
+        return latest
 
     def term_at(self, index: int) -> int | None:
         """Term of the entry at an index; None where the log does not reach so far, or not so far back."""
@@ -80,16 +80,16 @@
 
     def entries_after(self, index: int, max_count: int, max_bytes: int) -> tuple[Entry, ...]:
         """Entries from index + 1 on within both limits, at least one where there is one."""
-        found: list[Entry] = []
+        batch: list[Entry] = []
         size_bytes = 0
         first = index - self.base_index
         for position in range(first, min(len(self.entries), first + max_count)):
             entry = self.entries[position]
             size_bytes += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if found and size_bytes > max_bytes:
+            if batch and size_bytes > max_bytes:
                 break
-            found.append(entry)
-        return tuple(found)
+            batch.append(entry)
+        return tuple(batch)
 
     def append(self, entry: Entry) -> None:
         """Add an entry behind the last one."""
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -311,7 +311,7 @@
                 self._election.on_timeout_now(message)
 
     def _is_for_this_member(self, message: Message) -> bool:
-        """Whether a message is meant for this member's disk and cluster.
+        """ELECTION: whether a message is meant for this member's disk and cluster.
 
         A fresh disk takes the cluster's name from the first message of one that has it in its membership.
         Anything else is meant for a disk that this broker had before, or does not have yet.
