--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -251,9 +251,9 @@
 
 
 def test_a_member_restored_from_a_snapshot_forgets_the_same_orders_as_the_others() -> None:
-    """A member comes back with a snapshot between two orders. Snapshots sort orders by name, so it may look at
-    them in another order than members that never restarted. All of them have to keep the same last hundred,
-    or their states are no longer equal.
+    """A member comes back with a snapshot between two orders. Snapshots sort orders by name, so it may look
+    at them in another order than members that never restarted. All of them have to keep the same last
+    hundred, or their states are no longer equal.
     """
 
     def finish(agreed: MaintenanceStateMachine, numbers: range) -> None:
