--- a/harriertide/cli/shutdown.py
+++ b/harriertide/cli/shutdown.py
@@ -35,7 +35,7 @@
 MAX_REQUEST_S = 3.0  # a request whose class allows longer is not waited for: a restart has to end
 SHUTDOWN_SLACK_S = 0.4  # beside the longest request, for its connection to close in order
 FINAL_RESPONSES_S = 0.3  # before the deadline: from then on no connection is kept after its response
-LINGER_S = 0.15  # behind the deadline, for clients to read: a close on unread bytes resets the response
+LINGER_S = 0.15  # after the deadline, for clients to read: a close on unread bytes resets the response
 POLL_INTERVAL_S = 0.02  # between looks whether requests are still open
 
 
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -7,8 +7,8 @@
 
 The invariants; each is named again beside the line that keeps it, and harriertide/lab/check.py tests it:
 
-ELECTION   one leader a term: a vote is on the disk before it is sent, and only the disk that the membership
-           names may cast it
+ELECTION   one leader a term: a vote is on the disk before it is sent, and only the member on the disk that
+           the membership names may cast it (each disk has an identity, made on its first use)
 APPEND     a leader never takes back or changes an entry of its own log
 MATCH      equal index and term: equal entries, here and before
 COMPLETE   what is committed is in the log of every later leader
@@ -186,7 +186,7 @@
         return self._outbox.take_effects()
 
     def found_cluster(self, now_us: int, cluster: str, members: Membership) -> list[ev.Effect]:
-        """On an empty disk: write the first membership, as an entry 1 of term 1 that all founders have alike.
+        """On an empty disk: write the first membership, as entry 1 of term 1, identical at all founders.
 
         :returns: what is to be done, in order
         """
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -24,7 +24,7 @@
 from harriertide.engine.clock import until
 
 TICK_S = 0.025  # a quarter of a heartbeat: timers are late by no more
-TRANSFER_S = 0.1  # that a leader which ends leaves for its handing over
+TRANSFER_S = 0.1  # time that a stopping leader allows for handing over leadership
 CALL_MARGIN_S = 0.5  # beyond a call's time, within which it is failed by its role
 
 
--- a/harriertide/core/reducer.py
+++ b/harriertide/core/reducer.py
@@ -210,14 +210,21 @@
         return []
 
     def _reject_request(self, now_us: int, action: api.Reject) -> list[api.Event]:
+        self._count_reason(action.reason)
         answer = ev.Respond(action.request_id, "rejected", None, action.retry_after_us)
         self._lifecycle.give_final_answer(answer)
         return []
 
     def _fail_request(self, now_us: int, action: api.Fail) -> list[api.Event]:
+        self._count_reason(action.reason)
         self._lifecycle.give_final_answer(ev.Respond(action.request_id, "failed"))
         return []
 
+    def _count_reason(self, reason: api.GiveUpReason | None) -> None:
+        """Count why the decision module gave a request up, for the engineer who asks why it was rejected."""
+        if reason is not None:
+            self.counts[f"given_up_{reason}"] += 1
+
     def _set_timer(self, now_us: int, action: api.SetTimer) -> list[api.Event]:
         self._emit(ev.SetTimer(now_us + action.after_us, action.token))
         return []
--- a/harriertide/core/request_lifecycle.py
+++ b/harriertide/core/request_lifecycle.py
@@ -88,14 +88,14 @@
             )
         attempt = request.start_attempt(number, action.node_id, now_us, action.stop_at_us)
         self._counts["attempts"] += 1
-        gap_end_us = request.next_attempt_not_before_us
+        retry_not_before_us = request.next_attempt_not_before_us
         self._emit(
             ev.StartAttempt(
                 action.request_id,
                 number,
                 action.node_id,
                 attempt.stop_at_us,
-                not_before_us=gap_end_us if gap_end_us > now_us else 0,
+                not_before_us=retry_not_before_us if retry_not_before_us > now_us else 0,
             )
         )
         return None
--- a/harriertide/core/write_guard.py
+++ b/harriertide/core/write_guard.py
@@ -89,7 +89,7 @@
 
 
 def _is_out_of_time(write: PendingWrite) -> bool:
-    """Guards against a request that is written and closed in one breath, and may execute beside the next."""
+    """Guards against a request written right before its own end, which may execute beside its retry."""
     return write.now_us >= write.attempt.stop_at_us
 
 
@@ -104,7 +104,7 @@
 
 
 def _is_stream_on_a_budget(write: PendingWrite) -> bool:
-    """Guards against a body that spends a budget of now at some later time.
+    """Guards against a streamed body that finishes long after its units were granted.
 
     A node executes a request with its last byte, and the last byte of a body that is forwarded as it comes
     may be far. So such a request goes neither to a warming node nor against a rate limit.
@@ -120,8 +120,8 @@
 
 # The first that forbids the write counts. What the decision module makes of each outcome: "rejected", the
 # request is placed again and nothing counts against the node's health; "not_sent", the request is given up,
-# unless its object is known to be in another shard; "connect_failed", the connection took so long that it
-# counts as none.
+# unless its object is known to be in another shard; "connect_failed", the connection took so long to come up
+# that it counts as a failed one, for the node's health too.
 WRITE_RULES = (
     WriteRule(_is_node_not_live, "rejected"),
     WriteRule(_is_node_barred, "rejected", "barred"),
--- a/harriertide/decide/admission.py
+++ b/harriertide/decide/admission.py
@@ -1,4 +1,5 @@
-"""Whether a request is admitted: its priority, this broker's allotment of a shard, and percent thinning.
+"""Whether a request is admitted: its priority, this broker's allotment of a shard, and percent thinning,
+which is probabilistic load shedding.
 
 An overloaded shard's capacity is dealt out by priority band, the highest first, over the demand of all
 brokers together. Each broker admits the same part of its own demand in a band, so their sum is what the shard
@@ -17,8 +18,8 @@
 
 # What is admitted over the learned capacity: slightly more, so that one that is learned too low can rise.
 ADMIT_TARGET_RATIO = 1.05
-# How much lower that target is for each latency objective that answers take beyond the end of an overload:
-# what waits already is worked off first. At most so much of it counts.
+# By how much the target is lowered for each latency objective by which answers exceed the threshold where an
+# overload ends: the backlog is worked off first. The excess counts up to the second figure.
 BACKLOG_RELIEF_RATIO = 0.5
 MAX_BACKLOG_LATENCY_RATIO = 0.7
 # Twice that where brokers offer less than a mean request a second each: figures are rough there, and each
@@ -31,22 +32,25 @@
 
 def update_allotment(context: DecisionContext, shard: ShardState) -> None:
     """Work out what this broker may send to a shard, in units a second, and the odds of each band."""
-    left = _target_rate(context, shard)
+    remaining_rate = _target_rate(context, shard)
     is_report_missing = context.now_us - shard.updated_at_us > BID_LIFETIME_US
     if not shard.is_capacity_known and is_report_missing:
         # new here, or never told of its capacity: an even part
-        shard.allotment = left / context.settings.broker_count
+        shard.allotment = remaining_rate / context.settings.broker_count
         return
-    # Lost reports are bridged by the last one: an even part of hundreds of brokers would serve nobody.
+    # Where reports are missing the last one is used on: an even part would starve each of hundreds of
+    # brokers.
     local_demand = sum(shard.demand)
     shard.allotment = 0.0
     for band, fleet_demand in enumerate(shard.fleet_demand):
-        taken = min(left, fleet_demand)
-        left -= taken
-        probability = taken / fleet_demand if fleet_demand > 0 else min(1.0, left)
+        taken = min(remaining_rate, fleet_demand)
+        remaining_rate -= taken
+        probability = taken / fleet_demand if fleet_demand > 0 else min(1.0, remaining_rate)
         shard.admit_probability[band] = probability
         shard.allotment += probability * shard.demand[band]
-    shard.allotment += left * min(1.0, local_demand / max(MIN_FLEET_DEMAND, sum(shard.fleet_demand)))
+    shard.allotment += remaining_rate * min(
+        1.0, local_demand / max(MIN_FLEET_DEMAND, sum(shard.fleet_demand))
+    )
 
 
 def _target_rate(context: DecisionContext, shard: ShardState) -> float:
@@ -58,8 +62,8 @@
     return (ADMIT_TARGET_RATIO - relief * min(MAX_BACKLOG_LATENCY_RATIO, backlog)) * shard.capacity
 
 
-def classify_priority(context: DecisionContext, request: RequestState, shard: ShardState) -> None:
-    """Put a request into a priority band: by its class, its plan, and what is left of its volume's quota."""
+def charge_quota_and_classify(context: DecisionContext, request: RequestState, shard: ShardState) -> None:
+    """Charge a request to its volume's quota; put it into a priority band by class, plan and quota."""
     settings = context.settings
     plan, volume = settings.plans[request.arrival.plan], request.volume
     quota_weight = _charge_quota(context, request, shard, volume)
@@ -73,7 +77,7 @@
 def _charge_quota(
     context: DecisionContext, request: RequestState, shard: ShardState, volume: VolumeState
 ) -> float:
-    """Take a request's units from its volume's quota at a shard; its weight by what is left there.
+    """Take a request's units from its volume's quota at a shard; return its weight by what is left there.
 
     A bucket may fall below 0 by its last request: quotas of less than one request would else never serve.
     """
--- a/harriertide/decide/api.py
+++ b/harriertide/decide/api.py
@@ -354,12 +354,31 @@
     attempt: int
 
 
+# Why a request is given up: no node of its shard takes requests; its shard is overloaded and it is among
+# those that are thinned out; its queue is too long; an answer could not be in time; its plan's limit; its
+# last moment has come; it may not be attempted again (its own rules, its deduplication window, the retry
+# budget); its node does not hold the shard; its nodes have left.
+GiveUpReason: TypeAlias = Literal[
+    "no_node",
+    "overload",
+    "queue_full",
+    "too_late",
+    "rate_limit",
+    "deadline",
+    "not_repeatable",
+    "deduplication_over",
+    "retry_budget",
+    "wrong_shard",
+]
+
+
 @dataclass(frozen=True, slots=True)
 class Reject:
     """Final answer: trying again is harmless. retry_after_us 0: the client is not told when."""
 
     request_id: str
     retry_after_us: int = 0
+    reason: GiveUpReason | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -367,6 +386,7 @@
     """Final answer without a promise: the request may have run."""
 
     request_id: str
+    reason: GiveUpReason | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/decide/context.py
+++ b/harriertide/decide/context.py
@@ -76,6 +76,10 @@
         """Whether anything was decided yet."""
         return self.started_at_us >= 0
 
+    def last_moment_us(self, arrival: api.Arrival) -> int:
+        """When a request has to be answered at the latest: one tick before its client's deadline."""
+        return arrival.deadline_at_us - self.settings.tick_us
+
     def emit(self, action: api.Action) -> None:
         """Ask for an action, after all those of this call so far."""
         self.actions.append(action)
--- a/harriertide/decide/demand.py
+++ b/harriertide/decide/demand.py
@@ -22,13 +22,14 @@
 # Brokers that start together do not bid together: the first interval ends between half of it and one and a
 # half.
 FIRST_INTERVAL_MIN_RATIO = 0.5
-# Weight of the newest interval in the demand and in the fleet's latency ratio: bids are noisy, surges quick.
+# Weight of the newest interval in the demand and in the fleet's latency ratio: single intervals are noisy,
+# but surges have to be noticed soon.
 SMOOTHING_RATIO = 0.5
 # Demand, in mean requests a second, below which a broker bids no more.
 MIN_BID_REQUESTS_PER_S = 0.1
 # Between reports of an overloaded shard to all brokers that use it, whether or not they have bid just now.
 ANNOUNCE_INTERVAL_US = 1_000_000
-# Two bids in a row go to coordinator and standby in turn where no report has come.
+# Bids without an answer go to coordinator and standby in turn.
 COORDINATOR_COUNT = 2
 # A shard's interval counts with at most so many latency objectives.
 MAX_INTERVAL_LATENCY_RATIO = 2.0
@@ -63,7 +64,7 @@
         self.interval_ends_us = now_us + int(BID_INTERVAL_US * part)
 
     def shift(self, by_us: int) -> None:
-        """Follow a clock that was set by so much."""
+        """Follow a clock that was set by so much, as a newer process goes by the clock of the one before."""
         self.interval_started_us += by_us
         self.interval_ends_us += by_us
 
@@ -85,7 +86,7 @@
             self._close_shard_interval(shard, span_s)
 
     def _close_shard_interval(self, shard: ShardState, span_s: float) -> None:
-        bid = self._summarize(shard, span_s)
+        bid = self._take_interval_figures(shard, span_s)
         self._context.mark_ready(shard)
         least = MIN_BID_REQUESTS_PER_S * self._context.settings.mean_request_units
         if sum(shard.demand) < least and not shard.queue and not shard.is_limited:
@@ -98,7 +99,7 @@
         shard.unanswered_bids += 1
         self._exchange.send(coordinator, bid)
 
-    def _summarize(self, shard: ShardState, span_s: float) -> DemandBid:
+    def _take_interval_figures(self, shard: ShardState, span_s: float) -> DemandBid:
         """The figures of the interval that ends, which begin anew."""
         for band in range(PRIORITY_BAND_COUNT):
             offered_rate = shard.offered_units[band] / span_s
@@ -118,7 +119,7 @@
         return bid
 
     def reset_aggregates(self) -> None:
-        """The brokers are others now, with other coordinators: forget what was summed up."""
+        """The fleet of brokers has changed, and with it coordinators: forget what was summed up."""
         self.aggregates.clear()
 
     # --- as coordinator ------------------------------------------------------------------------------
--- a/harriertide/decide/dispatch.py
+++ b/harriertide/decide/dispatch.py
@@ -47,19 +47,19 @@
         self._retry_budget = retry_budget
         self._key_queues = key_queues
         self._responses = responses
-        self._queued_count = 0
+        self._queue_sequence = 0  # tells entries of one objective apart, in the order in which they came
 
     # --- the queue -----------------------------------------------------------------------------------
 
     def enqueue(self, request: RequestState) -> None:
-        """Queue an admitted request; where more is queued than can be in time, the lowest priorities go."""
+        """Queue an admitted request; give up the lowest priorities of what could no longer be in time."""
         shard = request.shard
         assert shard is not None
         if not shard.nodes:  # they left while it waited for its turn
-            self._responses.give_up(request)
+            self._responses.give_up(request, "no_node")
             return
-        self._queued_count += 1
-        heappush(shard.queue, (request.objective_at_us, self._queued_count, request))
+        self._queue_sequence += 1
+        heappush(shard.queue, (request.objective_at_us, self._queue_sequence, request))
         self._context.mark_ready(shard)
         request.is_queued = True
         same_band = shard.queued_by_band[request.priority_band]
@@ -83,7 +83,7 @@
             while band and shard.queued_units > bound_units:
                 victim = band.popleft()
                 if victim.is_queued and victim.shard is shard:
-                    self._responses.give_up(victim)
+                    self._responses.give_up(victim, "queue_full")
 
     def dispatch(self, shard: ShardState) -> None:
         """Send queued requests, the earliest objective first, as far as nodes have room."""
@@ -95,7 +95,7 @@
             node = self._placement.pick_node(shard, request)
             if self._is_too_late(request, node) or not shard.has_live_node:
                 heappop(shard.queue)
-                self._responses.give_up(request)
+                self._responses.give_up(request, "too_late" if shard.has_live_node else "no_node")
             elif node is not None and self._start_attempt(request, node):
                 heappop(shard.queue)
                 request.leave_queue()
@@ -106,8 +106,7 @@
     def _is_too_late(self, request: RequestState, node: NodeState | None) -> bool:
         """Whether an answer could no more be in time, by the node's latest answers.
 
-        With nothing in flight there its last latency is old news: one request goes, so that the figure can
-        mend.
+        With nothing in flight there the last measurement is stale: one request is let through to refresh it.
         """
         latency_ratio = 1.0
         if node is not None:
@@ -129,19 +128,19 @@
 
         :returns: False if it was not sent; then the request is still queued, waits for its limit, or is over
         """
-        if self._is_over(request, node):
-            self._responses.give_up(request)
+        if self._may_not_be_attempted(request):
+            self._responses.give_up(request, "not_repeatable")
             return False
         if not self._is_right_node(request, node) or not self._key_queues.may_start(request):
             return False
         if self._is_repetition_unsafe(request, node):
-            self._responses.give_up(request)
+            self._responses.give_up(request, "deduplication_over")
             return False
         units = request.arrival.units
-        if is_warming(self._context, node) and not self._slow_start.has_grant(node, units):
+        if is_warming(self._context, node) and not self._slow_start.request_grant(node, units):
             return False
         if request.attempt_count and not self._retry_budget.has_room():
-            self._responses.give_up(request)
+            self._responses.give_up(request, "retry_budget")
             return False
         if self._waits_for_limit(request):
             return False
@@ -149,8 +148,8 @@
         self._send(request, node)
         return True
 
-    def _is_over(self, request: RequestState, node: NodeState) -> bool:
-        """Whether no attempt of it may follow at all."""
+    def _may_not_be_attempted(self, request: RequestState) -> bool:
+        """Whether it is answered, has an attempt open, or may not be repeated."""
         is_done = request.is_answered or bool(request.open_attempts)
         return is_done or not may_attempt(request, self._context.settings)
 
@@ -168,12 +167,12 @@
 
     def _waits_for_limit(self, request: RequestState) -> bool:
         """Whether its plan's limit holds a request up; then it leaves the queue until there are units."""
-        wait_us = self._rate_limits.wait_us(request)
+        wait_us = self._rate_limits.request_wait_us(request)
         if not wait_us:
             return False
         request.leave_queue()
         if self._rate_limits.is_wait_too_long(request, wait_us):
-            self._responses.give_up(request)
+            self._responses.give_up(request, "rate_limit")
         else:
             self._context.timers.schedule(self._context.now_us + wait_us, RequestTimer(request))
         return True
@@ -194,8 +193,8 @@
         node.open_units += request.arrival.units
         node.overtaking_answers[request] = 0
         self._health.on_attempt_sent(node)
-        # Where there are more brokers than requests that a node may hold, their bounds steer no queue: what
-        # waits there past its objective makes room for the next.
+        # With more brokers than requests that a node may hold, the bounds of each broker no longer bound the
+        # node's queue: attempts end at the objective there, not at the deadline.
         is_crowded = context.settings.broker_count > MAX_IN_FLIGHT_COUNT
         stop_at_us = request.objective_at_us if is_crowded else request.arrival.deadline_at_us
         context.emit(api.StartAttempt(request.id, node.id, stop_at_us))
--- a/harriertide/decide/health.py
+++ b/harriertide/decide/health.py
@@ -15,7 +15,7 @@
 from harriertide.decide.state import NodeState
 
 # Attempts in a row without a sign of life until a node is ejected: one may be its connection's fault, two
-# chance.
+# chance. A refused connection counts as so many at once, as nothing listens there.
 EJECT_FAILURE_COUNT = 3
 # Between trial requests, or probes, at an ejected node: soon enough for one that is back, and next to no
 # load.
@@ -38,14 +38,16 @@
         self._endpoints = endpoints
         self._latency = latency
 
-    def accepts_requests(self, node: NodeState) -> bool:
-        """Whether requests may go to a node now.
+    def accept_or_probe(self, node: NodeState) -> bool:
+        """Whether requests may go to a node now; starts a probe of an ejected one where that is due.
 
-        An ejected node is tried now and then: by a probe, where probes are allowed, which is started here;
-        else by a request.
+        An ejected node is tried when requests for its shard come: by a probe, where probes are allowed, else
+        by one of the requests. On a shard without requests it stays ejected, which costs nobody anything.
         """
-        if not (node.is_live and node.is_ejected):
-            return node.is_live
+        if not node.is_live:
+            return False
+        if not node.is_ejected:
+            return True
         context = self._context
         if node.next_trial_at_us > context.now_us:
             return False
@@ -99,10 +101,12 @@
         node.is_ejected = False
 
     def cancel_hung_attempts(self, node: NodeState, answered_sent_at_us: int) -> None:
-        """Cancel attempts that hang, as the node has answered what it was sent later.
+        """Cancel attempts that hang, because the node has already answered requests that were sent after
+        them.
 
         Guards against connections that fall silent or bring half an answer: a node that is merely slow
-        answers in turn. Large requests among many small ones are given time by their size.
+        answers in turn. Large requests among many small ones are given time by their size. How many answers
+        have overtaken an attempt is counted in NodeState.overtaking_answers.
 
         :param answered_sent_at_us: when the attempt was sent that has just been answered
         """
--- a/harriertide/decide/placement.py
+++ b/harriertide/decide/placement.py
@@ -92,7 +92,7 @@
         best: NodeState | None = None
         bound_units = self._in_flight_bound(shard)
         for node in shard.nodes.values():
-            if not self._health.accepts_requests(node):
+            if not self._health.accept_or_probe(node):
                 continue
             has_room = node.is_ejected or self._has_room(shard, node, request, bound_units)
             if has_room and (best is None or node.open_attempt_count < best.open_attempt_count):
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -27,8 +27,9 @@
 # A request waits for its plan's limit up to this part of its latency objective: what waits longer comes late,
 # and holds up the next.
 LIMIT_WAIT_OBJECTIVE_RATIO = 0.5
-# What a client's retry waits for a bucket that is short, longer than any objective: first attempts have it.
-RETRY_WAIT_US = 60 * SECOND_US
+# A wait longer than any latency objective: a client's retry may not wait for a bucket that is short, as its
+# units are left to requests that come for the first time.
+NEVER_IN_TIME_US = 60 * SECOND_US
 
 
 class RateLimits:
@@ -61,7 +62,7 @@
             context.timers.schedule(context.now_us, LeaseTimer(self.leases))
 
     def reset(self) -> None:
-        """The brokers are others now: no lease holds, and what was sent of the limits is not known."""
+        """The fleet of brokers has changed: no lease holds, and what was sent of the limits is not known."""
         self.leases = self.grants = None
         for volume in self.volumes.values():
             volume.rate_limit_bucket = TokenBucket(0.0, self._context.now_us)
@@ -110,8 +111,12 @@
 
     # --- requests ------------------------------------------------------------------------------------
 
-    def wait_us(self, request: RequestState) -> int:
-        """How long a request waits for its plan's limit; 0: not at all. Retries are not limited."""
+    def request_wait_us(self, request: RequestState) -> int:
+        """How long a request has to wait for its plan's limit; 0: not at all.
+
+        Asks the holder of the limit for units where they are due. Only a request's first attempt counts in
+        the limit; a client's retry is a request of its own and counts like any other.
+        """
         plan = self._context.settings.plans[request.arrival.plan]
         if plan.rate_limit <= 0 or request.attempt_count:
             return 0
@@ -134,7 +139,7 @@
         lacking = arrival.units - held
         if lacking <= 0:
             return 0
-        return RETRY_WAIT_US if arrival.is_retry else 1 + int(lacking / rate * SECOND_US)
+        return NEVER_IN_TIME_US if arrival.is_retry else 1 + int(lacking / rate * SECOND_US)
 
     def _shared_wait_us(self, request: RequestState, plan: api.Plan, leases: Leases) -> int:
         """Of the holder's bucket: the credit that it granted, or the time until it is asked again."""
@@ -151,9 +156,9 @@
             return 0  # this broker is the holder itself
         if not credit.is_short:
             return max(1, credit.retry_at_us - now_us)
-        # where the bucket is short, first attempts have it
+        # where the bucket is short, requests that come for the first time have priority
         filled_us = (
-            RETRY_WAIT_US if arrival.is_retry else int(sum(waiting_units) / plan.rate_limit * SECOND_US)
+            NEVER_IN_TIME_US if arrival.is_retry else int(sum(waiting_units) / plan.rate_limit * SECOND_US)
         )
         return max(1, credit.retry_at_us - now_us, filled_us)
 
--- a/harriertide/decide/responses.py
+++ b/harriertide/decide/responses.py
@@ -1,4 +1,8 @@
-"""Final answers: the one place where requests are rejected, failed and closed."""
+"""Final answers of the decision module: here alone it rejects, fails and closes requests.
+
+The reducer gives final answers of its own where this module cannot: at the end of the process, and after a
+fault of the decision module (`core.request_lifecycle`).
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
         """A request has come."""
         self.requests[request.id] = request
 
-    def give_up(self, request: RequestState) -> None:
+    def give_up(self, request: RequestState, reason: api.GiveUpReason) -> None:
         """Answer at once that a request is not served.
 
         It is rejected, with the promise that trying again is harmless, where that is true; else it has
@@ -32,9 +36,9 @@
         if request.is_answered:
             return
         if self._is_harmless_to_retry(request):
-            self._context.emit(api.Reject(request.id, self._retry_after_us()))
+            self._context.emit(api.Reject(request.id, self._retry_after_us(), reason))
         else:
-            self._context.emit(api.Fail(request.id))
+            self._context.emit(api.Fail(request.id, reason))
         if request.charged_bucket is not None:  # its volume has its units back
             request.charged_bucket.units += request.arrival.units
         self.close(request)
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -3,7 +3,8 @@
 Its interface, types, events and actions, is `harriertide.decide.api`. Each mechanism answers one question and
 owns the state that it needs for it:
 
-- `demand`: what is offered, what is bid, who sums it up; `capacity`: what can a shard do, is it overloaded
+- `demand`: what is offered here and by all brokers (bids to a coordinator, its reports); `capacity`: what can
+  a shard do, is it overloaded
 - `admission`: is a request admitted, at which priority; `rate_limits`: what does its plan's limit allow, with
   `leases`, `quota_grants` and `quota_credit`
 - `dispatch`: when does an admitted request leave; `placement`: to which node; `key_queues`: which of one key
@@ -17,7 +18,7 @@
 from random import Random
 
 from harriertide.decide import api
-from harriertide.decide.admission import classify_priority, is_thinned_out
+from harriertide.decide.admission import charge_quota_and_classify, is_thinned_out
 from harriertide.decide.capacity import CapacityEstimator
 from harriertide.decide.context import (
     DecisionContext,
@@ -142,7 +143,7 @@
         self.endpoint_polling.reset_backoff()
 
     def _forget_other_brokers(self) -> None:
-        """The brokers may be others, with other coordinators: all of each node counts as granted."""
+        """The fleet of brokers has changed, and with it coordinators: all of each node counts as granted."""
         self.rate_limits.reset()
         self.demand.reset_aggregates()
         for node in self.endpoints.nodes.values():
@@ -173,24 +174,25 @@
                 pass  # what is due is looked at in each call
 
     def _on_arrival(self, arrival: api.Arrival) -> None:
-        """Take a request: classify it, count it as offered, admit it or answer at once."""
+        """Take a request: classify it, count it as offered, and queue it or give it up at once."""
         context = self.context
         request = self._new_request(arrival)
         self.responses.add(request)
         self.retry_budget.record_request()
-        last_moment_us = arrival.deadline_at_us - context.settings.tick_us
+        last_moment_us = context.last_moment_us(arrival)
         context.timers.schedule(last_moment_us, RequestTimer(request))
         self.key_queues.join(request)
         shard = self._shard_for(arrival)
         if shard is None or last_moment_us <= context.now_us:
-            self.responses.give_up(request)
+            self.responses.give_up(request, "no_node" if shard is None else "deadline")
             return
         request.shard = shard
         self.demand.mark_active(shard)
-        classify_priority(context, request, shard)
+        charge_quota_and_classify(context, request, shard)
         shard.offered_units[request.priority_band] += arrival.units
-        if not self._is_admitted(request, shard):
-            self.responses.give_up(request)
+        reason = self._find_rejection(request, shard)
+        if reason is not None:
+            self.responses.give_up(request, reason)
         elif request.is_its_turn():
             self.dispatcher.enqueue(request)
 
@@ -198,7 +200,7 @@
         context = self.context
         request_class = context.settings.classes[arrival.request_class]
         objective_us = request_class.latency_objective_us
-        last_moment_us = arrival.deadline_at_us - context.settings.tick_us
+        last_moment_us = context.last_moment_us(arrival)
         return RequestState(
             id=arrival.request_id,
             request_class=request_class,
@@ -215,15 +217,20 @@
             return self.placement.place_new_object(arrival.units)
         return self.endpoints.shards.get(arrival.shard)
 
-    def _is_admitted(self, request: RequestState, shard: ShardState) -> bool:
-        """Whether a node may take it, the shard has capacity for its priority, and its limit lets it soon."""
-        # each node is asked, as that is when ejected ones are probed
-        accepting = [self.health.accepts_requests(node) for node in shard.nodes.values()]
+    def _find_rejection(self, request: RequestState, shard: ShardState) -> api.GiveUpReason | None:
+        """Why a request is not admitted; None: it is.
+
+        Asks each node, as that is when ejected ones are probed, draws a random number where the shard is
+        overloaded, and may ask the holder of the plan's limit for units.
+        """
+        accepting = [self.health.accept_or_probe(node) for node in shard.nodes.values()]
         is_thinned = is_thinned_out(self.context, request, shard)
-        if not any(accepting) or is_thinned:
-            return False
-        wait_us = self.rate_limits.wait_us(request)
-        return not self.rate_limits.is_wait_too_long(request, wait_us)
+        if not any(accepting):
+            return "no_node"
+        if is_thinned:
+            return "overload"
+        wait_us = self.rate_limits.request_wait_us(request)
+        return "rate_limit" if self.rate_limits.is_wait_too_long(request, wait_us) else None
 
     def _on_response_started(self, event: api.ResponseStarted) -> None:
         request = self.responses.requests.get(event.request_id)
@@ -246,7 +253,7 @@
     # --- outcomes ------------------------------------------------------------------------------------
 
     def _on_attempt_finished(self, outcome: api.AttemptFinished) -> None:
-        """Book how an attempt ended, and how long; attempt again where that is allowed and can be in time."""
+        """Record an attempt's outcome and latency; attempt again where that is allowed and can be in time."""
         request = self.responses.requests.get(outcome.request_id)
         if request is None or outcome.attempt not in request.open_attempts:
             return
@@ -291,15 +298,15 @@
         """Queue a request whose attempt has failed for another one, or give it up."""
         redirected: api.Arrival | None = None
         if kind == "not_sent":
-            # its node does not hold the shard: it goes to the shard that took its object, if that is known
+            # Another attempt there would not help (see api.OutcomeKind). Where its node does not hold the
+            # shard, it goes to the shard that took its object through this broker, if that is known.
             redirected = self.placements.redirected(request.arrival)
             if redirected is None:
-                self.responses.give_up(request)
+                self.responses.give_up(request, "wrong_shard")
                 return
-        can_be_in_time = self.context.now_us < request.objective_at_us
-        is_allowed = may_attempt(request, self.context.settings)
-        if not is_allowed or not shard.nodes or not can_be_in_time:
-            self.responses.give_up(request)
+        reason = self._find_end_of_attempts(request, shard)
+        if reason is not None:
+            self.responses.give_up(request, reason)
             return
         if redirected is not None:
             request.arrival = redirected
@@ -309,6 +316,14 @@
             request.shard = self.placement.place_new_object(request.arrival.units) or shard
         self.dispatcher.enqueue(request)
 
+    def _find_end_of_attempts(self, request: RequestState, shard: ShardState) -> api.GiveUpReason | None:
+        """Why a request is not attempted again; None: it is."""
+        if not may_attempt(request, self.context.settings):
+            return "not_repeatable"
+        if not shard.nodes:
+            return "no_node"
+        return "too_late" if self.context.now_us >= request.objective_at_us else None
+
     # --- time ----------------------------------------------------------------------------------------
 
     def _forget(self) -> None:
@@ -337,9 +352,9 @@
 
     def _on_request_timer(self, request: RequestState) -> None:
         """A request's last moment is answered at once; one that may leave now is queued."""
-        last_moment_us = request.arrival.deadline_at_us - self.context.settings.tick_us
+        last_moment_us = self.context.last_moment_us(request.arrival)
         if self.context.now_us >= last_moment_us and not request.open_attempts:
-            self.responses.give_up(request)
+            self.responses.give_up(request, "deadline")
         elif self._may_be_queued(request):
             self.dispatcher.enqueue(request)
 
--- a/harriertide/decide/slow_start.py
+++ b/harriertide/decide/slow_start.py
@@ -36,18 +36,18 @@
         exchange.register(SlowStartRequest, self._on_request)
         exchange.register(SlowStartGrant, self._on_grant)
 
-    def has_grant(self, node: NodeState, units: float) -> bool:
-        """Whether a request may go to a warming node; asks its coordinator for a grant where it may not.
+    def request_grant(self, node: NodeState, units: float) -> bool:
+        """Whether a request may go to a warming node now; asks its coordinator for a grant where it may not.
 
         A grant ends CREDIT_LIFETIME_US after it was asked for, by this broker's clock. So a collapse window
         holds only what was granted in it and in that time before, which is what the coordinator counts.
         """
         credit = node.slow_start_credit
         if not credit.covers(self._context.now_us, units) and self._context.now_us >= credit.retry_at_us:
-            self._request_grant(node, units)
+            self._send_request(node, units)
         return credit.covers(self._context.now_us, units)  # a coordinator's own request is answered at once
 
-    def _request_grant(self, node: NodeState, units: float) -> None:
+    def _send_request(self, node: NodeState, units: float) -> None:
         now_us, derived, credit = self._context.now_us, self._context.derived, node.slow_start_credit
         credit.request(now_us, units, units, now_us + CREDIT_LIFETIME_US)
         request = SlowStartRequest(
--- a/harriertide/http/node_client.py
+++ b/harriertide/http/node_client.py
@@ -22,7 +22,8 @@
 from harriertide.http.node_response import IncomingResponse, Reply, classify_response
 from harriertide.http.request_format import Body, Headers, encode_request_head, header_rows
 
-# Of the time after which a node closes an idle connection: a request that crosses that close ends as a reset.
+# Part of the time after which a node closes an idle connection for which one is kept here: a request that
+# crosses the node's close ends as a reset.
 IDLE_KEEP_RATIO = 0.5
 MAX_BODY_BYTES = 64 * 1024  # of a response, where the caller asks for no other bound
 
@@ -62,7 +63,10 @@
         return self.is_sent and body_is_out and not connection.writing_paused
 
     def stop_body(self) -> bool:
-        """Write no more of a streamed body; whether all of it was written."""
+        """Write no more of a streamed body.
+
+        :returns: whether all of it was written, or its connection was aborted before
+        """
         task = self.body_task
         if task is None:
             return True
@@ -144,7 +148,7 @@
         """
         await self._await_exclusive(attempt)
         connection = self.pool.take_idle(address)
-        if connection is None:  # not "or": a connection without a message is an empty queue, and false
+        if connection is None:  # not `or`: an idle connection is falsy, as it is an empty queue of messages
             connection = await self._connect(address, attempt, limit)
         exchange.connection = connection
         outcome = attempt.may_write()
@@ -215,9 +219,7 @@
         try:
             async with asyncio.timeout(self.connect_us / 1_000_000):
                 connection = self.pool.take_idle(address)
-                if (
-                    connection is None
-                ):  # not "or": a connection without a message is an empty queue, and false
+                if connection is None:  # not `or`: an idle connection is falsy
                     connection = await self.pool.connect(address)
                 if connection is None:
                     return "rejected"
--- a/harriertide/maintenance/state_machine.py
+++ b/harriertide/maintenance/state_machine.py
@@ -135,7 +135,7 @@
             if known == order:
                 return _DONE  # the same once more counts once
             return CommandResult(f"{order.id}: there is another order of this name")
-        if refusal := self._check_submitted(order):
+        if refusal := self._find_order_refusal(order):
             return CommandResult(refusal)
         state.orders[order.id] = order
         state.submitted_at_s[order.id] = state.command_time_s
@@ -145,7 +145,7 @@
         self._forget_old_orders()
         return _DONE
 
-    def _check_submitted(self, order: Order) -> str:
+    def _find_order_refusal(self, order: Order) -> str:
         """Why an order can never be done, in one plain line; "" if it may be."""
         state = self.state
         for machine in order.machines:
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -115,7 +115,9 @@
         Pipelining is not part of the protocol. A client that does it gets the first response, and its
         connection is closed: what it sent ahead is not read, so that it costs other clients nothing.
         """
-        if not data and self._body is None:  # the reader of a body has caught up, and the body is over
+        if (
+            not data and self._body is None
+        ):  # aiohttp's reader resumes its parser so, here after the body's end
             return
         if self.state == "lingering":
             self.discard(data)
@@ -182,7 +184,7 @@
         self._buffer.reserve(length)
 
     def _read_body(self, body: StreamReader) -> None:
-        """Buffer what was received. If the budget has no room for the body, stream it from here on."""
+        """Buffer what was received, and submit the request when its body is complete or must be streamed."""
         if body.exception() is not None:
             self.refuse(400, "the body can't be read")
             return
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -21,7 +21,8 @@
 
 
 class Front:
-    """Handles requests of the platform's protocol.
+    """Handles requests of clients by the platform's protocol; `objects.front` does so for the object
+    protocol.
 
     :param runtime: of the core that decides on them
     :param client: of the storage nodes
@@ -33,7 +34,9 @@
         self.counts: Counter[str] = Counter()
         self.names = names
         self.bodies = bodies
-        self.ready = True  # what health checks of this broker are answered
+        self.ready = (
+            True  # health checks are answered 200; else 503: starting, stopping, drained, in maintenance
+        )
         self.closes_connections = False  # each response is the last on its connection
         self.rejects_requests = False  # shutdown is near: nothing is forwarded any more
         self._runtime = runtime
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -50,7 +50,7 @@
 
 
 # Parts of counters whose names are put together of a fixed beginning and what happened.
-BEGINNINGS = ("outcome_", "list_", "answers_", "probe_", "shed_")
+BEGINNINGS = ("given_up_", "outcome_", "list_", "answers_", "probe_", "shed_")
 
 
 def test_each_counter_of_the_on_call_page_is_counted_somewhere() -> None:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -227,3 +227,18 @@
         assert core.consecutive_unresponsive == ({} if barred is None else {"n0": 2})
         core.step(START_US + 2_000, [node_changed(replace(NODES[0], state="gone"))])
         assert not core.consecutive_unresponsive
+
+
+def test_the_reason_of_a_rejection_is_counted() -> None:
+    """A client asks why it was rejected: the counters tell no node, a deadline and a wrong shard apart."""
+    arrival = api.Arrival("no node", 0, 0, "v", 0, START_US + 500_000, 2.0)
+    core = Reducer(ALONE, 1)
+    core.step(START_US, [ev.RequestArrived(arrival)])
+    assert core.counts["given_up_no_node"] == core.counts["rejected"] == 1
+    core.step(START_US, [NODES_LISTED])
+    late = replace(arrival, request_id="late", deadline_at_us=START_US + 1)
+    core.step(START_US, [ev.RequestArrived(late)])
+    assert core.counts["given_up_deadline"] == 1
+    core.step(START_US, [ev.RequestArrived(replace(arrival, request_id="elsewhere"))])
+    core.step(START_US, [ev.AttemptFinished("elsewhere", 0, "not_sent")])
+    assert core.counts["given_up_wrong_shard"] == 1 and core.counts["rejected"] == 3
