--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -39,23 +39,23 @@
 from harriertide.http.socket_state import has_unread_input
 
 Headers = dict[str, str]
-PATIENCE_S = 5.0
-BEAT_S = 1.0
+STEP_TIMEOUT_S = 5.0
+HEARTBEAT_S = 1.0
 
 
-class Line:
+class HttpConnection:
     """One connection, either side of it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.head = False  # HEAD was asked for
-        self.raw = b""  # the last head as it came
-        self.midway = False  # a line of a watch is half written
+        self.is_head_request = False  # HEAD was asked for
+        self.raw_head = b""  # the last head as it came
+        self.is_mid_line = False  # a line of a watch is half written
 
     async def message(self, head: bool = False) -> tuple[list[str], Headers, bytes, bool]:
         """First line, headers, body, and whether the body is as long as it says. head: it has none."""
-        self.raw = await self.reader.readuntil(b"\r\n\r\n")
-        first, *rest = self.raw.decode("utf-8", "surrogateescape").split("\r\n")[:-2]
+        self.raw_head = await self.reader.readuntil(b"\r\n\r\n")
+        first, *rest = self.raw_head.decode("utf-8", "surrogateescape").split("\r\n")[:-2]
         headers = dict(row.split(": ", 1) for row in rest)
         if headers.get("Transfer-Encoding") == "chunked":
             return first.split(" ", 2), headers, b"", True
@@ -65,63 +65,63 @@
         return first.split(" ", 2), headers, body, len(body) == size
 
 
-class Stand:
+class StubServer:
     """A stand-in server: hands out whole requests in the order of their last byte."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[tuple[list[str], Headers, bytes, Line]] = asyncio.Queue()
-        self.partial = self.made = 0
-        self.last: Line | None = None
-        self.lines: list[Line] = []
+        self.requests: asyncio.Queue[tuple[list[str], Headers, bytes, HttpConnection]] = asyncio.Queue()
+        self.incomplete_request_count = self.connection_count = 0
+        self.last_connection: HttpConnection | None = None
+        self.connections: list[HttpConnection] = []
 
     async def start(self) -> int:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        line = Line(reader, writer)
-        self.lines.append(line)
-        self.made += 1
+        connection = HttpConnection(reader, writer)
+        self.connections.append(connection)
+        self.connection_count += 1
         try:
             while True:
-                first, headers, body, whole = await line.message()
-                if not whole:
-                    self.partial += 1
+                first, headers, body, is_complete = await connection.message()
+                if not is_complete:
+                    self.incomplete_request_count += 1
                     return
-                self.asked.put_nowait((first, headers, body, line))
+                self.requests.put_nowait((first, headers, body, connection))
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
 
     async def close(self) -> None:
         self.server.close()
-        for line in self.lines:
-            line.writer.transport.abort()
+        for connection in self.connections:
+            connection.writer.transport.abort()
 
 
-class World:
+class ScenarioRunner:
     """A daemon with its stand-ins, and the run of a scenario on them."""
 
-    def __init__(self, stands: dict[str, Stand], ports: dict[str, int], daemon: Any) -> None:
-        self.stands, self.ports, self.daemon = stands, ports, daemon
-        self.clients: dict[str, Line] = {}
-        self.taken: dict[str, str] = {}
-        self.ids = 0
-        self.operate: Callable[[list[str]], Any] | None = None
+    def __init__(self, stubs: dict[str, StubServer], ports: dict[str, int], daemon: Any) -> None:
+        self.stubs, self.ports, self.daemon = stubs, ports, daemon
+        self.clients: dict[str, HttpConnection] = {}
+        self.captures: dict[str, str] = {}
+        self.request_count = 0
+        self.run_operator_call: Callable[[list[str]], Any] | None = None
         self.reload: Callable[[list[list[str]]], None] = lambda changes: None
         self.tasks: list[asyncio.Task[Any]] = []
-        self.beats: list[asyncio.Task[Any]] = []
+        self.heartbeats: list[asyncio.Task[Any]] = []
 
     async def run(self, script: str) -> None:
         for raw in filter(None, map(str.strip, script.splitlines())):
-            text = re.sub(r"\{(\w+)\}", lambda found: self.taken.get(found[1], found[0]), raw)
+            text = re.sub(r"\{(\w+)\}", lambda found: self.captures.get(found[1], found[0]), raw)
             actor, *words = shlex.split(text)
             try:
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(STEP_TIMEOUT_S):
                     await self._step(actor, words)
-            except (AssertionError, TimeoutError, EOFError, ConnectionError) as fault:
-                raise AssertionError(f"at: {raw}\n{type(fault).__name__}: {fault}") from fault
-        for name, stand in self.stands.items():
-            assert stand.asked.empty(), f"{name} got a request that no line expects"
+            except (AssertionError, TimeoutError, EOFError, ConnectionError) as error:
+                raise AssertionError(f"at: {raw}\n{type(error).__name__}: {error}") from error
+        for name, stub in self.stubs.items():
+            assert stub.requests.empty(), f"{name} got a request that no line expects"
 
     async def _step(self, actor: str, words: list[str]) -> None:
         verb, words = (words[0], words[1:]) if actor != "wait" else ("wait", words)
@@ -133,36 +133,49 @@
         elif actor == "d" and verb == "set":
             for path, _, value in (word.partition("=") for word in words):
                 part, _, name = path.partition(".")
-                held = {"boxes": self.daemon.client.pool, "clients": self.daemon.clients}[part]
-                assert hasattr(held, name)
-                setattr(held, name, int(value))
+                limits = {"boxes": self.daemon.client.pool, "clients": self.daemon.clients}[part]
+                assert hasattr(limits, name)
+                setattr(limits, name, int(value))
         elif actor == "d" and verb == "send":
             self.reload([word.split("=", 1) for word in words[1:]])
         elif actor == "d":
             self.tasks.append(asyncio.create_task(self.daemon.stop()))
         elif actor == "o":
-            assert self.operate is not None
-            await self.operate(words)
-        elif actor in self.stands:
+            assert self.run_operator_call is not None
+            await self.run_operator_call(words)
+        elif actor in self.stubs:
             if verb == "made":
-                assert self.stands[actor].made == int(words[0]), f"made {self.stands[actor].made}"
+                assert self.stubs[actor].connection_count == int(words[0]), (
+                    f"made {self.stubs[actor].connection_count}"
+                )
                 return
             if verb == "head":
-                line = self.stands[actor].last
-                want = words[0].encode().decode("unicode_escape")
-                assert line is not None and fnmatchcase(line.raw.decode("latin-1"), want), f"{line.raw!r}"
+                connection = self.stubs[actor].last_connection
+                expected = words[0].encode().decode("unicode_escape")
+                assert connection is not None and fnmatchcase(
+                    connection.raw_head.decode("latin-1"), expected
+                ), f"{connection.raw_head!r}"
                 return
-            steps = {"send": self._answer, "expect": self._asked, "close": self._hang_up, "eof": self._ended}
+            steps = {
+                "send": self._send_response,
+                "expect": self._expect_request,
+                "close": self._close_connection,
+                "eof": self._expect_end,
+            }
             steps |= {"reset": self._reset, "end": self._half_close}
             await steps[verb](actor, words)
         else:
-            await {"send": self._ask, "expect": self._answered, "close": self._leave}[verb](actor, words)
+            await {"send": self._send_request, "expect": self._expect_response, "close": self._disconnect}[
+                verb
+            ](actor, words)
 
     # --- clients -------------------------------------------------------------------------------
 
-    async def _ask(self, actor: str, words: list[str]) -> None:
+    async def _send_request(self, actor: str, words: list[str]) -> None:
         if actor not in self.clients:
-            self.clients[actor] = Line(*await asyncio.open_connection("127.0.0.1", self.ports["front"]))
+            self.clients[actor] = HttpConnection(
+                *await asyncio.open_connection("127.0.0.1", self.ports["front"])
+            )
         if not words:
             return
         if words[0] == "bytes":
@@ -173,13 +186,17 @@
             self.clients[actor].writer.write(self._fields(words[1:], {}))
             return
         method, target, *rest = words
-        self.clients[actor].head = method == "HEAD"
+        self.clients[actor].is_head_request = method == "HEAD"
         shard = next((word[1:] for word in rest if word.startswith("@")), None)
         headers: Headers = {"Host": "x"}
         if shard is not None:
-            self.ids += 1
+            self.request_count += 1
             extent = f"volume=00000000000000aa,units=2,shard={shard},hosts=1"
-            headers |= {"X-Call-Id": f"id{self.ids}", "X-Call-Class": "page-read", "X-Storage-Class": "gold"}
+            headers |= {
+                "X-Call-Id": f"id{self.request_count}",
+                "X-Call-Class": "page-read",
+                "X-Storage-Class": "gold",
+            }
             headers |= {"X-Budget-Ms": "1500", "X-Extent": extent}
         body = self._fields([word for word in rest if not word.startswith("@")], headers)
         if body or method in ("PUT", "POST"):
@@ -187,104 +204,104 @@
         headers = {name: value for name, value in headers.items() if value != "-"}
         self._write(self.clients[actor], f"{method} {target} HTTP/1.1", headers, body)
 
-    async def _answered(self, actor: str, words: list[str]) -> None:
-        line = self.clients[actor]
+    async def _expect_response(self, actor: str, words: list[str]) -> None:
+        connection = self.clients[actor]
         if words[0] == "eof":
             with suppress(ConnectionError):  # closed on bytes that it did not read
-                assert await line.reader.read() == b""
+                assert await connection.reader.read() == b""
             return
         if words[0] == "100":
-            assert (await line.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
+            assert (await connection.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
             return
-        first, headers, body, whole = await line.message(line.head)
+        first, headers, body, is_complete = await connection.message(connection.is_head_request)
         if words[0] == "short":
-            assert not whole, "the answer is whole"
+            assert not is_complete, "the answer is whole"
             return
-        assert whole, "the answer is short"
+        assert is_complete, "the answer is short"
         assert fnmatchcase(first[1], words[0]), f"status {first[1]} {body[:200]!r}"
-        self._match(words[1:], headers, body)
+        self._assert_matches(words[1:], headers, body)
 
-    async def _leave(self, actor: str, words: list[str]) -> None:
+    async def _disconnect(self, actor: str, words: list[str]) -> None:
         self.clients.pop(actor).writer.transport.abort()
 
     # --- stand-ins -----------------------------------------------------------------------------
 
-    async def _asked(self, actor: str, words: list[str]) -> None:
-        stand = self.stands[actor]
+    async def _expect_request(self, actor: str, words: list[str]) -> None:
+        stub = self.stubs[actor]
         if words[0] == "nothing":
-            assert stand.asked.empty(), f"{actor} got {stand.asked.get_nowait()[:2]}"
+            assert stub.requests.empty(), f"{actor} got {stub.requests.get_nowait()[:2]}"
             return
-        first, headers, body, stand.last = await stand.asked.get()
+        first, headers, body, stub.last_connection = await stub.requests.get()
         assert first[0] == words[0] and fnmatchcase(first[1], words[1]), f"{actor} got {first}"
-        self._match(words[2:], headers, body)
+        self._assert_matches(words[2:], headers, body)
 
-    async def _answer(self, actor: str, words: list[str]) -> None:
-        line = self.stands[actor].last
-        assert line is not None
+    async def _send_response(self, actor: str, words: list[str]) -> None:
+        connection = self.stubs[actor].last_connection
+        assert connection is not None
         if words[0] == "bytes":
-            line.writer.write(words[1].encode().decode("unicode_escape").encode("latin-1"))
+            connection.writer.write(words[1].encode().decode("unicode_escape").encode("latin-1"))
             return
         if words[0] in ("list", "raw"):
-            text = self._page(words[1:]) if words[0] == "list" else words[1] + "\n"
-            line.midway = True
+            text = self._endpoint_page(words[1:]) if words[0] == "list" else words[1] + "\n"
+            connection.is_mid_line = True
             for part in filter(None, (text[: len(text) // 2], text[len(text) // 2 :])):
-                line.writer.write(f"{len(part):x}\r\n{part}\r\n".encode())
+                connection.writer.write(f"{len(part):x}\r\n{part}\r\n".encode())
                 await asyncio.sleep(0.02)
-            line.midway = False
+            connection.is_mid_line = False
             return
         headers: Headers = {}
         body = self._fields(words[1:], headers)
         if headers.get("Transfer-Encoding") != "chunked":
             headers.setdefault("Content-Length", str(len(body)))
-        self._write(line, f"HTTP/1.1 {words[0]} X", headers, body)
+        self._write(connection, f"HTTP/1.1 {words[0]} X", headers, body)
         if actor.startswith("s") and headers.get("Transfer-Encoding") == "chunked":
-            self.beats.append(asyncio.create_task(self._beat(line)))
+            self.heartbeats.append(asyncio.create_task(self._send_heartbeats(connection)))
 
-    async def _beat(self, line: Line) -> None:
+    async def _send_heartbeats(self, connection: HttpConnection) -> None:
         """As discovery does, an empty line now and then: a scenario may take longer than a watch may rest."""
-        while not line.writer.transport.is_closing():
-            await asyncio.sleep(BEAT_S)
-            if not line.midway:
-                line.writer.write(b"1\r\n\n\r\n")
+        while not connection.writer.transport.is_closing():
+            await asyncio.sleep(HEARTBEAT_S)
+            if not connection.is_mid_line:
+                connection.writer.write(b"1\r\n\n\r\n")
 
-    def _page(self, words: list[str]) -> str:
-        hosts = [self.host(*word.split("=")) for word in words]
+    def _endpoint_page(self, words: list[str]) -> str:
+        hosts = [self.endpoint_entry(*word.split("=")) for word in words]
         return json.dumps({"seq": 9, "whole": False, "hosts": hosts}) + "\n"
 
-    def host(self, name: str, health: str) -> dict[str, Any]:
+    def endpoint_entry(self, name: str, health: str) -> dict[str, Any]:
         shard, dial = int(name[1:]) - 1, f"127.0.0.1:{self.ports[name]}"
         return {"host": name, "dial": dial, "site": "a", "block": shard, "health": health, "born_ms": 0}
 
-    async def _hang_up(self, actor: str, words: list[str]) -> None:
-        stand = self.stands[actor]
+    async def _close_connection(self, actor: str, words: list[str]) -> None:
+        stub = self.stubs[actor]
         if words == ["listen"]:
-            await stand.close()
+            await stub.close()
             return
-        assert stand.last is not None
-        stand.last.writer.transport.abort()
+        assert stub.last_connection is not None
+        stub.last_connection.writer.transport.abort()
 
     async def _reset(self, actor: str, words: list[str]) -> None:
         """A reset that crosses nothing: what was sent before it has been read."""
-        last = self.stands[actor].last
-        assert last is not None
-        transport = last.writer.transport
+        connection = self.stubs[actor].last_connection
+        assert connection is not None
+        transport = connection.writer.transport
         while transport.get_write_buffer_size() or any(
             has_unread_input(each.transport) for each in self.daemon.client.pool.connections()
         ):
             await asyncio.sleep(0)
-        end = transport.get_extra_info("socket")
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        node_socket = transport.get_extra_info("socket")
+        node_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         transport.abort()
 
     async def _half_close(self, actor: str, words: list[str]) -> None:
-        last = self.stands[actor].last
-        assert last is not None
-        last.writer.write_eof()
-
-    async def _ended(self, actor: str, words: list[str]) -> None:
-        line = self.stands[actor].last
-        assert line is not None
-        while not line.reader.at_eof():
+        connection = self.stubs[actor].last_connection
+        assert connection is not None
+        connection.writer.write_eof()
+
+    async def _expect_end(self, actor: str, words: list[str]) -> None:
+        connection = self.stubs[actor].last_connection
+        assert connection is not None
+        while not connection.reader.at_eof():
             await asyncio.sleep(0.01)  # the serving task is the one that reads
 
     # --- words ---------------------------------------------------------------------------------
@@ -301,21 +318,21 @@
                 headers[name] = value
         return body
 
-    def _match(self, words: list[str], headers: Headers, body: bytes) -> None:
+    def _assert_matches(self, words: list[str], headers: Headers, body: bytes) -> None:
         for word in words:
             name, _, value = word.partition("=")
             if name.startswith(">"):
                 found = re.search(value, body.decode())
                 assert found, f"{value} is not in {body!r}"
-                self.taken[name[1:]] = found[1]
+                self.captures[name[1:]] = found[1]
             elif name == "body":
                 times, star, text = value.partition("*")
-                want = text * int(times) if star and times.isdigit() else value
-                assert fnmatchcase(body.decode(), want), f"body {body[:200]!r}"
+                expected = text * int(times) if star and times.isdigit() else value
+                assert fnmatchcase(body.decode(), expected), f"body {body[:200]!r}"
             else:
                 assert fnmatchcase(headers.get(name, "-"), value), f"{name}: {headers.get(name)}"
 
     @staticmethod
-    def _write(line: Line, first: str, headers: Headers, body: bytes) -> None:
+    def _write(connection: HttpConnection, first: str, headers: Headers, body: bytes) -> None:
         rows = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
-        line.writer.write(f"{first}\r\n{rows}\r\n".encode() + body)
+        connection.writer.write(f"{first}\r\n{rows}\r\n".encode() + body)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -7,31 +7,41 @@
 
 import pytest
 
-from tests.test_bodies import HEAD, LONG, all_of, ask, chunks
-from tests.test_crossings import House, answer, inside
-
-CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
+from tests.socket_broker import (
+    LONG_BODY,
+    RESPONSE_HEAD,
+    SocketBroker,
+    encode_chunks,
+    receive_all,
+    request_head,
+    run_with_broker,
+    send_response,
+)
+
+CHUNKED = RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
 SHORT = CHUNKED + b"4;name=value\r\ndata\r\n0\r\n\r\n"
 TRAILED = CHUNKED + b"4\r\ndata\r\n0\r\nX-Rejected: 1\r\n\r\n"
-ANSWERS = {"short": SHORT, "with a trailer": TRAILED, "long": CHUNKED + chunks(LONG, 10_000)}
+ANSWERS = {"short": SHORT, "with a trailer": TRAILED, "long": CHUNKED + encode_chunks(LONG_BODY, 10_000)}
 SURPLUS = {
-    "another answer": SHORT + HEAD + b"Content-Length: 5\r\n\r\nstray",
-    "another answer without a body": SHORT + HEAD + b"Content-Length: 0\r\n\r\n",
+    "another answer": SHORT + RESPONSE_HEAD + b"Content-Length: 5\r\n\r\nstray",
+    "another answer without a body": SHORT + RESPONSE_HEAD + b"Content-Length: 0\r\n\r\n",
     "a part of a head": SHORT + b"HTTP/1.1 2",
     "a head that goes on": SHORT + b"HTTP/1.1 200 OK\r\nX-Long: 1\r\n",
     "noise": SHORT + b"\xff\r\n\r\n",
 }
 
 
-async def answered(house: House, client: socket.socket, data: bytes, piece: int) -> bytes:
+async def answered(broker: SocketBroker, client: socket.socket, data: bytes, piece: int) -> bytes:
     """One request, answered by these bytes in pieces of that size: what its client gets."""
-    client.sendall(ask(house))
-    node = await house.asked()
+    client.sendall(request_head(broker))
+    node = await broker.next_request()
     for at in range(0, len(data), piece):
         node.writer.write(data[at : at + piece])
         await node.writer.drain()
         await asyncio.sleep(0)
-    return await all_of(client, b"0\r\n\r\n" if data.endswith(chunks(LONG, 10_000)) else b"data")
+    return await receive_all(
+        client, b"0\r\n\r\n" if data.endswith(encode_chunks(LONG_BODY, 10_000)) else b"data"
+    )
 
 
 @pytest.mark.parametrize("piece", [1 << 20, 7])
@@ -43,17 +53,17 @@
     the next response.
     """
 
-    async def play(house: House) -> None:
-        client, pool = house.client(), house.daemon.client.pool
-        await answered(house, client, data, max(piece, len(data) // 100))
+    async def scenario(broker: SocketBroker) -> None:
+        client, pool = broker.connect(), broker.daemon.client.pool
+        await answered(broker, client, data, max(piece, len(data) // 100))
         async with asyncio.timeout(2):
             while not pool._idle:
                 await asyncio.sleep(0.005)
         await asyncio.sleep(0.02)  # the connection's rest behind an answer
-        assert b"X-Rejected" not in await answered(house, client, SHORT, 1 << 20)
-        assert house.daemon.client.counts["connected"] == 1
+        assert b"X-Rejected" not in await answered(broker, client, SHORT, 1 << 20)
+        assert broker.daemon.client.counts["connected"] == 1
 
-    inside(play)
+    run_with_broker(scenario)
 
 
 @pytest.mark.parametrize("data", SURPLUS.values(), ids=SURPLUS.keys())
@@ -64,18 +74,18 @@
     next request.
     """
 
-    async def play(house: House) -> None:
-        client = house.client()
-        client.sendall(ask(house))
-        (await house.asked()).writer.write(data)
-        assert (await all_of(client, b"data")).startswith(b"HTTP/1.1 200 ")
+    async def scenario(broker: SocketBroker) -> None:
+        client = broker.connect()
+        client.sendall(request_head(broker))
+        (await broker.next_request()).writer.write(data)
+        assert (await receive_all(client, b"data")).startswith(b"HTTP/1.1 200 ")
         await asyncio.sleep(0.02)
-        client.sendall(ask(house))
-        answer(await house.asked(), body=b"mine")
-        assert (await all_of(client, b"mine")).startswith(b"HTTP/1.1 200 ")
-        assert house.daemon.client.counts["connected"] == 2
+        client.sendall(request_head(broker))
+        send_response(await broker.next_request(), body=b"mine")
+        assert (await receive_all(client, b"mine")).startswith(b"HTTP/1.1 200 ")
+        assert broker.daemon.client.counts["connected"] == 2
 
-    inside(play)
+    run_with_broker(scenario)
 
 
 @pytest.mark.parametrize("piece", [1 << 20, 50])
@@ -85,23 +95,23 @@
     The next request on the connection has its own fields and none of these.
     """
 
-    async def play(house: House) -> None:
-        client = house.client()
-        put = ask(house, "Transfer-Encoding: chunked\r\n", "PUT")
+    async def scenario(broker: SocketBroker) -> None:
+        client = broker.connect()
+        put = request_head(broker, "Transfer-Encoding: chunked\r\n", "PUT")
         put += b"4\r\ndata\r\n0\r\nX-Sum: 1\r\nX-Budget-Ms: 1\r\n\r\n"
         for at in range(0, len(put), piece):
             client.sendall(put[at : at + piece])
             await asyncio.sleep(0)
-        answer(await house.asked())
-        await all_of(client, b"ok")
-        client.sendall(ask(house, "X-Own: 1\r\n"))
+        send_response(await broker.next_request())
+        await receive_all(client, b"ok")
+        client.sendall(request_head(broker, "X-Own: 1\r\n"))
         async with asyncio.timeout(5):
-            _, fields, _, node = await house.box.asked.get()
-        answer(node)
-        assert (await all_of(client, b"ok")).startswith(b"HTTP/1.1 200 ")
+            _, fields, _, node = await broker.node.requests.get()
+        send_response(node)
+        assert (await receive_all(client, b"ok")).startswith(b"HTTP/1.1 200 ")
         assert "X-Sum" not in fields and int(fields["X-Budget-Ms"]) > 1000 and fields["X-Own"] == "1"
 
-    inside(play)
+    run_with_broker(scenario)
 
 
 def test_a_request_sent_ahead_with_the_end_of_a_body_does_not_take_its_place() -> None:
@@ -110,17 +120,17 @@
     The first request is answered, and its connection closed; the second is not read.
     """
 
-    async def play(house: House) -> None:
-        client = house.client()
-        client.sendall(ask(house, "Content-Length: 6\r\n", "PUT") + b"abc")
+    async def scenario(broker: SocketBroker) -> None:
+        client = broker.connect()
+        client.sendall(request_head(broker, "Content-Length: 6\r\n", "PUT") + b"abc")
         await asyncio.sleep(0.02)
-        client.sendall(b"def" + ask(house))
+        client.sendall(b"def" + request_head(broker))
         async with asyncio.timeout(5):
-            (method, *_), _, body, node = await house.box.asked.get()
+            (method, *_), _, body, node = await broker.node.requests.get()
         assert (method, body) == ("PUT", b"abcdef")
-        answer(node)
-        got = await all_of(client)
+        send_response(node)
+        got = await receive_all(client)
         assert got.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in got and got.endswith(b"ok")
-        assert house.box.asked.empty()
+        assert broker.node.requests.empty()
 
-    inside(play)
+    run_with_broker(scenario)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -121,5 +121,5 @@
             if kind or named.startswith("net: "):
                 assert f'    "{words}' in scenarios, row
             else:
-                name = named.removesuffix("; test_pushed_lists")
+                name = named.removesuffix("; test_pushed_endpoint_lists")
                 assert name == "same" or f"def {name}(" in tests, row
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -30,7 +30,7 @@
     blocking,
 )
 from tests.helpers import SETTINGS
-from tests.scenario import Stand
+from tests.scenario import StubServer
 from tests.test_config import FILE
 
 ALONE = replace(SETTINGS, broker_count=1, peer_messages_allowed=False, max_retry_after_us=500_000)
@@ -151,7 +151,7 @@
 
 def test_the_client_of_nodes_asks_the_core_before_it_writes_and_names_faults() -> None:
     async def work(broker: Broker, ran: list[str]) -> None:
-        box = Stand()
+        box = StubServer()
         port = await box.start()
         assert isinstance(broker.source, NodeList)
         here = replace(NODES[0], address=f"127.0.0.1:{port}")
@@ -162,7 +162,7 @@
 
         async def answers(*lines: bytes) -> None:
             for line in lines:
-                asked = await box.asked.get()
+                asked = await box.requests.get()
                 asked[3].writer.write(line)
 
         full = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -176,7 +176,7 @@
         broker.source.update(replace(here, state="draining"))
         with pytest.raises(RejectedError):
             await broker.call(spec_for(), perform)
-        assert box.asked.empty()
+        assert box.requests.empty()
         await box.close()
 
     broker = play(work)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,7 +23,7 @@
 from harriertide.platform.configuration import Config
 from harriertide.platform.endpoint_page import parse_page
 from harriertide.platform.peers import parse_address
-from tests.scenario import Stand, World
+from tests.scenario import ScenarioRunner, StubServer
 from tests.test_wire import SETTINGS
 
 WIRE: dict[str, Any] = {
@@ -72,7 +72,7 @@
         b1 end
         c expect 200 body=half
         d expect outcome_ok=1""",
-    "a box that closes a kept connection while it is idle costs no attempt": f"""
+    "a node that closes a kept connection while it is idle costs no attempt": f"""
         c send GET /api @0
         b1 expect GET /api
         {OK}
@@ -148,7 +148,7 @@
         c expect 503 Retry-After=0.*
         b1 expect nothing
         d expect outcome_not_sent=1 attempts=1""",
-    "a box that refuses connections is told to the client as a refusal": """
+    "a node that refuses connections is told to the client as a refusal": """
         b1 close listen
         c send GET /api @0
         c expect 503 Retry-After=0.*
@@ -173,7 +173,7 @@
         b1 expect GET /api
         b1 send 200
         c expect 200""",
-    "the deadline counts from the request: a silent box costs no more": """
+    "the deadline counts from the request: a silent node costs no more": """
         c send GET /api @0 X-Budget-Ms=200
         b1 expect GET /api X-Budget-Ms=1*
         c expect 503
@@ -225,7 +225,7 @@
         c2 expect 400 body=*use*
         {OK}
         c expect 200""",
-    "an attempt that hangs while others on its box are answered is closed and tried again": f"""
+    "an attempt that hangs while others on its node are answered is closed and tried again": f"""
         c send GET /api @0
         b1 expect GET /api
         c2 send GET /api @0
@@ -413,7 +413,7 @@
         c expect 200 ETag="781e5e245d69b566979b86e28d23f2c7"
 """.replace('ETag="781e5e245d69b566979b86e28d23f2c7"', "'ETag=\"781e5e245d69b566979b86e28d23f2c7\"'")
 OBJECTS = {
-    "a box's refusal for good is no word to come again, and asked once": """
+    "a node's refusal for good is no word to come again, and asked once": """
         c send PUT /v/a body=0123456789
         b1 expect PUT /v/*
         b1 send 413 'body=too much'
@@ -478,14 +478,14 @@
         b1 expect GET /v/* Range=bytes=3-9
         b1 send 412
         c expect short""",
-    "a box that answers another stretch is not believed": f"""{PUT}
+    "a node that answers another stretch is not believed": f"""{PUT}
         c send GET /v/a Range=bytes=1-2
         b1 expect GET /v/*
         b1 send 206 'Content-Range=bytes 0-1/10' body=01
         b1 expect GET /v/* Range=bytes=1-2
         b1 send 206 'Content-Range=bytes 1-2/10' body=12
         c expect 206 body=12""",
-    "a write that fails on its box is sent once more from the buffer": """
+    "a write that fails on its node is sent once more from the buffer": """
         c send PUT /v/a body=ab
         b1 expect PUT /v/* body=ab
         b1 send 500
@@ -514,11 +514,11 @@
         b1 expect DELETE /v/*
         b1 send 204
         d expect outcome_cancelled=1""",
-    "a silent box: the absolute deadline ends the call": """
+    "a silent node: the absolute deadline ends the call": """
         c send PUT /v/a X-Budget-Ms=250 body=ab
         b1 expect PUT /v/* X-Budget-Ms=2*
         c expect 503 body=*SlowDown*""",
-    "a client that leaves mid-body: the box sees no whole request, the blob is cleaned up": """
+    "a client that leaves mid-body: the node sees no whole request, the blob is cleaned up": """
         c send PUT /v/a Content-Length=9000 body=4000*x
         wait 0.1
         c close
@@ -584,7 +584,7 @@
         c expect 404 body=*NoSuchUpload*
         b1 expect DELETE /v/*
         b1 send 204""",
-    "a box that starts draining between parts: later ones go elsewhere, Complete answers once": f"""
+    "a node that starts draining between parts: later ones go elsewhere, Complete answers once": f"""
         {CREATE}{part(1, "hello")}
         o send b1=draining
         wait 0.25
@@ -592,7 +592,7 @@
         b1 expect nothing
         c send POST /v/big?uploadId={{up}} {parts((1, "hello"), (2, "world"), (3, "again"))}
         c expect 200 body=*-3*""",
-    "a part whose client pauses while its box drains goes elsewhere, held or passing through": f"""
+    "a part whose client pauses while its node drains goes elsewhere, held or passing through": f"""
         {CREATE}
         c send PUT /v/big?partNumber=1&uploadId={{up}} Content-Length=5
         c2 send PUT /v/big?partNumber=2&uploadId={{up}} Content-Length=3000
@@ -615,7 +615,7 @@
         b1 expect PUT /v/* body=ab
         b1 send 200
         c expect 200""",
-    "parts on a box that is taken off the list are no parts": f"""{CREATE}{part(1, "hello")}
+    "parts on a node that is taken off the list are no parts": f"""{CREATE}{part(1, "hello")}
         o send b1=gone
         wait 0.05
         c send POST /v/big?uploadId={{up}} {parts((1, "hello"))}
@@ -623,7 +623,7 @@
         {part(1, "anew", "b2")}
         c send POST /v/big?uploadId={{up}} {parts((1, "anew"))}
         c expect 200""",
-    "all boxes drain: SlowDown at once": """
+    "all nodes drain: SlowDown at once": """
         o send b1=draining b2=draining
         c send PUT /v/a body=x
         c expect 503 Retry-After=0.* body=*SlowDown*""",
@@ -729,9 +729,9 @@
 ) -> None:
     """Run one scenario, and then what the language has no words for; whatever it did, the core owes nobody
     anything at its end."""
-    stands = {name: Stand() for name in ("b1", "b2", "s", "s2")}
+    stands = {name: StubServer() for name in ("b1", "b2", "s", "s2")}
     ports = {name: await stand.start() for name, stand in stands.items()}
-    world = World(stands, ports, None)
+    world = ScenarioRunner(stands, ports, None)
     if objects:
         boxes = {n: {"address": f"127.0.0.1:{ports[n]}", "shard": int(n[1]) - 1} for n in ("b1", "b2")}
         raw = {**OPERATOR, "boxes": boxes, "catalogue": str(folder / "catalogue")}
@@ -747,7 +747,7 @@
             assert daemon.objects is not None
             daemon.objects.enact(operator_file.read_state(raw))
 
-        world.operate = operate
+        world.run_operator_call = operate
     else:
         config = Config(
             name="n",
@@ -759,7 +759,12 @@
             peer_listen=None,
             peers=[],
             cached_list=parse_page(
-                {"seq": 7, "whole": True, "hosts": [world.host("b1", "up"), world.host("b2", "up")]}, {}
+                {
+                    "seq": 7,
+                    "whole": True,
+                    "hosts": [world.endpoint_entry("b1", "up"), world.endpoint_entry("b2", "up")],
+                },
+                {},
             ),
             raw_settings=wire,
         )
@@ -791,7 +796,7 @@
         if beside is not None:
             await beside(daemon)
         for client in list(world.clients):
-            await world._leave(client, [])
+            await world._disconnect(client, [])
         await asyncio.sleep(0.05)
         assert daemon.core.open_request_count() == 0
         counts = daemon.core.counts
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -16,9 +16,8 @@
 from harriertide.lifecycle.machine import Lifecycle, Stage
 from harriertide.lifecycle.operator_api import MAX_CONNECTION_COUNT, OperatorApi
 from harriertide.platform.configuration import BadConfigError
-from tests.test_crossings import House, inside
-from tests.test_crossings import answer as reply
-from tests.test_crossings import short as short  # a fixture: stops are short
+from tests.socket_broker import SocketBroker, run_with_broker, send_response
+from tests.socket_broker import short_shutdown as short_shutdown  # a fixture: stops are short
 
 SOON_S = 1.0  # by when each call of an operator is to be answered
 GET = b"GET /api/ready HTTP/1.1\r\nHost: x\r\n"
@@ -120,9 +119,9 @@
     async with asyncio.timeout(SOON_S):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(data)
-        answer = await reader.read()
+        send_response = await reader.read()
         writer.close()
-    return int(answer.split(b" ")[1]), answer
+    return int(send_response.split(b" ")[1]), send_response
 
 
 @asynccontextmanager
@@ -161,10 +160,10 @@
 
     async def main() -> None:
         async with address(Lifecycle(Stage.SERVING)) as (port, _):
-            got, answer = await call(port, data)
-            assert got == status, answer
-            assert answer.count(b"HTTP/1.1") == 1 and b"Connection: close" in answer
-            assert (b"Allow: POST" in answer) == (status == 405)
+            got, send_response = await call(port, data)
+            assert got == status, send_response
+            assert send_response.count(b"HTTP/1.1") == 1 and b"Connection: close" in send_response
+            assert (b"Allow: POST" in send_response) == (status == 405)
 
     asyncio.run(main())
 
@@ -247,19 +246,19 @@
 EVACUATE, REJOIN = (b"POST /api/%s HTTP/1.1\r\nHost: x\r\n\r\n" % name for name in (b"evacuate", b"rejoin"))
 
 
-def drain(play: Callable[[House, int], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
+def drain(scenario: Callable[[SocketBroker, int], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
     """Play on a daemon with an operators' address, whose drains are short."""
     monkeypatch.setattr(connection_table, "RETIRE_DELAY_S", 0.1)
 
-    async def main(house: House) -> None:
-        await play(house, house.daemon.listeners.operator_port())
+    async def main(broker: SocketBroker) -> None:
+        await scenario(broker, broker.daemon.listeners.operator_port())
 
-    inside(main, operator=("127.0.0.1", 0))
+    run_with_broker(main, operator=("127.0.0.1", 0))
 
 
-async def healthy(house: House) -> bool:
+async def healthy(broker: SocketBroker) -> bool:
     """What a new connection's health check hears."""
-    return (await call(house.port, READY.replace(b"Host", b"Connection: close\r\nHost")))[0] == 200
+    return (await call(broker.port, READY.replace(b"Host", b"Connection: close\r\nHost")))[0] == 200
 
 
 async def answered(client: socket.socket) -> bytes:
@@ -274,21 +273,21 @@
 ) -> None:
     """From the moment of a drain no client is attracted or kept, and a rejoin turns that round."""
 
-    async def play(house: House, port: int) -> None:
-        kept = house.client()
+    async def scenario(broker: SocketBroker, port: int) -> None:
+        kept = broker.connect()
         kept.sendall(READY)
         assert b"Connection: close" not in await answered(kept)
-        assert await healthy(house)
+        assert await healthy(broker)
         assert (await call(port, EVACUATE))[0] == 200
-        assert not await healthy(house)
+        assert not await healthy(broker)
         kept.sendall(READY)
-        answer_bytes = await house.read(kept)  # to its end
+        answer_bytes = await broker.read(kept)  # to its end
         assert answer_bytes.startswith(b"HTTP/1.1 503") and b"Connection: close" in answer_bytes
         assert (await call(port, GOOD))[0] == 200  # the process itself can serve
         assert (await call(port, REJOIN))[0] == 200
-        assert await healthy(house)
+        assert await healthy(broker)
 
-    drain(play, monkeypatch)
+    drain(scenario, monkeypatch)
 
 
 def test_a_drained_broker_serves_what_still_comes_and_no_connection_rests(
@@ -298,27 +297,27 @@
     in order.
     """
 
-    async def play(house: House, port: int) -> None:
-        resting = [await house.resting("/health/ready", "idle") for _ in range(20)]
-        busy = house.client()
-        busy.sendall(house.request())
-        line = await house.asked()
+    async def scenario(broker: SocketBroker, port: int) -> None:
+        resting = [await broker.connect_in_state("/health/ready", "idle") for _ in range(20)]
+        busy = broker.connect()
+        busy.sendall(broker.request())
+        line = await broker.next_request()
         await call(port, EVACUATE)
-        late = house.client()
-        late.sendall(house.request())
-        reply(await house.asked())
-        assert b"200 OK" in await house.read(late)
+        late = broker.connect()
+        late.sendall(broker.request())
+        send_response(await broker.next_request())
+        assert b"200 OK" in await broker.read(late)
         for client in resting:
-            assert (await house.read(client)).endswith(b"ready\n")  # to an end in order, no reset
-        assert [len(house.daemon.clients.in_state(state)) for state in ("silent", "idle", "busy")] == [
+            assert (await broker.read(client)).endswith(b"ready\n")  # to an end in order, no reset
+        assert [len(broker.daemon.clients.in_state(state)) for state in ("silent", "idle", "busy")] == [
             0,
             0,
             1,
         ]
-        reply(line)
-        assert b"200 OK" in await house.read(busy)
+        send_response(line)
+        assert b"200 OK" in await broker.read(busy)
 
-    drain(play, monkeypatch)
+    drain(scenario, monkeypatch)
 
 
 def test_three_hundred_clients_that_never_stop_sending_are_all_sent_away(
@@ -326,8 +325,8 @@
 ) -> None:
     """Clients that always have a next request would keep their connections for ever: a drain has to end."""
 
-    async def play(house: House, port: int) -> None:
-        crowd = [await house.resting("/health/ready", "idle") for _ in range(300)]
+    async def scenario(broker: SocketBroker, port: int) -> None:
+        crowd = [await broker.connect_in_state("/health/ready", "idle") for _ in range(300)]
 
         async def keep_sending(client: socket.socket) -> None:
             loop = asyncio.get_running_loop()
@@ -341,29 +340,29 @@
         await call(port, EVACUATE)
         async with asyncio.timeout(3):
             await asyncio.gather(*senders)
-            while len(house.daemon.clients):
+            while len(broker.daemon.clients):
                 await asyncio.sleep(0.01)
 
-    drain(play, monkeypatch)
+    drain(scenario, monkeypatch)
 
 
 def test_a_client_that_pipelines_is_answered_once_and_sent_away(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client sends three requests at once to a drained broker: it must not be served on for all of them."""
 
-    async def play(house: House, port: int) -> None:
+    async def scenario(broker: SocketBroker, port: int) -> None:
         await call(port, EVACUATE)
-        client = house.client()
+        client = broker.connect()
         client.sendall(READY * 3)
-        assert (await house.read(client)).count(b"HTTP/1.1 ") == 1
+        assert (await broker.read(client)).count(b"HTTP/1.1 ") == 1
 
-    drain(play, monkeypatch)
+    drain(scenario, monkeypatch)
 
 
 def test_a_rejoin_within_the_drain_keeps_connections_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Operators change their mind within the drain: connections that it has not closed yet are kept."""
 
-    async def play(house: House, port: int) -> None:
-        client = await house.resting("/health/ready", "idle")
+    async def scenario(broker: SocketBroker, port: int) -> None:
+        client = await broker.connect_in_state("/health/ready", "idle")
         await call(port, EVACUATE)
         await call(port, REJOIN)
         await asyncio.sleep(0.3)  # beyond the time in which the drain would have ended it
@@ -371,42 +370,42 @@
         client.sendall(READY)
         assert (await answered(client)).startswith(b"HTTP/1.1 200")
 
-    drain(play, monkeypatch)
+    drain(scenario, monkeypatch)
 
 
 def test_a_drain_outlasts_a_reload_and_a_stop_ends_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """A bad configuration is reloaded during a drain: the drain stays; SIGTERM is above a rejoin."""
 
-    async def play(house: House, port: int) -> None:
+    async def scenario(broker: SocketBroker, port: int) -> None:
         await call(port, EVACUATE)
-        house.daemon.reload({})  # LB_CONFIG can't be read: what is in force stays
-        assert not await healthy(house)
-        stopping = asyncio.create_task(house.stop())
+        broker.daemon.reload({})  # LB_CONFIG can't be read: what is in force stays
+        assert not await healthy(broker)
+        stopping = asyncio.create_task(broker.stop())
         await asyncio.sleep(0)
         assert (await call(port, REJOIN))[0] == 409
         assert (await call(port, GOOD))[0] == 503
         await stopping
 
-    drain(play, monkeypatch)
+    drain(scenario, monkeypatch)
 
 
 def test_a_drain_and_its_end_need_no_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
     """The stand-in of discovery answers no call in any of these tests; here its watch has failed too."""
 
-    async def play(house: House, port: int) -> None:
-        assert house.daemon.watch is not None
-        await house.daemon.watch.close()
-        assert (await call(port, EVACUATE))[0] == 200 and not await healthy(house)
-        client = house.client()
-        client.sendall(house.request())
-        reply(await house.asked())
-        assert b"200 OK" in await house.read(client)
-        assert (await call(port, REJOIN))[0] == 200 and await healthy(house)
+    async def scenario(broker: SocketBroker, port: int) -> None:
+        assert broker.daemon.watch is not None
+        await broker.daemon.watch.close()
+        assert (await call(port, EVACUATE))[0] == 200 and not await healthy(broker)
+        client = broker.connect()
+        client.sendall(broker.request())
+        send_response(await broker.next_request())
+        assert b"200 OK" in await broker.read(client)
+        assert (await call(port, REJOIN))[0] == 200 and await healthy(broker)
 
-    drain(play, monkeypatch)
+    drain(scenario, monkeypatch)
 
 
 def test_an_address_that_is_taken_is_named_with_its_key() -> None:
     """Another program has the operators' address: the start ends with a line that names the key."""
     with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(BadConfigError, match="operator: "):
-        inside(lambda house: house.settle(), operator=other.getsockname())
+        run_with_broker(lambda broker: broker.wait_until_settled(), operator=other.getsockname())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -28,9 +28,9 @@
 from harriertide.platform.endpoint_directory import DirectoryState, EndpointDirectory
 from harriertide.platform.endpoint_page import EndpointPage, parse_page
 from tests.helpers import START_US, BrokerUnderTest, started_attempts
-from tests.scenario import Stand, World
-from tests.test_crossings import answer
-from tests.test_crossings import short as short  # a fixture: stops are short
+from tests.scenario import ScenarioRunner, StubServer
+from tests.socket_broker import send_response
+from tests.socket_broker import short_shutdown as short_shutdown  # a fixture: stops are short
 from tests.test_net import WIRE
 
 PATIENCE_S = 5.0
@@ -375,7 +375,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind(("127.0.0.1", 0))
             self.peer_listen = free.getsockname()
-        self.box, self.discovery = Stand(), Stand()
+        self.box, self.discovery = StubServer(), StubServer()
         self.started: list[Daemon] = []
         self.made = 0
 
@@ -392,7 +392,7 @@
         self.door.close()
 
     async def process(self, **stated: object) -> Daemon:
-        host = World({}, self.ports, None).host("b1", "up")
+        host = ScenarioRunner({}, self.ports, None).endpoint_entry("b1", "up")
         config = Config(
             name="n", listen=self.door.getsockname(), discovery=f"127.0.0.1:{self.ports['s']}", seed=1,
             settings=from_wire(WIRE), names=names_from_wire(WIRE), peer_listen=self.peer_listen,
@@ -420,7 +420,7 @@
         """One request through box and broker; the head of its answer."""
         async with asyncio.timeout(PATIENCE_S):
             writer.write(self.request())
-            answer((await self.box.asked.get())[3])
+            send_response((await self.box.requests.get())[3])
             head = await reader.readuntil(b"\r\n\r\n")
             assert await reader.readexactly(2) == b"ok"
         return head
@@ -449,10 +449,10 @@
         assert b"Connection: close" not in await platform.served(*kept)
         waiting = await platform.client()
         waiting[1].write(platform.request())
-        asked = (await platform.box.asked.get())[3]
+        asked = (await platform.box.requests.get())[3]
         new = await platform.process()
         assert old.lifecycle.is_superseded and new.lifecycle.is_serving and old.lifecycle.is_serving
-        answer(asked)
+        send_response(asked)
         assert b"200" in await waiting[0].readuntil(b"ok")
         assert b"Connection: close" in await platform.served(*kept)
         assert b"Connection: close" not in await platform.served(*await platform.client())
@@ -480,7 +480,7 @@
         stopping = asyncio.create_task(old.stop())
         await asyncio.sleep(0.01)
         half[1].write(request[40:])
-        answer((await platform.box.asked.get())[3])
+        send_response((await platform.box.requests.get())[3])
         assert b"200" in await half[0].readuntil(b"ok")
         assert b"200" in await platform.served(*kept)
         await stopping
@@ -497,7 +497,7 @@
         old = await platform.process()
         reader, writer = await platform.client()
         writer.write(platform.request())
-        line = (await platform.box.asked.get())[3]
+        line = (await platform.box.requests.get())[3]
         size = 32 << 20
         line.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * 200_000)
         await reader.readuntil(b"\r\n\r\n")
@@ -602,7 +602,11 @@
         old.core.scheduler.endpoints.shards[0].capacity = 42.0  # type: ignore[attr-defined]
         old.directory.apply(
             old.directory.parse_page(
-                {"seq": 8, "whole": False, "hosts": [World({}, platform.ports, None).host("b1", "draining")]}
+                {
+                    "seq": 8,
+                    "whole": False,
+                    "hosts": [ScenarioRunner({}, platform.ports, None).endpoint_entry("b1", "draining")],
+                }
             )
         )
         new = await platform.process()
