--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,12 +1,12 @@
 """The scenario language: lines of ACTOR send|expect|close ..., and wait SECONDS.
 
-Actors: c, c2, ... clients; b1, b2, ... stand-in boxes; s, s2 discovery; o the operator; d the daemon.
+Actors: c, c2, ... clients; b1, b2, ... stub nodes; s, s2 discovery; o the operator; d the daemon.
 
     c send METHOD TARGET [Header=Value ...] [@SHARD] [body=TEXT | body=N*TEXT]
     b1 expect METHOD TARGET-PATTERN [Header=PATTERN ...] [body=TEXT]   (or: b1 expect nothing)
     b1 send STATUS [Header=Value ...] [body=TEXT]                      (or: b1 send bytes TEXT, with escapes)
-    b1 made N                                                          it was connected to so often
-    b1 head BYTES                the head that it was last sent, byte for byte; escapes, * for what may vary
+    b1 made N                                                          the count of connections to it
+    b1 head BYTES                the head of its last request, byte for byte; escapes, * for what may vary
     c expect STATUS [Header=PATTERN ...] [body=PATTERN]                (or: c expect eof | c expect short)
     c send raw body=TEXT                                               more of a body
     c send / c send bytes TEXT                                         connect; bytes, with escapes
@@ -48,7 +48,7 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.is_head_request = False  # HEAD was asked for
+        self.is_head_request = False  # the request was a HEAD
         self.raw_head = b""  # the last head as it came
         self.is_mid_line = False  # a line of a watch is half written
 
@@ -66,7 +66,7 @@
 
 
 class StubServer:
-    """A stand-in server: hands out whole requests in the order of their last byte."""
+    """A stub of a node or of discovery: hands out whole requests in the order of their last byte."""
 
     def __init__(self) -> None:
         self.requests: asyncio.Queue[tuple[list[str], Headers, bytes, HttpConnection]] = asyncio.Queue()
@@ -165,7 +165,7 @@
             steps |= {"reset": self._reset, "end": self._half_close}
             await steps[verb](actor, words)
         else:
-            await {"send": self._send_request, "expect": self._expect_response, "close": self._disconnect}[
+            await {"send": self._send_request, "expect": self._expect_response, "close": self.disconnect}[
                 verb
             ](actor, words)
 
@@ -221,7 +221,7 @@
         assert fnmatchcase(first[1], words[0]), f"status {first[1]} {body[:200]!r}"
         self._assert_matches(words[1:], headers, body)
 
-    async def _disconnect(self, actor: str, words: list[str]) -> None:
+    async def disconnect(self, actor: str, words: list[str]) -> None:
         self.clients.pop(actor).writer.transport.abort()
 
     # --- stand-ins -----------------------------------------------------------------------------
--- a/tests/socket_broker.py
+++ b/tests/socket_broker.py
@@ -25,7 +25,7 @@
 from tests.scenario import HttpConnection, ScenarioRunner, StubServer
 from tests.test_net import OPERATOR, WIRE
 
-FLOOD = b"x" * 40_000  # what a system takes for a program that does not read
+FLOOD = b"x" * 40_000  # fits the socket buffer of a program that does not read
 
 
 LONG_BODY = bytes(range(256)) * 1200  # 300 KiB
@@ -35,14 +35,14 @@
 
 
 class SocketBroker:
-    """A daemon with one stand-in box."""
+    """A daemon with one stub node."""
 
     def __init__(self, daemon: Daemon, node: StubServer, port: int) -> None:
         self.daemon, self.node, self.port = daemon, node, port
         self.request_count, self.stopped = 0, False
 
     async def stop(self) -> None:
-        """SIGTERM's course."""
+        """Shut down as on SIGTERM."""
         self.stopped = True
         await self.daemon.stop()
 
@@ -60,12 +60,12 @@
         ).encode() + body
 
     async def next_request(self) -> HttpConnection:
-        """The next request that the box gets."""
+        """The connection of the next request that the node gets."""
         async with asyncio.timeout(5):
             return (await self.node.requests.get())[3]
 
     async def connect_in_state(self, path: str, state: client_connection.ConnectionState) -> socket.socket:
-        """A client that was answered, its connection in this state."""
+        """A client that has its response, once its connection is in this state."""
         client = self.connect()
         client.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         while not self.daemon.clients.in_state(state):
@@ -97,9 +97,10 @@
     wire: dict[str, Any] = WIRE,
     **config_fields: object,
 ) -> None:
-    """Play it on the platform's front, or on the object front with its catalogue at this path.
+    """Run a scenario on the platform's front, or on the object front.
 
-    stated: further fields of the configuration.
+    :param objects: the path of the object front's catalogue; empty for the platform's front
+    :param config_fields: further fields of the configuration
     """
 
     async def main() -> None:
@@ -133,7 +134,7 @@
 
 @pytest.fixture(autouse=True)
 def short_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A stop takes no longer than it must."""
+    """Shorten the times of a graceful shutdown."""
     times = {
         "ACCEPT_GRACE_S": 0.05,
         "MAX_REQUEST_S": 0.3,
@@ -150,7 +151,7 @@
 
 
 async def receive_all(client: socket.socket, until: bytes = b"") -> bytes:
-    """What comes until the connection ends, or until these bytes have come."""
+    """All bytes up to the end of the connection, or up to these."""
     client.setblocking(False)
     received = bytearray()
     async with asyncio.timeout(5):
@@ -178,7 +179,7 @@
 
 
 def encode_chunks(data: bytes, size: int) -> bytes:
-    """As chunks with an extension each, and trailers."""
+    """Data in chunks with an extension each, and trailers."""
     parts = [data[offset : offset + size] for offset in range(0, len(data), size)]
     coded = b"".join(b"%x;name=value\r\n%b\r\n" % (len(part), part) for part in parts)
     return coded + b"0\r\nX-Sum: 1\r\n\r\n"
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -28,7 +28,11 @@
 
 
 def test_no_retry_starts_for_a_client_whose_close_is_unread() -> None:
-    """Its close lies behind bytes that are not read, as reading is paused; then its box fails it."""
+    """A client floods its connection and leaves; its close lies behind bytes that nobody reads. Then its node
+    fails the attempt.
+
+    Nobody waits for a retry, so none may start.
+    """
 
     async def scenario(broker: SocketBroker) -> None:
         client = broker.connect()
@@ -47,7 +51,9 @@
 
 
 def test_requests_whose_clients_disconnect_in_the_same_loop_turn_are_not_sent() -> None:
-    """Ten at once, request and close in one; a kept connection to the box lies ready for the first."""
+    """Ten clients send a request and leave at once, in one turn of the event loop, while an idle
+    connection to the node is ready for the first of them.
+    """
 
     async def scenario(broker: SocketBroker) -> None:
         first = broker.connect()
@@ -94,7 +100,7 @@
 
 
 def test_the_library_does_not_retry_for_a_client_that_disconnected() -> None:
-    """aiohttp lets a handler run on when its client has gone; here it has gone unread."""
+    """aiohttp lets a handler run on when its client has gone, and here the client's close is unread."""
 
     async def main() -> None:
         run_count = 0
@@ -135,7 +141,7 @@
 
 
 def test_a_call_of_the_library_ends_at_once_when_its_caller_has_left() -> None:
-    """The application says that its caller has gone. The call ends without another attempt."""
+    """The application reports that its caller has gone. The call ends without another attempt."""
 
     async def main() -> None:
         has_left: list[bool] = []
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -33,7 +33,7 @@
 ]  # fmt: skip
 
 
-# Beside the settings: a value that can't be used
+# Outside the settings: values that can't be used
 INVALID_CONFIGURATION: list[tuple[str, Any]] = [
     ("name", 7), ("listen", "here"), ("listen", "127.0.0.1:port"), ("discovery", MISSING),
     ("discovery", ":1"), ("peer_listen", "127.0.0.1"), ("peers", ["127.0.0.1:1", "x"]),
@@ -50,6 +50,7 @@
 def test_an_invalid_configuration_is_reported_in_one_line_that_names_the_key(
     key: str, value: Any, tmp_path: Path
 ) -> None:
+    """An operator starts a broker with a value that can't be used, or without one that must be there."""
     raw = {**MINIMAL_CONFIGURATION, "settings": WIRE, key: value}
     if value is MISSING:
         del raw[key]
@@ -73,7 +74,9 @@
 
 
 def test_minimal_settings_with_one_class_and_one_plan_serve(tmp_path: Path) -> None:
-    """Another customer's: no zones, no limits of plans, no repeats, a deadline of 80 ms, one attempt."""
+    """Another customer's settings: no zones, no limits of plans, no retries, a deadline of 80 ms, one
+    attempt.
+    """
     request_class = {"name": "x", "deadlineUs": 80_000, "sloUs": 40_000, "worth": 1, "effect": "at_most_once"}
     settings = copy.deepcopy(WIRE)
     for part, keys in {"limits": ("maxRetryAfterUs", "cancel"), "domain": ("writes",)}.items():
@@ -98,6 +101,7 @@
 def test_invalid_settings_are_reported_in_one_line_that_names_the_key(
     path: str, value: Any, tmp_path: Path
 ) -> None:
+    """The settings of a configuration hold a value that can't be used, or lack one that must be there."""
     settings = copy.deepcopy(WIRE)
     *keys, last = [int(step) if step.isdigit() else step for step in path.split(".")]
     container: Any = settings
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -15,7 +15,11 @@
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_ended_in_order_and_not_forwarded() -> None:
-    """The broker ends its side; the request comes before it could hear of that, and gets no reset."""
+    """The broker ends its side of an idle connection, and a request comes before the client could hear of
+    that.
+
+    The client must see an orderly end: behind a reset it could not tell whether its request ran.
+    """
 
     async def scenario(broker: SocketBroker) -> None:
         client = await broker.connect_in_state("/health/ready", "idle")
@@ -32,7 +36,9 @@
 
 
 def test_a_request_that_crosses_the_eviction_of_its_connection_sees_the_end_first() -> None:
-    """There its descriptor is needed at once: its end is out before the turn in which it is closed."""
+    """An idle connection is evicted, as its descriptor is needed at once. Its end is sent before the turn
+    in which it is closed, so a request that crosses it sees the end and no reset.
+    """
 
     async def scenario(broker: SocketBroker) -> None:
         client = await broker.connect_in_state("/health/ready", "idle")
@@ -49,7 +55,9 @@
 
 
 def test_a_final_response_is_delivered_whole_before_unexpected_bytes() -> None:
-    """A client that sends on while it is answered for good: that is read, so nothing is reset away."""
+    """A client sends on while it gets the last response of its connection. The bytes are read, as unread
+    ones would reset the connection and take the response with them.
+    """
 
     async def scenario(broker: SocketBroker) -> None:
         client = await broker.connect_in_state("/nowhere", "lingering")
--- a/tests/test_connection_exhaustion.py
+++ b/tests/test_connection_exhaustion.py
@@ -27,7 +27,7 @@
 
 
 def open_stalled_connections(broker: SocketBroker) -> list[socket.socket]:
-    """Connections of which every second says nothing, and the others half of a head."""
+    """Connections of which every second sends nothing, and the others half of a head."""
     stalled = [broker.connect() for _ in range(BATCH_CONNECTION_COUNT)]
     for stalled_client in stalled[::2]:
         stalled_client.sendall(PARTIAL_HEAD)
@@ -83,9 +83,9 @@
 def test_a_shutdown_among_stalled_connections_serves_requests_and_ends_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The broker is told to stop while a crowd holds its connections.
+    """The broker shuts down while stalled clients hold its connections.
 
-    What is under way and what still comes is served, and the crowd does not delay the end.
+    Requests in flight and new ones are served, and the stalled connections do not delay the end.
     """
     monkeypatch.setattr(shutdown, "ACCEPT_GRACE_S", 0.3)
 
@@ -98,7 +98,7 @@
         node_connection = await broker.next_request()
         started_at, stopping = loop.time(), asyncio.create_task(broker.stop())
         await asyncio.sleep(0.05)
-        await assert_served(broker, broker.connect())  # the front still sends some
+        await assert_served(broker, broker.connect())  # the load balancer in front still sends some
         send_response(node_connection)
         assert (await receive_all(open_client)).startswith(b"HTTP/1.1 200 ")
         await stopping
--- a/tests/test_duplicate_prevention.py
+++ b/tests/test_duplicate_prevention.py
@@ -20,7 +20,8 @@
 
 
 def test_a_duplicate_response_is_not_taken_for_that_of_the_next_request() -> None:
-    """A box in trouble sends its answer once more, some milliseconds later."""
+    """A faulty node sends its response once more, some milliseconds later, behind the next request on its
+    connection."""
 
     async def scenario(broker: SocketBroker) -> None:
         client = broker.connect()
@@ -42,7 +43,9 @@
 
 @pytest.mark.parametrize("delay_ratio", [0.4, 1.4])
 def test_a_retry_that_waits_for_a_connection_beyond_its_window_is_not_written(delay_ratio: float) -> None:
-    """Repeats are dropped for 0.4 s only; the second connection comes up late, within that or behind."""
+    """Nodes drop duplicates for 0.4 s only, and the connection of the retry comes up late: within that, or
+    behind.
+    """
     window_us = 400_000
     wire = {**WIRE, "classes": [{**WIRE["classes"][0], "effect": "deduplicated", "dedupScope": "all"}]}
     wire["classes"][0]["windowUs"] = window_us
@@ -75,7 +78,8 @@
 
 
 def test_the_window_of_a_retry_runs_from_the_first_attempt_that_may_have_run() -> None:
-    """Asked at the write, by the reducer alone: one that never ran opens no window."""
+    """An attempt that never ran opens no window; the first that may have run does. Asked at the write, of the
+    reducer alone."""
     from harriertide.core.reducer import Reducer
 
     kind = api.RequestClass(
--- a/tests/test_endpoint_directory.py
+++ b/tests/test_endpoint_directory.py
@@ -11,7 +11,7 @@
 
 
 def test_the_address_of_a_removed_node_is_forgotten() -> None:
-    """Guards against growth where nodes are replaced all day."""
+    """Nodes are replaced all day. Their addresses must not pile up."""
     directory = EndpointDirectory({})
     for number in range(50):
         host = {"host": f"h{number}", "dial": f"127.0.0.1:{number + 1}", "block": 0, "health": "up"}
@@ -61,12 +61,12 @@
     assert apply_page(7, "up", True, "cached") == [("live", 0)]
     assert (
         apply_page(9, "draining", False) == apply_page(9, "draining", False) == [("draining", 0)]
-    )  # told twice
+    )  # published twice
     assert apply_page(8, "up", False) == [("draining", 0)] and directory.version == 9
     assert apply_page(5, "up", True) == [("draining", 0)] and directory.version == 5  # discovery counts anew
     assert apply_page(6, "up", False) == [("live", 0)]  # a drain undone
     assert apply_page(7, "up", False, born_ms=4) == [("live", 4000)]  # it has started anew
-    assert apply_page(3, "up", True) == [("live", 4000)]  # and is cold, whatever an older list says
+    assert apply_page(3, "up", True) == [("live", 4000)]  # and warms up, whatever an older list says
     assert apply_page(4, "removed", False) == [("gone", 0)]
     assert apply_page(1, "up", True, "full") == [("gone", 0)] and directory.find("n1") is None
     absent = EndpointDirectory({})
@@ -87,5 +87,5 @@
         directory.apply(directory.parse_page({"seq": seq, "whole": True, "hosts": hosts}))
     update = directory.apply(
         directory.parse_page({"seq": 2, "whole": True, "hosts": [HOST]}), "full"
-    )  # discovery is elsewhere now
+    )  # discovery has moved
     assert [entry.state for entry in update.entries] == ["live"] and directory.find("n1") == HOST["dial"]
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -30,7 +30,7 @@
 
 
 class SilentDiscovery:
-    """Answers as many calls as it is told to with a list, and then says nothing on them."""
+    """Answers calls with a list where set so, and then sends nothing on them."""
 
     def __init__(self, answers: list[bool]) -> None:
         self.answers = answers
@@ -47,7 +47,7 @@
 
 
 def run_watch(answers: list[bool], seconds: float) -> tuple[list[float], list[str]]:
-    """When it was asked, and what the core was told, in order."""
+    """The times of the calls, and the kinds of updates that the core got, in order."""
     update_kinds: list[str] = []
 
     def post(event: ev.Event) -> None:
@@ -84,7 +84,7 @@
 
 
 def test_an_unanswered_call_is_repeated_once_and_then_left_to_the_cores_backoff() -> None:
-    """Guards against hundreds of brokers that press a discovery which answers nobody."""
+    """Discovery answers nobody. Hundreds of brokers that call it again and again would keep it down."""
     call_times, update_kinds = run_watch([False, False], 60.0)
     assert len(call_times) == 2 and call_times[1] - call_times[0] < NOTIFICATION_DEADLINE_S - 1.0
     assert update_kinds == ["failed"]
@@ -92,7 +92,7 @@
     assert len(call_times) == 3 and update_kinds == [
         "full",
         "failed",
-    ]  # what has spoken again may fall silent again
+    ]  # a watch that has recovered may fall silent again
 
 
 HOST = {"host": "n1", "dial": "127.0.0.1:1", "block": 0, "health": "up", "born_ms": 0}
@@ -106,7 +106,7 @@
 
 
 class FaultyDiscovery:
-    """Discovery, in one way of failing until a moment, and in order from then on, with a drain.
+    """Discovery that fails in one way until a moment, and works from then on, with a drain.
 
     Connections that were opened before stay as they were then: what hangs goes on hanging.
     """
@@ -208,7 +208,7 @@
         return watch
 
     async def wait_for_drain(self, deadline: float) -> float:
-        """When the drain was told, by the loop's clock."""
+        """The time at which the core knows of the drain, by the loop's clock."""
         while self.loop.time() < deadline and self.core.nodes()["n1"].state == "live":
             await until(self.loop.time() + 0.05)
         return self.loop.time()
@@ -223,7 +223,9 @@
 @pytest.mark.parametrize("broker_count", [4, 200])
 @pytest.mark.parametrize("failure", FAILURES)
 def test_a_drain_is_received_in_time_whatever_failed_before(failure: str, broker_count: int) -> None:
-    """Whatever calls came to before: with the drain's moment drawn over the waits between them."""
+    """Discovery fails in one of many ways, then recovers and drains a node; the moment of that is drawn
+    over the waits between polls.
+    """
 
     async def measure_delay(seed: int) -> float:
         process = BrokerProcess(broker_count, seed)
@@ -240,8 +242,9 @@
 @pytest.mark.parametrize("broker_count", [4, 200])
 @pytest.mark.parametrize("failure", ["503", "reset", "hangs"])
 def test_a_discovery_that_moves_during_a_call_is_watched_in_time(failure: str, broker_count: int) -> None:
-    """A new configuration names another one; what that has to tell counts 4 s later. The old one fails, and
-    the first call to the new one does too."""
+    """A new configuration names another discovery, whose drain counts 4 s later. The old one fails, and
+    the first call to the new one does too.
+    """
 
     async def measure_delay(seed: int) -> float:
         process = BrokerProcess(broker_count, seed)
@@ -264,4 +267,4 @@
     assert WATCH_SILENCE_S + call + answer <= NOTIFICATION_DEADLINE_S
     assert (
         POLL_MAX_WAIT_US / 1e6 + call + answer <= NOTIFICATION_DEADLINE_S
-    )  # it came back right behind a call that failed
+    )  # discovery came back right behind a call that failed
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -30,7 +30,7 @@
 
 
 HEALTH_CHECK_SCENARIOS = {
-    "a silent node is asked whether it lives, and no request is risked on it until it says so": f"""
+    "an ejected node is health-checked, and gets no request until a check succeeds": f"""
         {UNRESPONSIVE_NODE}
         b1 expect GET /health/live X-Call-Id=- Content-Length=-
         b1 send 200 body=live
@@ -40,7 +40,7 @@
         {OK}
         c expect 200
         d expect probes=1 probe_ok=1""",
-    "a node that answers its probe with nonsense stays silent": rf"""
+    "a node that answers its health check with nonsense stays ejected": rf"""
         {UNRESPONSIVE_NODE}
         b1 expect GET /health/live
         b1 send bytes '\x00\xff nonsense\r\n\r\n'
@@ -48,7 +48,7 @@
         c send GET /api @0
         c expect 503
         d expect probes=1 probe_reset=1""",
-    "a node that says it can't, and then nothing, is probed no more often": f"""
+    "a node that fails its health check, and then does not answer, is checked no more often": f"""
         {UNRESPONSIVE_NODE}
         b1 expect GET /health/live
         b1 send 503
@@ -70,7 +70,7 @@
 
 
 def test_without_health_checks_a_request_is_the_trial(tmp_path: Path) -> None:
-    """A node is ejected, and the settings allow no probes.
+    """A node is ejected, and the settings allow no health checks.
 
     A client's request is the trial that reinstates it.
     """
--- a/tests/test_idempotent_writes.py
+++ b/tests/test_idempotent_writes.py
@@ -18,7 +18,7 @@
 
 
 IDEMPOTENT_WRITE_SCENARIOS = {
-    "cut off within the window: again, to the same shard and with the same key": f"""
+    "cut off within the window: retried at the same shard with the same key": f"""
         {WATCH_OPENED}
         c send PUT /api @0 Idempotency-Key=k body=x
         b1 expect PUT /api Idempotency-Key=k
@@ -27,7 +27,7 @@
         {OK}
         c expect 200
         b2 expect nothing""",
-    "cut off after the window: not again, and no word that trying again is harmless": f"""
+    "cut off after the window: not retried, and no hint that a retry is harmless": f"""
         {WATCH_OPENED}
         c send PUT /api @0 Idempotency-Key=k body=x
         b1 expect PUT /api
@@ -36,7 +36,7 @@
         c expect 502
         b1 expect nothing
         b2 expect nothing""",
-    "never begun: the node that turned it away may be asked again at any time": f"""
+    "never begun: it may be retried at the node that rejected it at any time": f"""
         {WATCH_OPENED}
         c send PUT /api @0 Idempotency-Key=k body=x
         b1 expect PUT /api
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -108,7 +108,7 @@
         b1 expect GET /api
         {OK}
         c expect 200""",
-    "an error is tried again, one attempt at a time": f"""
+    "an error is retried, one attempt at a time": f"""
         c send GET /api @0
         b1 expect GET /api
         b1 expect nothing
@@ -131,7 +131,7 @@
         b1 close
         c expect 503 Retry-After=0.*
         d expect outcome_reset=3 attempts=4""",
-    "a turned-away request is tried again, at most as often as the settings allow": """
+    "a rejected request is retried, at most as often as the settings allow": """
         c send GET /api @0
         b1 expect GET /api
         b1 send 503 X-Rejected=1
@@ -141,19 +141,19 @@
         b1 send 500
         c expect 503 Retry-After=0.*
         d expect outcome_rejected=2 outcome_error=1""",
-    "a request that its node calls over is refused at once, and sent nowhere again": """
+    "a request that its node calls expired is rejected at once and not retried": """
         c send GET /api @0
         b1 expect GET /api
         b1 send 504 X-Rejected=1
         c expect 503 Retry-After=0.*
         b1 expect nothing
         d expect outcome_not_sent=1 attempts=1""",
-    "a node that refuses connections is told to the client as a refusal": """
+    "a node that refuses connections leads to a rejection": """
         b1 close listen
         c send GET /api @0
         c expect 503 Retry-After=0.*
         d expect outcome_connect_failed=3""",
-    "an answer cut in its body is tried again": f"""
+    "a response that breaks off in its body is retried": f"""
         c send GET /api @0
         b1 expect GET /api
         b1 send 200 Content-Length=9 body=da
@@ -173,12 +173,12 @@
         b1 expect GET /api
         b1 send 200
         c expect 200""",
-    "the deadline counts from the request: a silent node costs no more": """
+    "the deadline counts from the request: a node that does not answer costs no more": """
         c send GET /api @0 X-Budget-Ms=200
         b1 expect GET /api X-Budget-Ms=1*
         c expect 503
         d expect outcome_timeout=1""",
-    "a client that leaves gets nothing, and the attempt's outcome is taken": f"""
+    "a client that leaves gets nothing, and the attempt's outcome is recorded": f"""
         c send GET /api @0
         b1 expect GET /api
         c close
@@ -215,17 +215,17 @@
         c send odd stuff\x01
         c expect 400
         c expect eof""",
-    "an oversize body is refused": """
+    "an oversize body is rejected": """
         c send PUT /api @0 Content-Length=33554433 body=x
         c expect 413""",
-    "an id in use is refused": f"""
+    "an id in use is rejected": f"""
         c send GET /api @0 X-Call-Id=same
         b1 expect GET /api
         c2 send GET /api @0 X-Call-Id=same
         c2 expect 400 body=*use*
         {OK}
         c expect 200""",
-    "an attempt that hangs while others on its node are answered is closed and tried again": f"""
+    "an attempt that hangs while its node answers others is cancelled and retried": f"""
         c send GET /api @0
         b1 expect GET /api
         c2 send GET /api @0
@@ -253,7 +253,7 @@
         b1 expect GET /api
         {OK}
         c expect 200""",
-    "a watch that breaks, is turned away or talks nonsense is opened again from what is known": f"""
+    "a watch that breaks, is rejected or sends nonsense is reopened from the last known version": f"""
         {WATCH}
         s send list b1=up
         wait 0.05
@@ -304,11 +304,11 @@
 GOOD_ANSWER = r"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndata"
 CHUNKED = r"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 SURPLUS = {
-    "a second copy right behind": GOOD_ANSWER + GOOD_ANSWER,
+    "a duplicate response right behind": GOOD_ANSWER + GOOD_ANSWER,
     "noise right behind": GOOD_ANSWER + r"\x00\xffnoise\r\n\r\n",
     "a part of a head right behind": GOOD_ANSWER + "HTTP/1.1 200 OK",
     "noise behind chunks": CHUNKED + r"4\r\ndata\r\n0\r\n\r\n\x00\xff",
-    "the word that it closes": r"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndata",
+    "a Connection: close": r"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndata",
 }
 SPOILT = {
     "noise": r"\x01\x02\r\n\r\n",
@@ -327,7 +327,7 @@
 }
 
 RELOADS = {
-    "a reload moves the watch: the new address tells its whole list before the old is let go": f"""
+    "a reload moves the watch: the old address is watched until the new one has sent a full list": f"""
         {WATCH}
         d send config 'discovery="s2"'
         s2 expect GET /registry/instances
@@ -345,7 +345,7 @@
         {OK}
         c expect 200
         d expect list_failed=0""",
-    "where the new address does not answer, the old is heard on and its end is no failure": f"""
+    "where the new address does not answer, the old is watched on and its end is no failure": f"""
         {WATCH}
         s2 close listen
         d send config 'discovery="s2"'
@@ -367,7 +367,7 @@
         c expect 200
         c send GET /api @0
         c expect 400 body=X-Call-Class*""",
-    "a configuration that can't be used leaves the old one in force": f"""
+    "an invalid configuration leaves the old one in force": f"""
         {WATCH}
         d send config 'settings.classes=[]'
         d send config 'peers=["x:y"]' 'discovery="s2"'
@@ -413,7 +413,7 @@
         c expect 200 ETag="781e5e245d69b566979b86e28d23f2c7"
 """.replace('ETag="781e5e245d69b566979b86e28d23f2c7"', "'ETag=\"781e5e245d69b566979b86e28d23f2c7\"'")
 OBJECTS = {
-    "a node's refusal for good is no word to come again, and asked once": """
+    "a node's permanent rejection is no invitation to retry, and is not retried": """
         c send PUT /v/a body=0123456789
         b1 expect PUT /v/*
         b1 send 413 'body=too much'
@@ -478,14 +478,14 @@
         b1 expect GET /v/* Range=bytes=3-9
         b1 send 412
         c expect short""",
-    "a node that answers another stretch is not believed": f"""{PUT}
+    "a node that answers with another byte range is not trusted": f"""{PUT}
         c send GET /v/a Range=bytes=1-2
         b1 expect GET /v/*
         b1 send 206 'Content-Range=bytes 0-1/10' body=01
         b1 expect GET /v/* Range=bytes=1-2
         b1 send 206 'Content-Range=bytes 1-2/10' body=12
         c expect 206 body=12""",
-    "a write that fails on its node is sent once more from the buffer": """
+    "a write that fails on its node is retried once from the buffer": """
         c send PUT /v/a body=ab
         b1 expect PUT /v/* body=ab
         b1 send 500
@@ -514,7 +514,7 @@
         b1 expect DELETE /v/*
         b1 send 204
         d expect outcome_cancelled=1""",
-    "a silent node: the absolute deadline ends the call": """
+    "a node that does not answer: the absolute deadline ends the call": """
         c send PUT /v/a X-Budget-Ms=250 body=ab
         b1 expect PUT /v/* X-Budget-Ms=2*
         c expect 503 body=*SlowDown*""",
@@ -608,14 +608,14 @@
         b2 send 200
         c2 expect 200
         b1 expect nothing""",
-    "a client that waits for the word gets it": """
+    "a client that waits for 100 Continue gets it": """
         c send PUT /v/a Expect=100-continue Content-Length=2
         c expect 100
         c send raw body=ab
         b1 expect PUT /v/* body=ab
         b1 send 200
         c expect 200""",
-    "parts on a node that is taken off the list are no parts": f"""{CREATE}{part(1, "hello")}
+    "parts on a node that is removed from the list do not count": f"""{CREATE}{part(1, "hello")}
         o send b1=gone
         wait 0.05
         c send POST /v/big?uploadId={{up}} {parts((1, "hello"))}
@@ -662,7 +662,7 @@
         b1 send 204
         c send HEAD /v/x
         c expect 200 Content-Length=6""",
-    "what a client says of its object is given back with it": f"""
+    "metadata of an object is returned with it": f"""
         c send PUT /v/m X-Amz-Meta-Desk=city Cache-Control=max-age=9 Content-Encoding=gzip Expires=0 body=x
         b1 expect PUT /v/*
         b1 send 200
@@ -681,7 +681,7 @@
         c expect 200
         c send HEAD /v/up
         c expect 200 Content-Disposition=inline x-amz-meta-desk=metro""",
-    "what is not part of the interface is said so": """
+    "what is not part of the interface is reported as such": """
         c send GET /w/a
         c expect 404 body=*NoSuchBucket*
         c send GET /v/a?acl
@@ -796,7 +796,7 @@
         if beside is not None:
             await beside(daemon)
         for client in list(world.clients):
-            await world._disconnect(client, [])
+            await world.disconnect(client, [])
         await asyncio.sleep(0.05)
         assert daemon.core.open_request_count() == 0
         counts = daemon.core.counts
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -17,7 +17,7 @@
 from harriertide.lifecycle.operator_api import MAX_CONNECTION_COUNT, OperatorApi
 from harriertide.platform.configuration import BadConfigError
 from tests.socket_broker import SocketBroker, run_with_broker, send_response
-from tests.socket_broker import short_shutdown as short_shutdown  # a fixture: stops are short
+from tests.socket_broker import short_shutdown as short_shutdown  # a fixture
 
 SOON_S = 1.0  # by when each call of an operator is to be answered
 GET = b"GET /api/ready HTTP/1.1\r\nHost: x\r\n"
--- a/tests/test_pushed_endpoints.py
+++ b/tests/test_pushed_endpoints.py
@@ -22,7 +22,7 @@
 
 
 PUSHED_LIST_SCENARIOS = {
-    "a list that nobody asks for is watched from the start, and a drain in it ends sends": f"""
+    "a pushed list is watched from the start, and a drain in it ends sends": f"""
         {WATCH_OPENED}
         s send list b1=draining
         wait 0.05
@@ -30,14 +30,14 @@
         c expect 503 Retry-After=0.*
         b1 expect nothing
         d expect watches=0""",
-    "a watch that is cut is there again at once, from what is known": f"""
+    "a watch that is cut off is reopened at once, from the last known version": f"""
         {WATCH_OPENED}
         s send list b1=up
         wait 0.05
         s close
         s expect GET /registry/instances?watch=1&after=9
         {DRAINED_ON_WATCH}""",
-    "an agent that ends each watch after a byte is asked again after a pause": f"""
+    "an agent that ends each watch after a byte is polled again after a backoff": f"""
         {WATCH_OPENED}
         s close
         s expect GET /registry/instances?watch=1&after=7
@@ -47,7 +47,7 @@
         s expect nothing
         s expect GET /registry/instances?watch=1&after=7
         {DRAINED_ON_WATCH}""",
-    "a reload that says that the list is asked for ends it, and one that it is pushed begins it": f"""
+    "a reload to polling ends the watch, and one to pushed lists begins it": f"""
         {WATCH_OPENED}
         s send list b1=up
         wait 0.05
@@ -60,7 +60,7 @@
         d send config 'settings.membershipMode="push"'
         s expect GET /registry/instances?watch=1&after=9
         {DRAINED_ON_WATCH}""",
-    "an agent that turns the watch away or talks nonsense is asked again and again": f"""
+    "an agent that rejects the watch or sends nonsense is polled again and again": f"""
         s expect GET /registry/instances?watch=1&after=7
         s send 503
         s expect GET /registry/instances?watch=1&after=7
@@ -68,7 +68,7 @@
         s send raw nonsense
         s expect GET /registry/instances?watch=1&after=7
         {DRAINED_ON_WATCH}""",
-    "a new process is ready with the agent's list, which may tell a drain": """
+    "a new process is ready with the agent's list, which may contain a drain": """
         s expect GET /registry/instances?watch=1&after=7
         c send GET /health/ready
         c expect 503
@@ -80,7 +80,7 @@
         c send GET /api @0
         c expect 503
         b1 expect nothing""",
-    "changes that come twice or out of order don't bring back what is gone": f"""
+    "changes that come twice or out of order do not revive removed nodes": f"""
         {WATCH_OPENED}
         s send list b1=draining
         s send list b1=draining
@@ -133,7 +133,7 @@
 def test_a_silent_agent_is_polled_again_and_heard_when_it_is_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An agent goes silent and says nothing to two more calls.
+    """An agent goes silent and does not answer two more calls.
 
     Requests are served meanwhile, and the drain that it brings when it is back holds at once.
     """
@@ -154,7 +154,7 @@
 
 
 class DiscoveryAgent:
-    """Pushes lists to whoever watches; while it is silent it takes connections and says nothing on any."""
+    """Pushes lists to its watchers; while it is silent it accepts connections and sends nothing on any."""
 
     def __init__(self) -> None:
         self.is_silent, self.watch_count, self.lines = False, 0, ['{"seq":8,"whole":false,"hosts":[]}']
@@ -221,7 +221,7 @@
 def test_a_drain_after_thirty_silent_seconds_of_the_agent_holds_in_time() -> None:
     """An agent is silent for half a minute.
 
-    Its nodes stay in service, it is asked again about once a second, and the drain that it comes back with
+    Its nodes stay in service, it is polled again about once a second, and the drain that it comes back with
     holds within 1.2 s.
     """
     virtual_time.run(run_thirty_silent_seconds())
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -28,7 +28,9 @@
 
 
 class LimitChecker:
-    """The only box. It keeps the store as the rule words it: a request takes its units with its last byte."""
+    """The only node. It keeps the token bucket as the rule defines it: a request takes its units with its
+    last byte.
+    """
 
     def __init__(self) -> None:
         self.level = self.lowest = BURST
@@ -56,7 +58,7 @@
 
 
 class BrokerFleet:
-    """Daemons with one box and one volume, and the clients that come to them."""
+    """Daemons with one node and one volume, and their clients."""
 
     def __init__(self, number: int, seed: int) -> None:
         self.broker_count, self.random, self.checker, self.request_count = (
@@ -83,7 +85,7 @@
         await daemon.start()
 
     async def kill(self, broker_index: int) -> None:
-        """Gone at once: its sockets end, and whatever it had taken is lost."""
+        """Crash a broker: its sockets end, and the requests that it had accepted are lost."""
         daemon = self.daemons.pop(broker_index)
         assert daemon.peers is not None and daemon.watch is not None
         daemon.peers.close()
@@ -122,11 +124,11 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.close()
         except (asyncio.IncompleteReadError, ConnectionError):
-            pass  # its broker has died
+            pass  # its broker has crashed
 
 
 async def run_fleet(broker_count: int, hosts: list[int], seed: int) -> tuple[float, float]:
-    """Part of the limit used once one broker is dead and one fresh, and the lowest that the store was."""
+    """The part of the limit that is used once one broker is dead and one restarted, and the lowest level."""
     fleet = BrokerFleet(broker_count, seed)
     server = await asyncio.start_server(fleet.checker.serve, "127.0.0.1", 0)
     node_address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
@@ -155,7 +157,9 @@
 
 @pytest.mark.parametrize(("broker_count", "hosts"), [(3, [0, 1, 2]), (4, [1, 3]), (5, [0, 2, 4])])
 def test_whole_brokers_keep_a_limit_and_use_it(broker_count: int, hosts: list[int]) -> None:
-    """30% of datagrams lost, 1.4 to 35 ms late; one broker dead, one fresh, the busiest changes each 3 s."""
+    """30% of datagrams are lost, others 1.4 to 35 ms late; one broker is dead, one restarted, and the
+    busiest one changes each 3 s.
+    """
     random = Random(broker_count)
 
     def delay(here: virtual_time.Address, there: virtual_time.Address) -> float:
@@ -169,7 +173,7 @@
 
 
 def test_without_leases_the_checker_finds_the_limit_exceeded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each broker keeps the whole store for itself."""
+    """The check of the checker: each broker believes to hold the lease and spends the whole limit."""
     from harriertide.decide.leases import Leases
 
     monkeypatch.setattr(
--- a/tests/test_request_fields.py
+++ b/tests/test_request_fields.py
@@ -75,6 +75,6 @@
 
 
 def test_a_deadline_is_capped_by_that_of_its_class() -> None:
-    """Guards against deadlines of years, which would keep what the core holds for them."""
+    """A client states a deadline of years, which would keep what the core holds for it."""
     parsed = arrival("GET", "/api", {**GOOD, "X-Budget-Ms": "99999999999"})
     assert parsed.deadline_at_us <= 1_000_000 + 2_000_000
--- a/tests/test_request_forwarding.py
+++ b/tests/test_request_forwarding.py
@@ -35,7 +35,9 @@
     "framing", [r"Content-Length: 3\r\n\r\nabc", r"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"]
 )
 def test_every_field_is_forwarded_unchanged_on_each_attempt(framing: str, tmp_path: Path) -> None:
-    """Guards against fields that a box acts on (a key that makes repeats harmless) lost on the way."""
+    """Guards against fields lost on the way on which a node acts, such as a key that makes retries
+    harmless.
+    """
     script = f"""
         c send bytes '{SENT_HEAD}{framing}'
         b1 expect PUT /api* body=abc
@@ -49,7 +51,9 @@
 
 
 def test_a_second_idempotency_key_is_rejected(tmp_path: Path) -> None:
-    """Guards against a box that goes by one key and a broker that counts on the other."""
+    """A request carries two idempotency keys: a node may go by one of them while the broker counts on the
+    other.
+    """
     head = SENT_HEAD + r"Idempotency-Key: other\r\nContent-Length: 3\r\n\r\nabc"
     script = f"""
         c send bytes '{head}'
--- a/tests/test_request_streaming.py
+++ b/tests/test_request_streaming.py
@@ -25,7 +25,7 @@
 
 
 class RecordingNode:
-    """A node that takes one request as it comes, in whatever framing, and shows what has come."""
+    """A node that takes one request as it comes, in any framing, and shows what it has received."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -69,7 +69,9 @@
 
 
 def test_a_request_body_is_in_memory_once(exhausted_body_budget: None) -> None:
-    """Whole, or as far as it had come when it was sent on: the connection keeps no copy of it."""
+    """Bodies are sent whole, or as far as they had come. A copy of each at its connection would double the
+    memory.
+    """
 
     async def scenario(broker: SocketBroker) -> None:
         for size in (ALWAYS_BUFFERED_BYTES, len(LONG_BODY)):
@@ -86,7 +88,7 @@
 
 
 def test_a_chunked_request_with_extensions_and_trailers_is_buffered_whole() -> None:
-    """A client does not know the length of its body, and waits for the word to send it.
+    """A client does not know the length of its body, and waits for 100 Continue.
 
     The body is buffered without the framing that the client chose.
     """
@@ -131,7 +133,7 @@
 def test_a_streamed_request_is_not_retried(exhausted_body_budget: None) -> None:
     """A body was streamed, so nobody has it any more when the node answers with an error.
 
-    There is no retry; the client is told to come again.
+    There is no retry; the client is rejected with Retry-After.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -229,7 +231,7 @@
 def test_no_request_is_streamed_to_a_warming_node(exhausted_body_budget: None) -> None:
     """The only node warms up.
 
-    A body that can be sent only once is not risked on it: the client is told to come again.
+    A body that can be sent only once is not risked on it: the request is rejected.
     """
 
     async def scenario(broker: SocketBroker) -> None:
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -204,7 +204,7 @@
         (server_side,) = broker.daemon.clients.in_state("busy")
         buffered_bytes = server_side.unsent_bytes() + sum(
             each._payload._size
-            for each in broker.daemon.client.pool._connections
+            for each in broker.daemon.client.pool.connections()
             if each._payload is not None
         )
         assert buffered_bytes <= FORWARD_BUFFER_BYTES + FIRST_PART_BYTES
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -13,7 +13,9 @@
 
 
 def test_a_request_completed_behind_the_final_responses_is_rejected_and_not_forwarded() -> None:
-    """Half of it is there all along; the rest comes in the turn in which the broker answers what is open."""
+    """At a shutdown half of a request is there all along; the rest comes in the turn in which the broker
+    gives its final responses.
+    """
 
     async def scenario(broker: SocketBroker) -> None:
         daemon, client = broker.daemon, broker.connect()
@@ -40,7 +42,7 @@
 
 
 def test_a_request_open_at_the_end_of_a_shutdown_gets_its_whole_response() -> None:
-    """Its box hangs; its client has sent more behind it."""
+    """A node hangs at the end of a shutdown, and its client has sent another request behind the first."""
 
     async def scenario(broker: SocketBroker) -> None:
         daemon, client = broker.daemon, broker.connect()
--- a/tests/test_single_attempt.py
+++ b/tests/test_single_attempt.py
@@ -33,7 +33,7 @@
 def run_beside_node(
     scenario: Callable[[Runtime, NodeClient, StubServer], Awaitable[None]], *script: Any
 ) -> None:
-    """Run with a runtime, a client and one stand-in node; the decision module is scripted."""
+    """Run with a runtime, a node client and one stub node; the scheduler is scripted."""
 
     async def main() -> None:
         node = StubServer()
@@ -77,7 +77,9 @@
 
 
 def test_the_end_of_an_aborted_connection_is_sent_in_the_same_loop_turn() -> None:
-    """asyncio closes the descriptor a turn later; what is written meanwhile must not overtake it."""
+    """asyncio closes the descriptor of an aborted connection a turn later. What is written meanwhile on
+    another one must not overtake the end, or the node runs two attempts at once.
+    """
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
         connection = await client.pool.connect(client._find("n0") or "")
@@ -93,7 +95,9 @@
 
 
 def test_an_attempt_waits_while_another_connection_is_active_for_its_request() -> None:
-    """Whatever the reducer was told: the guard looks at connections, and counts."""
+    """The core starts an attempt while a connection still works for the same request. Whatever the core
+    believes, the node client looks at its connections, holds the attempt back, and counts.
+    """
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(make_arrival(runtime))])
@@ -116,6 +120,8 @@
 
 
 def test_no_byte_of_an_attempt_is_written_before_its_start_time() -> None:
+    """An attempt was cut off, and the next one has to leave a gap behind its end."""
+
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(make_arrival(runtime))])
         not_before_us = runtime.clock.now_us() + 5 * CUT_OFF_GAP_US
@@ -147,7 +153,7 @@
 
 
 def test_two_attempts_of_one_request_never_run_at_once() -> None:
-    """The probe of docs/measurements/second-copy.md, in small: a box that is late and reads in any order."""
+    """The probe of docs/measurements/second-copy.md, in small: a node that is late and reads in any order."""
     counts = duplicate_attempts.look(attempts=6_000, width=64, late_ms=0.5, seed=1)
     assert counts["attempts"] > 5_000 and all(counts[name] > 20 for name in duplicate_attempts.ENDS)
     assert counts["open"] == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,7 +30,7 @@
 from tests.helpers import START_US, BrokerUnderTest, started_attempts
 from tests.scenario import ScenarioRunner, StubServer
 from tests.socket_broker import send_response
-from tests.socket_broker import short_shutdown as short_shutdown  # a fixture: stops are short
+from tests.socket_broker import short_shutdown as short_shutdown  # a fixture
 from tests.test_net import WIRE
 
 PATIENCE_S = 5.0
