--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -819,7 +819,7 @@
 
 
 @pytest.mark.parametrize("answer", SURPLUS.values(), ids=SURPLUS.keys())
-def test_a_good_answer_with_surplus_is_served_and_its_connection_no_more_used(
+def test_a_response_with_surplus_bytes_is_served_and_its_connection_not_reused(
     answer: str, tmp_path: Path
 ) -> None:
     """Guards against a stale answer, or what is left of one, reaching the next client."""
@@ -838,9 +838,7 @@
 
 @pytest.mark.parametrize("stray", [GOOD_ANSWER, "x", r"\xff\r\n\r\n"])
 @pytest.mark.parametrize("wait", ["", "wait 0.05"], ids=["at once", "later"])
-def test_what_comes_while_a_connection_is_idle_never_reaches_a_client(
-    stray: str, wait: str, tmp_path: Path
-) -> None:
+def test_bytes_on_an_idle_connection_never_reach_a_client(stray: str, wait: str, tmp_path: Path) -> None:
     """A node sends something on an idle connection.
 
     It must not pass for the response to the next request: the connection is closed.
@@ -861,7 +859,7 @@
 
 
 @pytest.mark.parametrize("answer", SPOILT.values(), ids=SPOILT.keys())
-def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(answer: str, tmp_path: Path) -> None:
+def test_a_malformed_response_is_a_failed_attempt_that_may_have_run(answer: str, tmp_path: Path) -> None:
     """Guards against answers without bounds, and against passing on what no box made."""
     script = f"""
         d set boxes.max_response_bytes=65536
@@ -876,7 +874,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_1xx_in_front_and_a_load_report_that_cannot_be_read_leave_an_answer_good(tmp_path: Path) -> None:
+def test_1xx_responses_and_a_malformed_load_report_leave_a_response_valid(tmp_path: Path) -> None:
     """Interim responses and fields that make no sense come with a good response. It is served."""
     script = r"""
         c send GET /api @0
@@ -895,7 +893,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_an_answer_may_be_large_within_the_memory_there_is(tmp_path: Path) -> None:
+def test_a_large_response_is_served_within_the_memory_limit(tmp_path: Path) -> None:
     """Boxes answer with hundreds of kilobytes; what is held at once is bounded, and given back."""
     script = f"""
         c3 send GET /api @1
@@ -923,7 +921,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_answers_that_nobody_reads_do_not_use_up_the_memory(tmp_path: Path) -> None:
+def test_unread_responses_do_not_exhaust_the_memory(tmp_path: Path) -> None:
     """Clients ask and do not read.
 
     Where their answers lie the longest, the connection is closed, before they use up the memory.
@@ -938,7 +936,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_connections_to_boxes_stay_within_their_bound_and_idle_ones_make_room(tmp_path: Path) -> None:
+def test_connections_to_nodes_stay_within_their_limit_and_idle_ones_are_evicted(tmp_path: Path) -> None:
     """Guards against the pool using up the descriptors: past its bound a request is turned away early."""
     script = f"""
         d set boxes.max_connections=1
@@ -972,7 +970,7 @@
     asyncio.run(play(BOTH, objects=False, folder=tmp_path, both=True))
 
 
-def test_a_watch_that_falls_silent_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_watch_is_abandoned(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Discovery goes silent on a watch. The watch is ended, and another one opened."""
     monkeypatch.setattr(endpoint_watch, "WATCH_SILENCE_S", 0.4)
     script = f"""{WATCH}
@@ -984,9 +982,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_a_drain_told_while_a_connection_comes_up_stops_the_send(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_drain_during_a_connect_stops_the_send(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Decided before the drain was told, written after it: what the look at the moment of writing is for."""
     connect = NodeConnectionPool.connect
 
@@ -1007,7 +1003,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_past_the_bound_of_client_connections_idle_ones_make_room_and_those_at_work_stay(
+def test_at_the_client_connection_limit_idle_ones_are_evicted_and_busy_ones_stay(
     tmp_path: Path,
 ) -> None:
     """Guards against kept or silent connections using up the descriptors."""
@@ -1025,7 +1021,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_with_all_connections_at_work_a_new_one_is_turned_away(tmp_path: Path) -> None:
+def test_with_all_connections_busy_a_new_one_is_rejected(tmp_path: Path) -> None:
     """All connections carry requests. A new one gets no room: it is closed, and theirs are not."""
     script = f"""
         d set clients.max_connections=1
@@ -1051,7 +1047,7 @@
 
 @pytest.mark.parametrize("send", ENDLESS.values(), ids=ENDLESS.keys())
 @pytest.mark.parametrize("objects", [False, True], ids=["platform", "objects"])
-def test_a_request_that_never_comes_whole_has_an_absolute_deadline(
+def test_an_incomplete_request_has_an_absolute_deadline(
     send: str, objects: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client that waits for its answer, meanwhile, is not held to it."""
@@ -1093,7 +1089,7 @@
 
 
 @pytest.mark.parametrize("text", UNREADABLE.values(), ids=UNREADABLE.keys())
-def test_what_cannot_be_read_or_hides_a_request_is_an_error_and_a_close(
+def test_malformed_or_smuggled_requests_get_an_error_and_a_close(
     text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against passing on a request that hides another, and against reading bodies nobody wants."""
@@ -1108,7 +1104,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-def test_requests_sent_ahead_are_not_taken_and_a_client_that_floods_is_closed(tmp_path: Path) -> None:
+def test_pipelined_requests_are_not_served_and_a_flooding_client_is_closed(tmp_path: Path) -> None:
     """A client sends many requests at once, against the protocol.
 
     The first is answered, the others are not read, and its connection is closed.
--- a/tests/test_write_guard.py
+++ b/tests/test_write_guard.py
@@ -102,7 +102,7 @@
     assert core.may_write("r", 0, START_US) == outcome
 
 
-def test_a_send_to_a_cold_node_that_was_held_up_is_not_written() -> None:
+def test_a_delayed_send_to_a_warming_node_is_not_written() -> None:
     """A slow connection would carry a warming node's units from one budget window into the next."""
     core = with_open_attempt(request_arrived(), WARMING)
     assert core.may_write("r", 0, START_US + SLOW_START_WRITE_DELAY_MAX_US) is None
