--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -65,7 +65,10 @@
     """
 
     def __init__(self, settings: api.Settings, seed: int = 5) -> None:
-        self.now_us, self.request_count, self.random, self.settings = START_US, 0, Random(seed), settings
+        self.now_us = START_US
+        self.request_count = 0
+        self.random = Random(seed)
+        self.settings = settings
         self.brokers = dict(enumerate(start_fleet(settings)))
         self.deliveries: list[tuple[int, int, api.Event]] = []  # at which time, to which broker
         self.unreachable_nodes: set[str] = set()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -53,10 +53,11 @@
     broker = BrokerUnderTest(broker_index=(coordinator + 7) % 200, broker_count=200)
     shard_state = broker.scheduler.endpoints.shards[0]
     offer_steadily(broker, 4 * SECOND_US)
+    # no report has come
     assert (
         not shard_state.is_capacity_known
         and shard_state.allotment == ADMIT_TARGET_RATIO * shard_state.capacity / 200
-    )  # no report has come
+    )
     broker.handle(
         api.PeerMessageReceived(coordinator, report_datagram(0, [100.0] * PRIORITY_BAND_COUNT, 80.0))
     )
@@ -170,6 +171,5 @@
         datagram = report_datagram(0, [total, *[0.0] * (PRIORITY_BAND_COUNT - 1)], total / 2, 10.0, 0.85)
         broker.decide(START_US + 1_000, [api.PeerMessageReceived(LARGE_COORDINATOR, datagram)])
         probabilities.append(broker.endpoints.shards[0].admit_probability[0])
-    assert (
-        0.2 < probabilities[0] < 0.3 and 0.35 < probabilities[1] < 0.45
-    )  # of the half that the shard can do
+    # of the half that the shard can do
+    assert 0.2 < probabilities[0] < 0.3 and 0.35 < probabilities[1] < 0.45
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -178,9 +178,8 @@
     others = [i for i in range(LARGE_BROKER_COUNT) if i != LARGE_COORDINATOR]
     bidders, users = set(others[:10]), set(others[:15])
     single_bid = bid_datagram(0, [0.3, *[0.0] * (PRIORITY_BAND_COUNT - 1)])
-    coordinator.decide(
-        now, [api.PeerMessageReceived(i, single_bid) for i in others[10:15]]
-    )  # they bid once, and no more
+    # they bid once, and no more
+    coordinator.decide(now, [api.PeerMessageReceived(i, single_bid) for i in others[10:15]])
     recipients_by_turn: list[set[int]] = []
     for turn in range(60):
         now += BID_INTERVAL_US
@@ -239,7 +238,8 @@
             > brokers / 2
         )
         messages_per_second[brokers] = simulation.message_count / brokers / 3
+    # four brokers pack more rows in a message
     assert (
         messages_per_second[200] <= 1.2 * messages_per_second[40]
         and messages_per_second[40] <= 3 * messages_per_second[4]
-    )  # four brokers pack more rows in a message
+    )
--- a/tests/test_endpoint_directory.py
+++ b/tests/test_endpoint_directory.py
@@ -59,9 +59,8 @@
         return [(entry.state, entry.started_us) for entry in update.entries]
 
     assert apply_page(7, "up", True, "cached") == [("live", 0)]
-    assert (
-        apply_page(9, "draining", False) == apply_page(9, "draining", False) == [("draining", 0)]
-    )  # published twice
+    # published twice
+    assert apply_page(9, "draining", False) == apply_page(9, "draining", False) == [("draining", 0)]
     assert apply_page(8, "up", False) == [("draining", 0)] and directory.version == 9
     assert apply_page(5, "up", True) == [("draining", 0)] and directory.version == 5  # discovery counts anew
     assert apply_page(6, "up", False) == [("live", 0)]  # a drain undone
@@ -85,7 +84,6 @@
     directory = EndpointDirectory({})
     for seq, hosts in ((7, [HOST]), (8, []), (9, [HOST])):
         directory.apply(directory.parse_page({"seq": seq, "whole": True, "hosts": hosts}))
-    update = directory.apply(
-        directory.parse_page({"seq": 2, "whole": True, "hosts": [HOST]}), "full"
-    )  # discovery has moved
+    # discovery has moved
+    update = directory.apply(directory.parse_page({"seq": 2, "whole": True, "hosts": [HOST]}), "full")
     assert [entry.state for entry in update.entries] == ["live"] and directory.find("n1") == HOST["dial"]
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -118,9 +118,10 @@
         (START_US, number, api.EndpointUpdate("failed")) for number in simulation.brokers
     ]
     simulation.run(10 * SECOND_US, 0.0, [])
+    # in the mean
     assert (
         10 < max(map(len, simulation.poll_times.values())) <= 2 * 10 * SECOND_US / (0.75 * POLL_FIRST_WAIT_US)
-    )  # in the mean
+    )
 
 
 def test_a_drain_during_a_discovery_outage_stops_all_sends_with_the_first_list() -> None:
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -89,10 +89,11 @@
     assert len(call_times) == 2 and call_times[1] - call_times[0] < NOTIFICATION_DEADLINE_S - 1.0
     assert update_kinds == ["failed"]
     call_times, update_kinds = run_watch([False, True, False], 60.0)
+    # a watch that has recovered may fall silent again
     assert len(call_times) == 3 and update_kinds == [
         "full",
         "failed",
-    ]  # a watch that has recovered may fall silent again
+    ]
 
 
 HOST = {"host": "n1", "dial": "127.0.0.1:1", "block": 0, "health": "up", "born_ms": 0}
@@ -265,6 +266,5 @@
 def test_the_longest_waits_for_a_change_add_up_to_less_than_its_deadline() -> None:
     call, answer = CONNECT_TIMEOUT_S + HEAD_TIMEOUT_S, 0.5
     assert WATCH_SILENCE_S + call + answer <= NOTIFICATION_DEADLINE_S
-    assert (
-        POLL_MAX_WAIT_US / 1e6 + call + answer <= NOTIFICATION_DEADLINE_S
-    )  # discovery came back right behind a call that failed
+    # discovery came back right behind a call that failed
+    assert POLL_MAX_WAIT_US / 1e6 + call + answer <= NOTIFICATION_DEADLINE_S
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -90,9 +90,8 @@
     nodes_by_broker = Counter(
         broker for broker, _ in {(broker, node) for _, broker, node, _ in simulation.attempts}
     )
-    assert max(nodes_by_broker.values()) <= 2 * (
-        shards_per_broker + PREFERRED_SHARD_COUNT
-    )  # connections that a broker has ever to open
+    # connections that a broker has ever to open
+    assert max(nodes_by_broker.values()) <= 2 * (shards_per_broker + PREFERRED_SHARD_COUNT)
     per_second = Counter(
         (node, at_us // 1_000_000) for at_us, _, node, _ in simulation.attempts if node.startswith("m")
     )
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -97,9 +97,8 @@
     simulation.run(20 * SECOND_US, 10.0, [0, 1])
     checks_per_second = 40 / ceil(40 / PROBING_BROKER_COUNT) * SECOND_US / TRIAL_INTERVAL_US
     assert {node for _, node in checks} == {"n00"} and 40 < len(checks) <= 20 * checks_per_second
-    assert (
-        max(Counter(at_us // SECOND_US for at_us, _ in checks).values()) <= 40
-    )  # one from each, if all at once
+    # one from each, if all at once
+    assert max(Counter(at_us // SECOND_US for at_us, _ in checks).values()) <= 40
     simulation.unreachable_nodes = set()
     simulation.run(4 * SECOND_US, 10.0, [0, 1])
     count_before = len(checks)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -155,9 +155,8 @@
             send.node_id for send in started_attempts(broker.decide(START_US + 1_000, events))
         )
     assert objects_by_node.total() == 3 * LARGE_BROKER_COUNT
-    assert (
-        max(objects_by_node.values()) <= 8 and len(objects_by_node) >= 45
-    )  # 40 each at the first three, before
+    # 40 each at the first three, before
+    assert max(objects_by_node.values()) <= 8 and len(objects_by_node) >= 45
 
 
 def test_a_new_object_whose_node_is_unreachable_goes_to_another_at_once() -> None:
--- a/tests/test_pushed_endpoints.py
+++ b/tests/test_pushed_endpoints.py
@@ -210,9 +210,8 @@
         {**hosts[0], "health": "draining"}]})]  # fmt: skip
     resumed_at = loop.time()
     await until(resumed_at + 5.0)
-    assert [update.entries[0].state for _, update in updates] == ["draining"] and updates[0][
-        0
-    ] <= resumed_at + 1.2
+    assert [update.entries[0].state for _, update in updates] == ["draining"]
+    assert updates[0][0] <= resumed_at + 1.2
     await watch.close()
     heartbeats.cancel()
     server.close()
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -38,13 +38,11 @@
     holder = GrantingBroker()
     assert holder.grant(LEASE_US, 1, 0, QuotaDemand(9, 0, 5, 1)) == 0
     holder.hold_until(10 * SECOND_US)  # hold on
-    filled_us = (
-        SECOND_US // 2 + CREDIT_LIFETIME_US
-    )  # what another holder granted just before is spent or has expired first
+    # what another holder granted just before is spent or has expired first
+    filled_us = SECOND_US // 2 + CREDIT_LIFETIME_US
     assert holder.grant(LEASE_US + filled_us, 1, 0, QuotaDemand(9, 0, 5, 2)) == 5
-    assert (
-        holder.grant(9 * SECOND_US, 1, 2, QuotaDemand(99, 0, 5, 1)) == 16
-    )  # another volume, unused for long
+    # another volume, unused for long
+    assert holder.grant(9 * SECOND_US, 1, 2, QuotaDemand(99, 0, 5, 1)) == 16
 
 
 def test_a_token_bucket_is_not_filled_in_place_of_units_returned_later() -> None:
@@ -59,9 +57,8 @@
     taken = holder.grant(now, 0, 0, QuotaDemand(99, 0, 6, 1))
     returned = holder.grant(now, 1, 0, QuotaDemand(99, 0, 5, 2))
     assert taken == 6 and returned == 10
-    assert (
-        holder.grant(now + RECLAIM_US + 1, 1, 0, QuotaDemand(99, 0, 5, 3)) == 16
-    )  # after so long nothing does
+    # after so long nothing does
+    assert holder.grant(now + RECLAIM_US + 1, 1, 0, QuotaDemand(99, 0, 5, 3)) == 16
 
 
 def test_units_granted_and_not_spent_are_returned_and_spent_ones_are_not() -> None:
@@ -80,17 +77,15 @@
     wrapped = holder.grant(
         now + SECOND_US, 1, 0, QuotaDemand(5, UNIT_COUNTER_COUNT - 2, 7, REQUEST_NUMBER_COUNT - 1)
     )
-    assert (
-        wrapped == 5 and holder.grant(now + SECOND_US, 1, 0, QuotaDemand(9, 1, 7, 0)) == 7
-    )  # 3 sent, 2 back
+    # 3 sent, 2 back
+    assert wrapped == 5 and holder.grant(now + SECOND_US, 1, 0, QuotaDemand(9, 1, 7, 0)) == 7
 
 
 def test_a_broker_that_was_cut_off_for_long_is_answered_at_once() -> None:
     """A broker was cut off from the lease holder for long. Its requests were lost, and their numbers may be
     anything by now."""
-    assert (
-        RECLAIM_US / QUOTA_RETRY_US < REQUEST_NUMBER_COUNT / 2
-    )  # while a request may be late, its number tells
+    # while a request may be late, its number tells
+    assert RECLAIM_US / QUOTA_RETRY_US < REQUEST_NUMBER_COUNT / 2
     holder = GrantingBroker()
     holder.hold_until(40 * SECOND_US)
     assert holder.grant(4 * SECOND_US, 1, 0, QuotaDemand(2, 0, 5, 10)) == 2
@@ -126,7 +121,6 @@
     credit.spend(3.0)
     assert credit.covers(CREDIT_LIFETIME_US, 1) and not credit.covers(CREDIT_LIFETIME_US, 2)
     credit.request(40_000, 4, 2, 100_000)
-    assert not credit.covers(40_000, 1) and not credit.accept(
-        50_000, 1, 9
-    )  # requested anew: the old grant is void
+    # requested anew: the old grant is void
+    assert not credit.covers(40_000, 1) and not credit.accept(50_000, 1, 9)
     assert credit.accept(50_000, 2, 1, rate=10.0) and credit.is_short and credit.retry_at_us == 150_000
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -60,13 +60,11 @@
 class BrokerFleet:
     """Daemons with one node and one volume, and their clients."""
 
-    def __init__(self, number: int, seed: int) -> None:
-        self.broker_count, self.random, self.checker, self.request_count = (
-            number,
-            Random(seed),
-            LimitChecker(),
-            0,
-        )
+    def __init__(self, broker_count: int, seed: int) -> None:
+        self.broker_count = broker_count
+        self.random = Random(seed)
+        self.checker = LimitChecker()
+        self.request_count = 0
         self.daemons: dict[int, Daemon] = {}
         self.tasks: list[asyncio.Future[None]] = []
 
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -83,9 +83,8 @@
                     )
                 )
                 if over:
-                    self.records[outcome.request_id].is_answered = self.records[
-                        outcome.request_id
-                    ].is_reported_over = True
+                    record = self.records[outcome.request_id]
+                    record.is_answered = record.is_reported_over = True
         if random.random() < 0.05:
             node = random.choice(list(self.nodes))
             row = self.nodes[node]
@@ -109,9 +108,8 @@
             ended = [e.request_id for e in done if isinstance(e, api.AttemptFinished)]
             if earlier and name not in ended and not self.records[name].is_answered:
                 self.records[name].is_answered = True
-                done.insert(
-                    0, api.ClientDisconnected(name)
-                )  # not behind an event that ends the request in this very turn
+                # not behind an event that ends the request in this very turn
+                done.insert(0, api.ClientDisconnected(name))
         done.append(api.TimerFired(random.randrange(9)))
         return done
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -46,9 +46,8 @@
         offer_without_end(slow_broker, 1_400_000, latency_us=250_000),
     )
     coordinator_share, window = 1 / 2, 1.5
-    assert (
-        24 * coordinator_share * 1.4 < later_units[0] <= coordinator_share * 2.5 * window * 2 / 0.04
-    )  # 2 units in 40 ms
+    # 2 units in 40 ms
+    assert 24 * coordinator_share * 1.4 < later_units[0] <= coordinator_share * 2.5 * window * 2 / 0.04
     assert (
         first[1] <= coordinator_share * 2.5 * window * 2 / 0.25
         and later_units[1] <= coordinator_share * 2.5 * window * 2 / 0.25
@@ -132,9 +131,8 @@
     broker.decide(START_US + 3_000_000, [api.EndpointUpdate("delta", (warming_node,))])
 
     def is_granted(at_us: int, units: float) -> bool:
-        request = encode([SlowStartRequest(0, warming_node.started_us // 1000 % 2**32, int(units), 1, 0, 0)])[
-            0
-        ]
+        started_ms = warming_node.started_us // 1000 % 2**32
+        request = encode([SlowStartRequest(0, started_ms, int(units), 1, 0, 0)])[0]
         actions = broker.decide(at_us, [api.PeerMessageReceived(LARGE_COORDINATOR + 1, request)])
         return any(isinstance(a, api.SendPeerMessage) and a.body[2] == SlowStartGrant.KIND for a in actions)
 
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -140,9 +140,8 @@
         )
     simulation.run(4 * SECOND_US, 15.0, [0])
     sent = [(attempt.at_us, attempt.units) for attempt in simulation.attempts if attempt.at_us >= start]
-    assert (
-        sum(units for at_us, units in sent if at_us > start + 3 * SECOND_US) > slow_start_units
-    )  # it is used all the same
+    # it is used all the same
+    assert sum(units for at_us, units in sent if at_us > start + 3 * SECOND_US) > slow_start_units
     for at_us, _ in sent:
         growth = 1 + max(0, at_us - SETTINGS.collapse_window_us - start) / SETTINGS.slow_start_us * (
             1 / SETTINGS.slow_start_initial_ratio - 1
--- a/tests/test_slow_start_collapse.py
+++ b/tests/test_slow_start_collapse.py
@@ -245,13 +245,13 @@
         simulation.informed_sends.clear()
     simulation.run(8 * SECOND_US, rate, [0, 0, 1])
     mean = WARMING_SETTINGS.mean_request_units
-    full_speed_requests = (
-        CORE_COUNT / UNIT_US * WARMING_SETTINGS.collapse_window_us / mean
-    )  # requests of mean work in a window, at full speed
+    # requests of mean work in a window, at full speed
+    full_speed_requests = CORE_COUNT / UNIT_US * WARMING_SETTINGS.collapse_window_us / mean
+    # it is used
     assert (
         sum(units for at_us, units in simulation.informed_sends if at_us > first_start_us + 3 * SECOND_US)
         > WARMING_SETTINGS.slow_start_units
-    )  # it is used
+    )
     for at_us, _ in simulation.informed_sends:
         window = (
             sum(
