--- a/tests/socket_broker.py
+++ b/tests/socket_broker.py
@@ -26,11 +26,7 @@
 from tests.test_net import OPERATOR, WIRE
 
 FLOOD = b"x" * 40_000  # fits the socket buffer of a program that does not read
-
-
 LONG_BODY = bytes(range(256)) * 1200  # 300 KiB
-
-
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
--- a/tests/test_connection_exhaustion.py
+++ b/tests/test_connection_exhaustion.py
@@ -18,11 +18,7 @@
 )
 
 LIMITS = Limits.from_resources(96, 40)  # some 40 connections of clients
-
-
 BATCH_COUNT, BATCH_CONNECTION_COUNT, HONEST_REQUEST_COUNT = 10, 60, 5
-
-
 PARTIAL_HEAD = b"GET /api HTTP/1.1\r\nHost: "
 
 
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -23,6 +23,19 @@
     BrokerUnderTest,
 )
 
+POLL_INTERVAL_US = 8 * SECOND_US
+# Between two polls: one may last as long as both timeouts before it fails, the next is answered in a second.
+LONGEST_POLL_GAP_US = int(
+    (
+        endpoint_watch.NOTIFICATION_DEADLINE_S
+        - endpoint_watch.CONNECT_TIMEOUT_S
+        - endpoint_watch.HEAD_TIMEOUT_S
+        - 1.0
+    )
+    * SECOND_US
+)
+POLLING_FLEET = replace(HUNDREDS_FLEET, polls_endpoint_list=True, poll_interval_us=POLL_INTERVAL_US)
+
 
 def test_polling_begins_at_start_and_repeats_after_failures_with_backoff() -> None:
     broker = BrokerUnderTest(polls_endpoint_list=True)
@@ -60,24 +73,6 @@
     assert max(by_second[15:]) <= LARGE_BROKER_COUNT and sum(by_second[15:]) > 45 * LARGE_BROKER_COUNT / 2
 
 
-POLL_INTERVAL_US = 8 * SECOND_US
-
-
-# Between two polls: one may last as long as both timeouts before it fails, the next is answered in a second.
-LONGEST_POLL_GAP_US = int(
-    (
-        endpoint_watch.NOTIFICATION_DEADLINE_S
-        - endpoint_watch.CONNECT_TIMEOUT_S
-        - endpoint_watch.HEAD_TIMEOUT_S
-        - 1.0
-    )
-    * SECOND_US
-)
-
-
-POLLING_FLEET = replace(HUNDREDS_FLEET, polls_endpoint_list=True, poll_interval_us=POLL_INTERVAL_US)
-
-
 def poll_gaps(simulation: FleetSimulation) -> list[int]:
     """Times between the calls of each broker, from its start on."""
     times = [[START_US, *times, simulation.now_us] for times in simulation.poll_times.values()]
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -27,6 +27,10 @@
 from tests.helpers import SETTINGS
 
 EMPTY_LIST = b'{"seq":7,"whole":true,"hosts":[]}\n'
+HOST = {"host": "n1", "dial": "127.0.0.1:1", "block": 0, "health": "up", "born_ms": 0}
+DRAIN_AT_S = 20.0
+FAILURES = ("503", "reset", "hangs", "ends", "stays", "trickles", "half an object and empty lines")
+FAILURES += ("older changes", "a number out of bounds", "silent", "indented")
 
 
 class SilentDiscovery:
@@ -96,12 +100,6 @@
     ]
 
 
-HOST = {"host": "n1", "dial": "127.0.0.1:1", "block": 0, "health": "up", "born_ms": 0}
-
-
-DRAIN_AT_S = 20.0
-
-
 def encode_page(seq: int, health: str, whole: bool = True) -> bytes:
     return orjson.dumps({"seq": seq, "whole": whole, "hosts": [{**HOST, "health": health}]})
 
@@ -182,10 +180,6 @@
         await asyncio.Event().wait()  # "silent", and "indented"
 
 
-FAILURES = ("503", "reset", "hangs", "ends", "stays", "trickles", "half an object and empty lines")
-FAILURES += ("older changes", "a number out of bounds", "silent", "indented")
-
-
 class BrokerProcess:
     """A broker's core and watch, as one process has them, with discovery at an address."""
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -27,6 +27,8 @@
     started_attempts,
 )
 
+SHARD_OF_NODE = {"n0": 0, "n1": 1}
+
 
 def test_new_objects_spread_over_live_nodes() -> None:
     broker = BrokerUnderTest((api.NodeEntry("n0", 0), api.NodeEntry("n1", 1), api.NodeEntry("n2", 2)))
@@ -35,9 +37,6 @@
     assert set(nodes) == {"n0", "n1"}
 
 
-SHARD_OF_NODE = {"n0": 0, "n1": 1}
-
-
 def write_new_object(broker: BrokerUnderTest, key: str = "k", kind: str = "ok") -> api.StartAttempt:
     """Write a new object: its last attempt."""
     (attempt,) = started_attempts(broker.request(1, shard=-1, key=key))
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -19,11 +19,7 @@
 from harriertide.platform.endpoint_page import parse_page
 
 LIMIT, BURST, SLACK = PLANS[0].rate_limit, PLANS[0].burst_limit_units, 6.0  # one of the largest requests
-
-
 MAX_DELAY_S = 0.15  # what the limit allows in so long is slack too, on sockets
-
-
 FIRST_PORT = 29_500
 
 
--- a/tests/test_slow_start_collapse.py
+++ b/tests/test_slow_start_collapse.py
@@ -24,6 +24,20 @@
     START_US,
 )
 
+CORE_COUNT, UNIT_US, INITIAL_SPEED_RATIO, WARM_UP_US = 2, 22_000, 0.25, 9 * SECOND_US
+WARMING_SETTINGS = replace(
+    SETTINGS,
+    classes=(READ,),
+    plans=(api.Plan(reserved_rate=50.0),),
+    shard_count=3,
+    slow_start_units=20,
+    slow_start_initial_ratio=0.21,
+    slow_start_us=18 * SECOND_US,
+    collapse_window_us=SECOND_US,
+    collapse_load_ratio=2.5,
+    max_attempts=4,
+)
+
 
 class WarmingNode:
     """A node that starts at a part of what its cores do and warms evenly; work in seconds of one core.
@@ -134,23 +148,6 @@
     assert units > (1.0 if cores == 1 else 1.5) * run_warming_node(cores, brokers, loss_ratio)[0]
 
 
-CORE_COUNT, UNIT_US, INITIAL_SPEED_RATIO, WARM_UP_US = 2, 22_000, 0.25, 9 * SECOND_US
-
-
-WARMING_SETTINGS = replace(
-    SETTINGS,
-    classes=(READ,),
-    plans=(api.Plan(reserved_rate=50.0),),
-    shard_count=3,
-    slow_start_units=20,
-    slow_start_initial_ratio=0.21,
-    slow_start_us=18 * SECOND_US,
-    collapse_window_us=SECOND_US,
-    collapse_load_ratio=2.5,
-    max_attempts=4,
-)
-
-
 class WarmingNodeSimulation(FleetSimulation):
     """A fleet whose node n00 starts cold, and may start again; datagrams are lost, brokers lose their
     memory.
