--- a/harriertide/lab/experiments/maintenance.py
+++ b/harriertide/lab/experiments/maintenance.py
@@ -32,9 +32,10 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
 from harriertide.lab.checkers.maintenance_checker import Verdict, judge
-from harriertide.lab.rigs.fault_script import Fault, load
+from harriertide.lab.rigs.fault_player import VERBS, draw
+from harriertide.lab.rigs.fault_script import Fault, load_script
 from harriertide.lab.rigs.folders import kept_or_temporary
-from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
+from harriertide.lab.rigs.maintenance_rig import Rig
 
 AT_ONCE = {"boxes": 2, "brokers": 1}
 END_S = 60.0  # after all was healed
@@ -110,7 +111,7 @@
     try:
         await rig.start()
         load = asyncio.get_running_loop().create_task(run.load(30.0))
-        fault = asyncio.get_running_loop().create_task(rig.play(faults))
+        fault = asyncio.get_running_loop().create_task(rig.faults.play(faults))
         await run.request("boxes", sorted(groups), at_once=AT_ONCE["boxes"])
         if brokers > 3:
             await run.request("brokers", rig.names)
@@ -141,7 +142,7 @@
     with kept_or_temporary(given["--folder"]) as kept:
         for number in range(seed, seed + runs):
             script = given["--script"]
-            faults = load(script, brokers, VERBS) if script else draw(number, brokers, seconds)
+            faults = load_script(script, brokers, VERBS) if script else draw(number, brokers, seconds)
             folder = kept / f"run-{number}"
             groups, _ = asyncio.run(play(folder, number, brokers, boxes, seconds, faults))
             verdict = judge(folder, groups, AT_ONCE)
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from harriertide.decide.settings import Part
+from harriertide.decide.settings import SettingsSection
 from harriertide.http.limits import OWN_DESCRIPTOR_COUNT, OWN_MEMORY_MB, Limits, read_limits
 from harriertide.http.node_client import IDLE_KEEP_RATIO, NodeClient
 from harriertide.http.node_pool import NodeConnectionPool
@@ -56,6 +56,8 @@
             limits.max_buffered_response_bytes + limits.max_response_bytes < (64 - OWN_MEMORY_MB) << 20
             and limits.max_response_bytes >= 1 << 20
         )
-    assert read_limits(Part({"sockets": 300, "memory_mb": 80}, "limits")) == Limits.from_resources(300, 80)
+    assert read_limits(SettingsSection({"sockets": 300, "memory_mb": 80}, "limits")) == Limits.from_resources(
+        300, 80
+    )
     with pytest.raises(ValueError, match="limits.sockets"):
-        read_limits(Part({"sockets": 10}, "limits"))
+        read_limits(SettingsSection({"sockets": 10}, "limits"))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,8 +19,9 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.checkers import maintenance_checker
 from harriertide.lab.experiments import maintenance
-from harriertide.lab.rigs.fault_script import HOST, Fault, load
-from harriertide.lab.rigs.maintenance_rig import VERBS, Rig, draw
+from harriertide.lab.rigs.fault_player import VERBS, draw
+from harriertide.lab.rigs.fault_script import HOST, Fault, load_script
+from harriertide.lab.rigs.maintenance_rig import Rig
 
 Body = Callable[[Rig], Awaitable[None]]
 
@@ -240,8 +241,9 @@
             await asyncio.gather(*(rig.start_again(place) for place in range(3)))
             await leader(rig)
             if machine == "x1":
-                await phase(rig, "x1", "out")
-                await rig.ask(1, "POST", "/maintenance/done", {"machine": "x1"})
+                await phase(rig, "x1", "out", at=1)  # a broker that has just started reads its log first
+                answer = await rig.ask(1, "POST", "/maintenance/done", {"machine": "x1"})
+                assert answer[0] == 200, answer
         await finish(rig)
         load.cancel()
 
@@ -348,7 +350,7 @@
         away = next(place for place in range(3) if place != led)
         await request(rig, ["x1", "x2"], place=led)
         await phase(rig, "x1", "out", at=led)
-        await rig.fault(Fault(0.0, "lose-disk", away, for_s=0.1))
+        await rig.faults.play_one(Fault(0.0, "lose-disk", away, for_s=0.1))
 
         async def member() -> bool:
             rows = [
@@ -372,7 +374,7 @@
 
     async def body(rig: Rig) -> None:
         led = await leader(rig)
-        fault = asyncio.ensure_future(rig.fault(Fault(0.0, verb, led, for_s=2.5)))
+        fault = asyncio.ensure_future(rig.faults.play_one(Fault(0.0, verb, led, for_s=2.5)))
         await asyncio.sleep(0.05)
         other = (led + 1) % 3
         await request(rig, ["x1"], place=other)
@@ -560,8 +562,8 @@
     assert {fault.verb for fault in one} == set(VERBS)
     path = tmp_path / "script.json"
     path.write_text(json.dumps([asdict(fault) for fault in one]))
-    assert load(str(path), 5, VERBS) == one
+    assert load_script(str(path), 5, VERBS) == one
     for text, word in (("{", "--script"), ('[{"at_s":1,"verb":"odd"}]', "odd")):
         path.write_text(text)
         with pytest.raises(SettingsError, match=word):
-            load(str(path), 5, VERBS)
+            load_script(str(path), 5, VERBS)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -16,7 +16,8 @@
     QuotaRequest,
     decode,
 )
-from harriertide.lab.experiments.limits import COURSES, PLANS, Fleet, allowed, course
+from harriertide.lab.experiments.limits import CASES, run_case
+from harriertide.lab.simulation.shared_limit import PLANS, SharedLimitSimulation, allowed_units
 from tests.helpers import (
     SECOND_US,
     BrokerUnderTest,
@@ -35,7 +36,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize(("brokers", "hosts"), COURSES)
+@pytest.mark.parametrize(("brokers", "hosts"), CASES)
 def test_a_limit_is_kept_and_used_under_loss_crashes_restarts_and_a_changing_busiest_broker(
     brokers: int, hosts: list[int], seed: int
 ) -> None:
@@ -43,7 +44,7 @@
 
     The limit is never exceeded, in rate or in burst, not even by its slack, and nine tenths of it are used.
     """
-    used, lowest = course(brokers, hosts, seed)
+    used, lowest = run_case(brokers, hosts, seed)
     assert lowest >= 0 and used > 0.9
 
 
@@ -53,27 +54,29 @@
         Leases, "is_holder", lambda self, slot, now_us: self.slots[slot].promised_until_us > 0
     )
     monkeypatch.setattr(Leases, "presumed_holder", lambda self, slot, now_us, unanswered: self.broker_index)
-    assert course(3, [0, 1, 2], 1, seconds=3, lost=0.0)[1] < 0
+    assert run_case(3, [0, 1, 2], 1, seconds=3, loss_ratio=0.0)[1] < 0
 
 
 def test_isolated_brokers_send_nothing_of_a_shared_limit_and_resume_when_reconnected() -> None:
     """A broker is cut off and can't know what the others send, so it sends nothing: safe before quick. The
     majority goes on."""
-    fleet = Fleet(3, [0, 1, 2], 1, lost=0.0)
-    fleet.play(3 * SECOND_US, 0, 50.0)
-    fleet.cut = {0}
-    fleet.play(2 * SECOND_US, 0, 50.0)
-    alone = fleet.by_head[0]
-    fleet.play(3 * SECOND_US, 0, 50.0)
-    assert fleet.by_head[0] == alone
-    before = fleet.sent
-    fleet.play(3 * SECOND_US, 1, 50.0)
-    assert fleet.sent - before > 0.85 * allowed(3 * SECOND_US)
-    fleet.cut = set()
-    fleet.play(2 * SECOND_US, 0, 50.0)
-    before = fleet.sent
-    fleet.play(3 * SECOND_US, 0, 50.0)
-    assert fleet.sent - before > 0.85 * allowed(3 * SECOND_US) and fleet.lowest >= 0
+    simulation = SharedLimitSimulation(3, [0, 1, 2], 1, loss_ratio=0.0)
+    simulation.run(3 * SECOND_US, 0, 50.0)
+    simulation.cut_off = {0}
+    simulation.run(2 * SECOND_US, 0, 50.0)
+    alone = simulation.sent_by_broker[0]
+    simulation.run(3 * SECOND_US, 0, 50.0)
+    assert simulation.sent_by_broker[0] == alone
+    before = simulation.sent_units
+    simulation.run(3 * SECOND_US, 1, 50.0)
+    assert simulation.sent_units - before > 0.85 * allowed_units(3 * SECOND_US)
+    simulation.cut_off = set()
+    simulation.run(2 * SECOND_US, 0, 50.0)
+    before = simulation.sent_units
+    simulation.run(3 * SECOND_US, 0, 50.0)
+    assert (
+        simulation.sent_units - before > 0.85 * allowed_units(3 * SECOND_US) and simulation.lowest_level >= 0
+    )
 
 
 def test_a_volume_of_one_broker_needs_no_quota_and_a_plan_without_limit_no_lease() -> None:
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -13,8 +13,9 @@
 from harriertide.cli.daemon import Daemon
 from harriertide.decide.settings import Names
 from harriertide.engine.clock import until
-from harriertide.lab.experiments.limits import PLANS, SETTINGS
 from harriertide.lab.simulation import virtual_time
+from harriertide.lab.simulation.memory_network import Address, Network
+from harriertide.lab.simulation.shared_limit import PLANS, SETTINGS
 from harriertide.platform.configuration import Config
 from harriertide.platform.endpoint_page import parse_page
 
@@ -156,11 +157,11 @@
     """
     random = Random(broker_count)
 
-    def delay(here: virtual_time.Address, there: virtual_time.Address) -> float:
+    def delay(here: Address, there: Address) -> float:
         is_between_brokers = there[1] in range(FIRST_PORT, FIRST_PORT + broker_count)
         return random.uniform(0.0014, 0.035) if is_between_brokers else 0.0005
 
-    network = virtual_time.Network(delay, lambda here, there: random.random() < 0.3)
+    network = Network(delay, lambda here, there: random.random() < 0.3)
     used, lowest = virtual_time.run(run_fleet(broker_count, hosts, broker_count), network)
     assert lowest >= -SLACK - LIMIT * MAX_DELAY_S
     assert used > 0.9
@@ -174,5 +175,5 @@
         Leases, "is_holder", lambda self, slot, now_us: self.slots[slot].promised_until_us > 0
     )
     monkeypatch.setattr(Leases, "presumed_holder", lambda self, slot, now_us, unanswered: self.broker_index)
-    _, lowest = virtual_time.run(run_fleet(3, [0, 1, 2], 3), virtual_time.Network(lambda here, there: 0.0005))
+    _, lowest = virtual_time.run(run_fleet(3, [0, 1, 2], 3), Network(lambda here, there: 0.0005))
     assert lowest < -SLACK - LIMIT * MAX_DELAY_S
