--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -245,7 +245,7 @@
 
 @pytest.mark.parametrize("seed", [26, 46])
 def test_the_seven_rules_hold_on_seeds_that_are_known_red(seed: int) -> None:
-    """Seed 26 ends at "another shard", seed 46 at "rule 4": the broker errs, or the checker (KNOWN-RED.txt)."""
+    """Seed 26 ends at "another shard", seed 46 at "rule 4": the broker errs or the checker; KNOWN-RED.txt."""
     world = World(seed)
     nodes = tuple(map(world.entry, world.nodes))
     world.check(world.broker.decide(world.now, [api.EndpointUpdate("cached", nodes)]))
