--- a/harriertide/lab/benchmarks/library_overhead.py
+++ b/harriertide/lab/benchmarks/library_overhead.py
@@ -34,14 +34,14 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.http.limits import Limits
 from harriertide.http.node_client import NodeClient
-from harriertide.lab.simulation import stand_in_nodes
+from harriertide.lab.simulation import random_workloads, stand_in_nodes
 from harriertide.library import Attempt, Broker, Node, NodeList, RequestSpec
 from harriertide.platform.configuration import Config
 from harriertide.platform.endpoint_page import parse_page
 
 WAYS = ("direct", "library", "daemon")
 FIGURES = ("p50", "p99", "p99.9", "cpu")
-SETTINGS = replace(stand_in_nodes.SETTINGS, shard_count=1)
+SETTINGS = replace(random_workloads.SETTINGS, shard_count=1)
 CONNECT_US, IDLE_US = 250_000, 15_000_000
 
 
@@ -49,8 +49,8 @@
     """A box that answers as fast as it can."""
 
     async def main() -> None:
-        box = stand_in_nodes.Box("box-0", 0, 1, speed=1e6)
-        server = await asyncio.start_server(box.serve, "127.0.0.1", 0)
+        box = stand_in_nodes.StandInNode("box-0", 0, 1, speed_ratio=1e6)
+        server = await asyncio.start_server(box.serve_connection, "127.0.0.1", 0)
         pipe.send(server.sockets[0].getsockname()[1])
         async with server:
             await server.serve_forever()
@@ -201,7 +201,7 @@
     found: dict[int, list[float]] = {count: [] for count in counts}
     for _ in range(3):
         for count in counts:
-            settings = replace(stand_in_nodes.SETTINGS, shard_count=count)
+            settings = replace(random_workloads.SETTINGS, shard_count=count)
             source = NodeList(Node(f"box-{n}", n) for n in range(count))
 
             async def empty(attempt: Attempt) -> None:
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -11,7 +11,7 @@
 from harriertide.decide import api, warming
 from harriertide.decide.derived import POLL_FIRST_WAIT_US, PREFERRED_SHARD_COUNT
 from harriertide.decide.health import PROBING_BROKER_COUNT, TRIAL_INTERVAL_US
-from harriertide.lab.simulation.stand_in_nodes import OTHER
+from harriertide.lab.simulation.random_workloads import OTHER_SETTINGS
 from harriertide.platform import endpoint_watch
 from tests.helpers import SETTINGS, START_US
 from tests.plant import Plant
@@ -31,7 +31,7 @@
 MASS = replace(SETTINGS, broker_count=HEADS, shard_count=SHARDS)
 SHAPES = {
     "first": MASS,
-    "other": replace(OTHER, broker_count=HEADS, shard_count=SHARDS, peer_messages_allowed=True),
+    "other": replace(OTHER_SETTINGS, broker_count=HEADS, shard_count=SHARDS, peer_messages_allowed=True),
 }
 ASKING = replace(MASS, polls_endpoint_list=True, poll_interval_us=WITHIN_US)
 
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -11,31 +11,37 @@
 from harriertide.engine import workload as workloads
 from harriertide.engine.clock import until
 from harriertide.lab.experiments import parity
-from harriertide.lab.simulation import stand_in_nodes, virtual_time
+from harriertide.lab.simulation import random_workloads, stand_in_nodes, virtual_time, workload_runs
 from harriertide.lab.simulation.memory_network import Network
 from harriertide.library import Broker, Node, RequestSpec
 
 
-def both(kind: str, seed: int, seconds: float, shape: str) -> tuple[parity.Played, parity.Played]:
-    workload, _ = stand_in_nodes.draw(kind, seed, seconds, shape=shape)
-    return parity.play(workload, lambda: stand_in_nodes.draw(kind, seed, seconds, shape=shape)[1])
+def both(
+    kind: str, seed: int, seconds: float, shape: str
+) -> tuple[workload_runs.RunRecord, workload_runs.RunRecord]:
+    workload, _ = random_workloads.generate_workload(kind, seed, seconds, deployment=shape)
+    return parity.run_both(
+        workload, lambda: random_workloads.generate_workload(kind, seed, seconds, deployment=shape)[1]
+    )
 
 
-@pytest.mark.parametrize("shape", stand_in_nodes.SHAPES)
-@pytest.mark.parametrize("kind", stand_in_nodes.KINDS)
+@pytest.mark.parametrize("shape", random_workloads.DEPLOYMENTS)
+@pytest.mark.parametrize("kind", random_workloads.KINDS)
 def test_every_decision_is_the_same(kind: str, shape: str) -> None:
     daemon, library = both(kind, 7, 5.5, shape)
     matched, differ = parity.compare(daemon, library)
     assert not differ, differ[:3]
-    ends = [kind for _, kind in daemon.ends.values()]
+    ends = [kind for _, kind in daemon.responses.values()]
     assert matched > 2000 and ends.count("served") > 500
     assert kind in ("calm", "cold", "drains") or ends.count("rejected") > 50
 
 
-@pytest.mark.parametrize("shape", stand_in_nodes.SHAPES)
+@pytest.mark.parametrize("shape", random_workloads.DEPLOYMENTS)
 def test_two_brokers_that_share_decide_as_two_daemons_do(shape: str) -> None:
-    workload, _ = stand_in_nodes.draw("surge", 7, 4.0, hosts=2, shape=shape)
-    daemon, library = parity.play(workload, lambda: stand_in_nodes.draw("surge", 7, 4.0, shape=shape)[1], 2)
+    workload, _ = random_workloads.generate_workload("surge", 7, 4.0, broker_count=2, deployment=shape)
+    daemon, library = parity.run_both(
+        workload, lambda: random_workloads.generate_workload("surge", 7, 4.0, deployment=shape)[1], 2
+    )
     matched, differ = parity.compare(daemon, library, 2)
     assert not differ, differ[:3]
     assert matched > 2000
@@ -43,36 +49,36 @@
 
 def test_an_ejected_node_is_checked_by_daemon_and_library_and_both_use_it_again() -> None:
     """A node does not respond for three seconds. Without health checks the library would not use it again."""
-    workload, _ = stand_in_nodes.draw("failing", 7, 8.0, shape="other")
-    made: list[list[stand_in_nodes.Box]] = []
+    workload, _ = random_workloads.generate_workload("failing", 7, 8.0, deployment="other")
+    made: list[list[stand_in_nodes.StandInNode]] = []
 
-    def make() -> list[stand_in_nodes.Box]:
-        made.append(stand_in_nodes.draw("failing", 7, 8.0, shape="other")[1])
+    def make() -> list[stand_in_nodes.StandInNode]:
+        made.append(random_workloads.generate_workload("failing", 7, 8.0, deployment="other")[1])
         return made[-1]
 
-    daemon, library = parity.play(workload, make)
+    daemon, library = parity.run_both(workload, make)
     for boxes, played in zip(made, (daemon, library), strict=True):
-        assert 3 <= boxes[2].probes <= 3 / 0.25 + 1  # silent from 3 s to 6 s; one in 250 ms
+        assert 3 <= boxes[2].health_check_count <= 3 / 0.25 + 1  # silent from 3 s to 6 s; one in 250 ms
         late = [d for d in played.decisions if d[1] == "attempt" and d[4] == "box-2" and d[0] > 6_500_000]
         assert len(late) > 10
 
 
 def test_a_difference_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The comparison must be able to fail: a library that keeps 1 ms less of the client's time."""
-    monkeypatch.setattr(parity, "DEADLINE_MARGIN_US", parity.DEADLINE_MARGIN_US + 1_000)
-    workload, _ = stand_in_nodes.draw("calm", 7, 1.0)
-    daemon, library = parity.play(workload, lambda: stand_in_nodes.draw("calm", 7, 1.0)[1])
+    monkeypatch.setattr(workload_runs, "DEADLINE_MARGIN_US", workload_runs.DEADLINE_MARGIN_US + 1_000)
+    workload, _ = random_workloads.generate_workload("calm", 7, 1.0)
+    daemon, library = parity.run_both(workload, lambda: random_workloads.generate_workload("calm", 7, 1.0)[1])
     matched, differ = parity.compare(daemon, library)
     assert differ and matched < len(daemon.decisions)
 
 
 def test_one_seed_gives_one_run_and_another_another() -> None:
-    workload, _ = stand_in_nodes.draw("surge", 3, 3.0)
+    workload, _ = random_workloads.generate_workload("surge", 3, 3.0)
 
-    def run(seed: int) -> list[parity.Decision]:
-        boxes = stand_in_nodes.draw("surge", 3, 3.0)[1]
+    def run(seed: int) -> list[workload_runs.Decision]:
+        boxes = random_workloads.generate_workload("surge", 3, 3.0)[1]
         own = replace_seed(workload, seed)
-        return virtual_time.run(parity.through_library(own, boxes)).decisions
+        return virtual_time.run(workload_runs.run_through_library(own, boxes)).decisions
 
     assert run(1) == run(1) != run(2)
 
@@ -148,7 +154,7 @@
     assert got == [(b"x", ("127.0.0.1", 2))]
 
 
-SETTINGS = replace(stand_in_nodes.SETTINGS, shard_count=2)
+SETTINGS = replace(random_workloads.SETTINGS, shard_count=2)
 
 
 def recorded(folder: Path) -> Path:
@@ -220,10 +226,12 @@
 
 
 def test_a_recorded_workload_plays_alike_through_both(tmp_path: Path) -> None:
-    workload, boxes = stand_in_nodes.draw("failing", 2, 4.5)
+    workload, boxes = random_workloads.generate_workload("failing", 2, 4.5)
     path = tmp_path / "workload"
     workloads.save(str(path), workload)
     loaded = workloads.load(str(path))
     assert loaded.events == workload.events
-    daemon, library = parity.play(loaded, lambda: stand_in_nodes.draw("failing", 2, 4.5)[1])
+    daemon, library = parity.run_both(
+        loaded, lambda: random_workloads.generate_workload("failing", 2, 4.5)[1]
+    )
     assert not parity.compare(daemon, library)[1]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -17,7 +17,7 @@
 
 from harriertide.engine.clock import until
 from harriertide.lab.experiments import parity
-from harriertide.lab.simulation import stand_in_nodes, virtual_time
+from harriertide.lab.simulation import random_workloads, virtual_time, workload_runs
 from harriertide.library import Broker, InProcessPeers, LoopbackPeers, Node, RequestSpec, blocking
 from harriertide.library.membership import FAILED_AFTER_US, HEARTBEAT_US, Membership, MembershipView
 from harriertide.library.peer_transport import PeerTransport
@@ -88,11 +88,11 @@
 def share(
     kind: str,
     brokers: int,
-    seat: parity.Seats,
+    seat: workload_runs.PeerTransportFactory,
     beside: Callable[[list[Broker]], Awaitable[None]] | None = None,
-) -> parity.Played:
-    workload, boxes = stand_in_nodes.draw(kind, 5, 8.0)
-    return virtual_time.run(parity.through_library(workload, boxes, brokers, seat, beside))
+) -> workload_runs.RunRecord:
+    workload, boxes = random_workloads.generate_workload(kind, 5, 8.0)
+    return virtual_time.run(workload_runs.run_through_library(workload, boxes, brokers, seat, beside))
 
 
 def loopback(place: int) -> PeerTransport:
@@ -100,23 +100,23 @@
 
 
 def test_two_brokers_in_one_process_get_together_what_one_gets() -> None:
-    workload, _ = stand_in_nodes.draw("surge", 5, 8.0)
-    one = parity.worth(workload, share("surge", 1, lambda place: None))
+    workload, _ = random_workloads.generate_workload("surge", 5, 8.0)
+    one = parity.score_run(workload, share("surge", 1, lambda place: None))
     peers = InProcessPeers()
-    two = parity.worth(workload, share("surge", 2, lambda place: peers.add_peer()))
-    four = parity.worth(workload, share("surge", 4, loopback))
+    two = parity.score_run(workload, share("surge", 2, lambda place: peers.add_peer()))
+    four = parity.score_run(workload, share("surge", 4, loopback))
     assert 0.95 * one <= two <= 1.05 * one, (one, two)
     assert 0.95 * one <= four <= 1.05 * one, (one, four)
 
 
 def test_a_failed_brokers_quota_is_in_use_by_the_others_soon() -> None:
     """One of three fails without a word amid the surge; its requests go to the others from then on."""
-    workload, _ = stand_in_nodes.draw("surge", 5, 8.0)
+    workload, _ = random_workloads.generate_workload("surge", 5, 8.0)
     seen: list[tuple[float, int]] = []
 
     async def kill(taking: list[Broker]) -> None:
         loop = asyncio.get_running_loop()
-        await until(loop.time() + parity.LEAD_S + 3.0)
+        await until(loop.time() + workload_runs.START_DELAY_S + 3.0)
         dead = taking.pop()
         transport = dead.peers
         assert isinstance(transport, LoopbackPeers) and transport._heartbeat_timer and transport._transport
@@ -133,20 +133,20 @@
     assert next(after for after, members in seen if members == 2) <= 0.32
     # from two rounds after its death on they do as well as three did
     span = (3_600_000, 5_000_000)
-    assert parity.worth(workload, killed, *span) >= 0.9 * parity.worth(workload, whole, *span)
+    assert parity.score_run(workload, killed, *span) >= 0.9 * parity.score_run(workload, whole, *span)
 
 
 def test_a_warming_node_before_four_brokers_gets_no_more_than_from_one() -> None:
-    workload, _ = stand_in_nodes.draw("cold", 5, 8.0)
+    workload, _ = random_workloads.generate_workload("cold", 5, 8.0)
     units = {row.arrival.request_id: row.arrival.units for row in workload.events if row.arrival}
     limit = (
-        stand_in_nodes.SETTINGS.slow_start_units / stand_in_nodes.SETTINGS.slow_start_initial_ratio
+        random_workloads.SETTINGS.slow_start_units / random_workloads.SETTINGS.slow_start_initial_ratio
     )  # what it can do warm, in the window
     for brokers, seat in ((1, lambda place: None), (4, loopback)):
         played = share("cold", brokers, seat)
         begin = 2_000_000  # box-3 starts
         sent = [(d[0], units[d[2]]) for d in played.decisions if d[1] == "attempt" and d[4] == "box-3"]
-        window = [n for at, n in sent if begin <= at < begin + stand_in_nodes.SETTINGS.collapse_window_us]
+        window = [n for at, n in sent if begin <= at < begin + random_workloads.SETTINGS.collapse_window_us]
         assert sum(window) <= limit, (brokers, sum(window))
 
 
@@ -157,7 +157,7 @@
         loop = asyncio.get_running_loop()
         boxes = [Node("b0", 0)]
         first, second = (
-            Broker(stand_in_nodes.SETTINGS, boxes, seed=n, peers=LoopbackPeers(FIRST, 8)) for n in (1, 2)
+            Broker(random_workloads.SETTINGS, boxes, seed=n, peers=LoopbackPeers(FIRST, 8)) for n in (1, 2)
         )
         async with first, second:
             stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 40_000))
@@ -180,7 +180,7 @@
     peers = InProcessPeers()
 
     def make() -> blocking.Broker:
-        settings, nodes = stand_in_nodes.SETTINGS, [Node("b0", 0)]
+        settings, nodes = random_workloads.SETTINGS, [Node("b0", 0)]
         return blocking.Broker(lambda: Broker(settings, nodes, peers=peers.add_peer()))
 
     def sees(broker: blocking.Broker, count: int) -> None:
@@ -201,11 +201,11 @@
 
 WORKER = """
 import asyncio, json, sys, time
-from harriertide.lab.simulation import stand_in_nodes
+from harriertide.lab.simulation import random_workloads
 from harriertide.library import RequestSpec, Node, Broker, LoopbackPeers
 
 async def main():
-    broker = Broker(stand_in_nodes.SETTINGS, [Node("b0", 0)], peers=LoopbackPeers(int(sys.argv[1]), 8))
+    broker = Broker(random_workloads.SETTINGS, [Node("b0", 0)], peers=LoopbackPeers(int(sys.argv[1]), 8))
     async with broker:
         seen = None
         while True:
