--- a/harriertide/lab/experiments/duplicate_attempts.py
+++ b/harriertide/lab/experiments/duplicate_attempts.py
@@ -1,22 +1,22 @@
-"""Look for second copies on real sockets: attempts that end in every way, and boxes that read late.
+"""Look for duplicate attempts on real sockets: attempts that end in every way, and nodes that read late.
 
 Usage: second_copy [options]
 
-One process is the boxes: it reads its connections late, as a machine short of processor does, and in an order
-drawn anew each time. It counts a request that arrives while an earlier attempt of its id has a connection
+One process is the nodes: it reads its connections late, as a machine short of processor time does, and in a
+random order each time. It counts a request that arrives while an earlier attempt of its id has a connection
 open. Of these, `unread` had the end of one of the two connections lying in its socket already: the broker had
-closed it, and only the order of reading brought the second copy. `open` had not: that would be the broker's
-own fault.
+closed it, and only the order of reading made it look like a duplicate. `open` had not: that would be the
+broker's own fault.
 
 The other process is the broker's own reducer, runtime and client of nodes under a decision module that does
-nothing but try again at once, and cancels now and then.
+nothing but retry at once, and cancels now and then.
 
 Options:
   --attempts=N   attempts in all [default: 200000]
   --width=N      requests open at a time [default: 64]
   --late-ms=X    mean time between two looks at the sockets [default: 2]
   --settle-ms=X  in place of the reducer's own gap between attempts
-  --seed=N       of all that is drawn [default: 1]
+  --seed=N       of all that is random [default: 1]
   --json         one line of JSON
 """
 
@@ -26,15 +26,9 @@
 import json
 import multiprocessing
 import random
-import select
-import socket
 import sys
-import time
 from collections import Counter
 from collections.abc import AsyncIterator
-from contextlib import suppress
-from dataclasses import dataclass, field
-from multiprocessing.connection import Connection
 
 from docopt import docopt
 
@@ -48,180 +42,65 @@
 from harriertide.http.limits import Limits
 from harriertide.http.node_client import NodeClient
 from harriertide.http.node_response import classify_response
+from harriertide.lab.rigs.late_reading_nodes import NODE_COUNT, LateReadingNodes
 
-BOXES = 4
-PIECE = b"x" * 1000
-DEADLINE_US, STOP_US = 2_000_000, 150_000
-_WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndata"
-_PART = b"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\ndata"
-# How a box ends an attempt, and how often: what it writes, then what becomes of the connection.
-ENDS: dict[str, tuple[int, bytes, str]] = {
-    "whole": (40, _WHOLE, "keep"),
-    "whole, closed": (5, _WHOLE, "close"),
-    "error": (8, b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", "keep"),
-    "turned away": (8, b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", "keep"),
-    "nothing, closed": (5, b"", "close"),
-    "nothing, half closed": (8, b"", "half"),
-    "part, half closed": (8, _PART, "half"),
-    "part, reset": (5, _PART, "reset"),
-    "part, left so": (4, _PART, "left"),
-    "silent": (2, b"", "left"),
-    "spoilt": (5, b"\x00\xff no answer\r\n\r\n", "left"),
-    "surplus": (2, _WHOLE + _WHOLE, "left"),
-}
-
-
-@dataclass(slots=True, eq=False)
-class _Peer:
-    """A broker's connection at a box."""
-
-    socket: socket.socket
-    got: bytes = b""
-    out: str = ""  # the id of the attempt that is out on it
-    how: str = ""  # the end that was drawn for it
-
-
-@dataclass(slots=True)
-class Boxes:
-    """All boxes of the experiment, on one thread that is late."""
-
-    seed: int
-    late_s: float
-    counts: Counter[str] = field(default_factory=Counter)
-    out: dict[str, set[_Peer]] = field(default_factory=dict)
-
-    def run(self, pipe: Connection) -> None:
-        """Serve until something comes through the pipe; then send the counts."""
-        draw = random.Random(self.seed)
-        doors = [socket.create_server(("127.0.0.1", 0), backlog=512) for _ in range(BOXES)]
-        pipe.send([door.getsockname()[1] for door in doors])
-        poll = select.epoll()
-        peers: dict[int, _Peer] = {}
-        by_door = {door.fileno(): door for door in doors}
-        for number in (*by_door, pipe.fileno()):
-            poll.register(number, select.EPOLLIN)
-        while True:
-            time.sleep(draw.expovariate(1 / self.late_s) if self.late_s else 0)
-            ready = [number for number, _ in poll.poll(0.5)]
-            draw.shuffle(ready)
-            for number in ready:
-                if number == pipe.fileno():
-                    with suppress(OSError, EOFError):  # the other side has failed: end with it
-                        pipe.recv()
-                        pipe.send(dict(self.counts))
-                    return
-                if number in by_door:
-                    made, _ = by_door[number].accept()
-                    made.setblocking(False)
-                    peers[made.fileno()] = _Peer(made)
-                    poll.register(made.fileno(), select.EPOLLIN)
-                elif (peer := peers.get(number)) is not None and not self._read(peer, draw):
-                    self._over(peer)
-                    del peers[number]
-                    poll.unregister(number)
-                    peer.socket.close()
-
-    def _over(self, peer: _Peer) -> None:
-        if peer.out:
-            self.out[peer.out].discard(peer)
-            if not self.out[peer.out]:
-                del self.out[peer.out]
-            peer.out = ""
-
-    def _read(self, peer: _Peer, draw: random.Random) -> bool:
-        """All that lies there; False at the end of the connection."""
-        while True:
-            try:
-                data = peer.socket.recv(65536)
-            except BlockingIOError:
-                return True
-            except OSError:
-                return False
-            if not data:
-                return False
-            peer.got += data
-            while b"\r\n\r\n" in peer.got:
-                head, _, rest = peer.got.partition(b"\r\n\r\n")
-                size = int((head.partition(b"Content-Length: ")[2] or b"0").split(b"\r\n")[0])
-                if len(rest) < size:
-                    break  # an attempt arrives with its last byte
-                peer.got = rest[size:]
-                if not self._take(peer, head.partition(b"X-Call-Id: ")[2].split(b"\r\n")[0].decode(), draw):
-                    return False
-
-    def _take(self, peer: _Peer, request: str, draw: random.Random) -> bool:
-        """An attempt has arrived."""
-        self.counts["attempts"] += 1
-        self._over(peer)
-        others = self.out.setdefault(request, set())
-        for other in others:
-            what = "unread" if _ended(other) or _ended(peer) else "open"
-            self.counts.update((what, f"{what} after {other.how}"))
-        others.add(peer)
-        peer.out = request
-        names = list(ENDS)
-        name = draw.choices(names, [ENDS[name][0] for name in names])[0]
-        _, data, then = ENDS[name]
-        peer.how = name
-        self.counts[name] += 1
-        try:
-            peer.socket.send(data)
-            if then == "keep":
-                self._over(peer)
-            elif then == "half":
-                peer.socket.shutdown(socket.SHUT_WR)
-            elif then == "reset":
-                peer.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-        except OSError:
-            return False
-        return then not in ("close", "reset")
-
+BODY_PART = b"x" * 1000
+BODY_PART_COUNT = 2
+BODY_PAUSE_S = 0.002  # between the parts: a node may respond before the last one
+STREAMED_BODY_EVERY = 4  # one request in so many has a streamed body
+REQUEST_DEADLINE_US = 2_000_000
+ATTEMPT_TIMEOUT_US = 150_000
+CONNECT_TIMEOUT_US = 500_000
+IDLE_TIMEOUT_US = 5_000_000
+MAX_ATTEMPTS = 4
+CANCEL_PROBABILITY = 0.002  # of a timer that cancels all open attempts, at each decision
+CANCEL_AFTER_US = 1_000
 
-def _ended(peer: _Peer) -> bool:
-    """Whether the end of a connection lies unread in its socket."""
-    poll = select.poll()
-    poll.register(peer.socket.fileno(), select.POLLRDHUP)
-    return bool(poll.poll(0))
 
-
-class Eager:
-    """Tries again at once, on a drawn box, as often as it may; cancels some attempts."""
+class EagerScheduler:
+    """A decision module that retries at once, on a random node, and cancels some attempts."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self._draw, self._most = random.Random(seed), settings.max_attempts
-        self._open: dict[str, int] = {}
+        self._random = random.Random(seed)
+        self._max_attempts = settings.max_attempts
+        self._finished_attempts: dict[str, int] = {}  # by the id of an open request
 
     def decide(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
-        """As the project's own."""
-        done: list[api.Action] = []
+        """Answer events with actions, as the project's own decision module."""
+        actions: list[api.Action] = []
         for event in events:
             if isinstance(event, api.Arrival):
-                self._open[event.request_id] = 0
-                done.append(self._send(event.request_id, now_us))
-            elif isinstance(event, api.AttemptFinished) and event.request_id in self._open:
-                self._open[event.request_id] += 1
-                if event.is_final:
-                    del self._open[event.request_id]
-                elif self._open[event.request_id] < self._most:
-                    done.append(self._send(event.request_id, now_us))
-                else:
-                    del self._open[event.request_id]
-                    done.append(api.Reject(event.request_id, 0))
+                self._finished_attempts[event.request_id] = 0
+                actions.append(self._start_attempt(event.request_id, now_us))
+            elif isinstance(event, api.AttemptFinished) and event.request_id in self._finished_attempts:
+                actions += self._on_attempt_finished(event, now_us)
             elif isinstance(event, api.TimerFired):
-                done += [api.CancelAttempt(name, made) for name, made in self._open.items()]
-        if self._open and self._draw.random() < 0.002:
-            done.append(api.SetTimer(1_000, 1))
-        return done
-
-    def _send(self, request: str, now_us: int) -> api.StartAttempt:
-        return api.StartAttempt(request, f"n{self._draw.randrange(BOXES)}", now_us + STOP_US)
-
-
-async def _pieces() -> AsyncIterator[bytes]:
-    """A body that comes in two pieces, a moment apart."""
-    yield PIECE
-    await asyncio.sleep(0.002)
-    yield PIECE
+                actions += [api.CancelAttempt(*attempt) for attempt in self._finished_attempts.items()]
+        if self._finished_attempts and self._random.random() < CANCEL_PROBABILITY:
+            actions.append(api.SetTimer(CANCEL_AFTER_US, 1))
+        return actions
+
+    def _on_attempt_finished(self, event: api.AttemptFinished, now_us: int) -> list[api.Action]:
+        request_id = event.request_id
+        self._finished_attempts[request_id] += 1
+        if event.is_final:
+            del self._finished_attempts[request_id]
+            return []
+        if self._finished_attempts[request_id] < self._max_attempts:
+            return [self._start_attempt(request_id, now_us)]
+        del self._finished_attempts[request_id]
+        return [api.Reject(request_id, 0)]
+
+    def _start_attempt(self, request_id: str, now_us: int) -> api.StartAttempt:
+        node_id = f"n{self._random.randrange(NODE_COUNT)}"
+        return api.StartAttempt(request_id, node_id, now_us + ATTEMPT_TIMEOUT_US)
+
+
+async def _stream_body() -> AsyncIterator[bytes]:
+    """A body that comes in two parts, a moment apart."""
+    yield BODY_PART
+    await asyncio.sleep(BODY_PAUSE_S)
+    yield BODY_PART
 
 
 class _Job:
@@ -229,37 +108,48 @@
 
     context = None
 
-    def __init__(self, client: NodeClient, request: str, done: asyncio.Semaphore) -> None:
-        self._client, self._request, self._done = client, request, done
+    def __init__(self, client: NodeClient, request_id: str, free_slots: asyncio.Semaphore) -> None:
+        self._client = client
+        self._request_id = request_id
+        self._free_slots = free_slots
 
     async def perform(self, attempt: Attempt) -> AttemptResult:
-        """As the platform's front; a quarter with bodies that pass through, as the object front has."""
-        headers = {"X-Call-Id": self._request}
-        if int(self._request, 16) % 4:
+        """As the platform's front; a quarter with streamed bodies, as the object front has."""
+        headers = {"X-Call-Id": self._request_id}
+        if int(self._request_id, 16) % STREAMED_BODY_EVERY:
             return AttemptResult(*await self._client.exchange(attempt, "GET", "/api", headers, b""))
-        headers["Content-Length"] = str(2 * len(PIECE))
+        headers["Content-Length"] = str(BODY_PART_COUNT * len(BODY_PART))
         try:
-            async with self._client.open(attempt, "PUT", "/api", headers, _pieces()) as answer:
-                await answer.read()
-                return AttemptResult(classify_response(answer))
-        except AttemptFailedError as end:
-            return AttemptResult(end.outcome)
+            async with self._client.open(attempt, "PUT", "/api", headers, _stream_body()) as response:
+                await response.read()
+                return AttemptResult(classify_response(response))
+        except AttemptFailedError as error:
+            return AttemptResult(error.outcome)
 
     def has_client_disconnected(self) -> bool:
         return False
 
     def respond(self, answer: ev.Respond) -> None:
-        """Room for the next one."""
-        self._done.release()
+        """Let the next request start."""
+        self._free_slots.release()
 
 
-async def drive(ports: list[int], attempts: int, width: int, seed: int) -> Counter[str]:
-    """Requests until so many attempts were made; the counts of the reducer and the client."""
-    kind = api.RequestClass(latency_objective_us=STOP_US, deadline_us=DEADLINE_US)
+async def send_requests(ports: list[int], attempts: int, width: int, seed: int) -> Counter[str]:
+    """Send requests until so many attempts were made; the counts of the reducer and the client.
+
+    :param ports: of the nodes
+    :param width: requests open at a time
+    """
+    request_class = api.RequestClass(latency_objective_us=ATTEMPT_TIMEOUT_US, deadline_us=REQUEST_DEADLINE_US)
     settings = api.Settings(
-        broker_index=0, broker_count=1, shard_count=1, classes=(kind,), plans=(api.Plan(),), max_attempts=4
+        broker_index=0,
+        broker_count=1,
+        shard_count=1,
+        classes=(request_class,),
+        plans=(api.Plan(),),
+        max_attempts=MAX_ATTEMPTS,
     )
-    core = Reducer(settings, seed, Eager)
+    core = Reducer(settings, seed, EagerScheduler)
     runtime = Runtime(core, Clock(asyncio.get_running_loop()))
     limits = Limits(
         max_client_connections=1,
@@ -268,48 +158,52 @@
         max_buffered_response_bytes=1 << 24,
         max_buffered_request_bytes=1 << 24,
     )
-    dial = {f"n{place}": f"127.0.0.1:{port}" for place, port in enumerate(ports)}
-    client = NodeClient(dial.get, 500_000, 5_000_000, limits)
-    runtime.post(
-        ev.EndpointsUpdated(api.EndpointUpdate("cached", tuple(api.NodeEntry(name, 0) for name in dial)))
-    )
-    done, number = asyncio.Semaphore(width), 0
+    addresses = {f"n{index}": f"127.0.0.1:{port}" for index, port in enumerate(ports)}
+    client = NodeClient(addresses.get, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, limits)
+    entries = tuple(api.NodeEntry(node_id, 0) for node_id in addresses)
+    runtime.post(ev.EndpointsUpdated(api.EndpointUpdate("cached", entries)))
+    free_slots = asyncio.Semaphore(width)
+    number = 0
     while core.counts["attempts"] < attempts:
-        await done.acquire()
+        await free_slots.acquire()
         number += 1
-        name = f"{number:016x}"
-        deadline_at_us = runtime.clock.now_us() + DEADLINE_US
-        runtime.submit(api.Arrival(name, 0, 0, "v", 0, deadline_at_us), _Job(client, name, done))
+        request_id = f"{number:016x}"
+        deadline_at_us = runtime.clock.now_us() + REQUEST_DEADLINE_US
+        arrival = api.Arrival(request_id, 0, 0, "v", 0, deadline_at_us)
+        runtime.submit(arrival, _Job(client, request_id, free_slots))
     for _ in range(width):
-        await done.acquire()
+        await free_slots.acquire()
     await client.close()
     return core.counts + client.counts
 
 
-def look(attempts: int, width: int, late_ms: float, seed: int) -> dict[str, int]:
-    """Counts of what the boxes saw and what the broker's side did."""
+def count_duplicates(attempts: int, width: int, late_ms: float, seed: int) -> dict[str, int]:
+    """Run both processes; counts of what the nodes saw and what the broker's side did."""
     context = multiprocessing.get_context("spawn")  # a fork would take the caller's loop and sockets along
-    near, far = context.Pipe()
-    boxes = context.Process(target=Boxes(seed, late_ms / 1000).run, args=(far,), daemon=True)
-    boxes.start()
+    own_end, nodes_end = context.Pipe()
+    nodes = LateReadingNodes(seed, late_ms / 1000)
+    process = context.Process(target=nodes.run, args=(nodes_end,), daemon=True)
+    process.start()
     try:
-        counts = asyncio.run(drive(near.recv(), attempts, width, seed))
-        near.send("end")
-        seen: dict[str, int] = near.recv()
+        broker_counts = asyncio.run(send_requests(own_end.recv(), attempts, width, seed))
+        own_end.send("end")
+        node_counts: dict[str, int] = own_end.recv()
     finally:
-        near.close()
-        boxes.join()
-    figures = {"open": 0, "unread": 0} | dict(sorted(seen.items()))
-    figures["held back"] = counts["second_copy_held_back"]
-    return figures | {name: count for name, count in sorted(counts.items()) if name.startswith("outcome_")}
+        own_end.close()
+        process.join()
+    figures = {"open": 0, "unread": 0}
+    figures |= dict(sorted(node_counts.items()))
+    figures["held back"] = broker_counts["second_copy_held_back"]
+    figures |= {name: count for name, count in sorted(broker_counts.items()) if name.startswith("outcome_")}
+    return figures
 
 
 def main(arguments: list[str]) -> int:
-    """Print what was found; 1 where the broker itself made a second copy."""
+    """Print what was found; 1 where the broker itself made a duplicate attempt."""
     given = docopt(__doc__ or "", arguments)
     if given["--settle-ms"] is not None:
         requests.CUT_OFF_GAP_US = int(1000 * float(given["--settle-ms"]))
-    figures = look(
+    figures = count_duplicates(
         int(given["--attempts"]), int(given["--width"]), float(given["--late-ms"]), int(given["--seed"])
     )
     if given["--json"]:
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -17,6 +17,7 @@
 from harriertide.http.node_client import NodeClient
 from harriertide.http.node_connection import NodeConnection
 from harriertide.lab.experiments import duplicate_attempts
+from harriertide.lab.rigs import late_reading_nodes
 from tests.helpers import SETTINGS
 from tests.scenario import Stand
 from tests.scripted import NODES_LISTED, ScriptedModule
@@ -144,7 +145,7 @@
 
 def test_attempts_with_ends_of_every_kind_are_never_two_at_work_for_one_request() -> None:
     """The probe of docs/measurements/second-copy.md, in small: a box that is late and reads in any order."""
-    seen = duplicate_attempts.look(attempts=6_000, width=64, late_ms=0.5, seed=1)
-    assert seen["attempts"] > 5_000 and all(seen[name] > 20 for name in duplicate_attempts.ENDS)
+    seen = duplicate_attempts.count_duplicates(attempts=6_000, width=64, late_ms=0.5, seed=1)
+    assert seen["attempts"] > 5_000 and all(seen[name] > 20 for name in late_reading_nodes.ENDINGS)
     assert seen["open"] == 0
     assert seen["unread"] <= 6  # 60 to 130 of them without the gap
