--- a/harriertide/lab/benchmarks/maintenance_cost.py
+++ b/harriertide/lab/benchmarks/maintenance_cost.py
@@ -2,8 +2,8 @@
 
 Usage: bench-maintenance [options]
 
-Prints a JSON object. Part by part: writes served in rolling work over all boxes and brokers, against none,
-against one at a time with fixed waits, and against half of the boxes at once, in turn; one agreement of three
+Prints a JSON object. Part by part: writes served in rolling work over all nodes and brokers, against none,
+against one at a time with fixed waits, and against half of the nodes at once, in turn; one agreement of three
 brokers against one synced write of the same disk; the time without a leader after a kill; messages, bytes and
 CPU of brokers at 5, 50 and 200.
 
@@ -23,6 +23,7 @@
 import tempfile
 import time
 from collections import Counter
+from collections.abc import Callable
 from pathlib import Path
 from statistics import median
 from typing import Any
@@ -34,199 +35,159 @@
 from harriertide.consensus.store import Store
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.experiments.maintenance import Run
+from harriertide.lab.benchmarks.rolling_work import BROKER_COUNT, MIN_APPLIED_ENTRIES, compare_methods
 from harriertide.lab.rigs.maintenance_rig import Rig
 from harriertide.lab.simulation import virtual_time
 from harriertide.lab.simulation.maintenance_fleet import Fleet
 
-BOXES, BROKERS, TAKES_S = 8, 5, 0.5
-FIXED_S = 3.0  # that an operator waits for a drain by hand
+AGREEMENT_BROKER_COUNT = 3
+FLEET_SIZES = (5, 50, 200)  # brokers
+ELECTION_POLL_S = 0.02
+ASK_TIMEOUT_S = 8.0  # of a call to a broker that is expected to live
+ASK_TIMEOUT_AFTER_KILL_S = 2.0
+RECOVERY_S = 1.0  # between two kills
+ENTRY_BYTES = b"x" * 60  # of an entry that is written without agreement
+FLEET_SETTLE_S = 6.0
+FLEET_SPAN_S = 10.0  # of virtual time that is measured
+NO_LOAD_S = 1e6  # mean time between the fleet's loads: there are none
 
 
-def share(values: list[float], part: float) -> float:
-    """A quantile."""
-    rows = sorted(values)
-    return rows[min(len(rows) - 1, int(part * len(rows)))]
+def quantile(values: list[float], part: float) -> float:
+    """The smallest value that this part of the values does not exceed."""
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
-async def _rig(folder: Path, seed: int, labels: dict[str, str]) -> Rig:
-    rig = Rig(folder, BROKERS, BOXES, seed, labels=labels, service_s=0.02)
-    await rig.start()
-    while True:
-        _, answer = await rig.ask(0, "GET", "/maintenance")
-        if answer.get("leader") and answer.get("applied", 0) >= 3:
-            return rig
-        await until(asyncio.get_running_loop().time() + 0.1)
-
-
-async def rolling(seed: int, how: str, rate: float) -> dict[str, float]:
-    """One run under load: the part of its writes that was served, and how long the work took."""
-    labels = {f"x{n + 1}": f'group = "g{n % 4}"' for n in range(BOXES)}
-    with tempfile.TemporaryDirectory() as made:
-        rig = await _rig(Path(made), seed, labels)
-        run = Run(rig, seed)
-        loop = asyncio.get_running_loop()
-        load = loop.create_task(run.load(rate))
-        await until(loop.time() + 1.0)
-        begun = time.monotonic()
-        boxes = [box.name for box in rig.nodes]
-        if how == "none":
-            await until(loop.time() + 15.0)
-        elif how.startswith("agreed"):
-            await run.request("boxes", boxes, at_once=2, takes_s=TAKES_S)
-            if how == "agreed":
-                await run.request("brokers", rig.names, takes_s=TAKES_S)
-            await run.operate(begun + 90.0)
-        else:
-            step = 1 if how == "one at a time" else BOXES // 2
-            for place in range(0, BOXES, step):
-                for name in boxes[place : place + step]:
-                    await _by_hand(rig, name, "draining")
-                await until(loop.time() + (FIXED_S if how == "one at a time" else 0.0) + TAKES_S)
-                for name in boxes[place : place + step]:
-                    await _by_hand(rig, name, "up")
-        took = time.monotonic() - begun
-        load.cancel()
-        await asyncio.gather(load, return_exceptions=True)
-        await rig.close()
-        rows = [json.loads(line) for line in (Path(made) / "clients.log").read_text().splitlines()]
-        told = Counter(row["status"] for row in rows if row["event"] == "write")
-    return {
-        "served": told[200] / max(1, sum(told.values())),
-        "took_s": took,
-        "writes": float(sum(told.values())),
-    }
+# --- agreement ------------------------------------------------------------------------------------
 
 
-async def _by_hand(rig: Rig, name: str, state: str) -> None:
-    """Plan and apply at every broker, as an operator does it today."""
-    for place in range(rig.number):
-        _, answer = await rig.ask(place, "GET", "/state")
-        if "state" in answer:
-            answer["state"]["boxes"][name]["state"] = state
-            await rig.ask(place, "POST", "/apply", {"from": answer["digest"], "state": answer["state"]})
-
-
-def work(rounds: int, rate: float) -> dict[str, Any]:
-    """In turn: none, agreed (boxes and brokers; boxes), boxes one at a time by hand, half of them at once."""
-    hows = ("none", "agreed", "agreed, boxes", "one at a time", "half at once")
-    rows: dict[str, list[dict[str, float]]] = {how: [] for how in hows}
-    for number in range(rounds):
-        for how in hows:
-            rows[how].append(asyncio.run(rolling(number + 1, how, rate)))
-    found: dict[str, Any] = {}
-    for how in hows:
-        less = [a["served"] - b["served"] for a, b in zip(rows["none"], rows[how], strict=True)]
-        found[how] = {
-            "served": round(median(row["served"] for row in rows[how]), 4),
-            "less_than_none": round(median(less), 4),
-            "took_s": round(median(row["took_s"] for row in rows[how]), 1),
-        }
-    found["least_possible_s"] = round(max(BOXES / 2 * TAKES_S, BROKERS * TAKES_S), 1)
-    return found
-
-
-async def _agree(calls: int) -> dict[str, Any]:
-    with tempfile.TemporaryDirectory() as made:
-        folder = Path(made)
-        rig = Rig(folder / "rig", 3, 1, 1, direct=True)
+async def _find_leader(rig: Rig, is_ready: Callable[[dict[str, Any]], bool], within_s: float) -> int:
+    """Ask brokers until one says that it leads and is ready; its index."""
+    while True:
+        leader_index = -1
+        for index, name in enumerate(rig.names):
+            _, status = await rig.ask(index, "GET", "/maintenance", within_s=within_s)
+            if status.get("leader") == name and is_ready(status):
+                leader_index = index
+        if leader_index >= 0:
+            return leader_index
+
+
+async def measure_agreement(calls: int) -> dict[str, Any]:
+    """Time agreements of three brokers, and synced writes of the same disk in between."""
+    with tempfile.TemporaryDirectory() as directory:
+        folder = Path(directory)
+        rig = Rig(folder / "rig", AGREEMENT_BROKER_COUNT, 1, 1, direct=True)
         await rig.start()
-        place = -1
-        while place < 0:
-            for each in range(3):
-                _, answer = await rig.ask(each, "GET", "/maintenance")
-                if answer.get("leader") == rig.names[each] and answer.get("applied", 0) >= 3:
-                    place = each
+        leader_index = await _find_leader(
+            rig, lambda status: status.get("applied", 0) >= MIN_APPLIED_ENTRIES, ASK_TIMEOUT_S
+        )
         store = Store.open(folder / "alone")
-        agreed, alone = [], []
+        agreement_s: list[float] = []
+        write_s: list[float] = []
         for number in range(calls):
-            begun = time.monotonic()
-            status, _ = await rig.ask(place, "POST", f"/maintenance/{('hold', 'resume')[number % 2]}")
-            assert status == 200
-            agreed.append(time.monotonic() - begun)
-            begun = time.monotonic()
-            await rig.ask(place, "GET", "/state")  # the same call with nothing to agree on
-            empty = time.monotonic() - begun
-            agreed[-1] -= empty
-            entry = Entry(number + 1, 1, "command", b"x" * 60, "c", number)
-            begun = time.monotonic()
+            agreement_s.append(await _time_agreement(rig, leader_index, ("hold", "resume")[number % 2]))
+            entry = Entry(number + 1, 1, "command", ENTRY_BYTES, "c", number)
+            begun_s = time.monotonic()
             store.write([ev.Persist(number + 1, "c", 1, None, 0, (entry,))])
-            alone.append(time.monotonic() - begun)
+            write_s.append(time.monotonic() - begun_s)
         store.close()
         await rig.close()
     return {
-        "agreement_ms": {
-            "p50": round(1000 * share(agreed, 0.5), 2),
-            "p99": round(1000 * share(agreed, 0.99), 2),
-        },
-        "synced_write_ms": {
-            "p50": round(1000 * share(alone, 0.5), 2),
-            "p99": round(1000 * share(alone, 0.99), 2),
-        },
-        "times": round(share(agreed, 0.5) / share(alone, 0.5), 2),
+        "agreement_ms": _milliseconds(agreement_s),
+        "synced_write_ms": _milliseconds(write_s),
+        "times": round(quantile(agreement_s, 0.5) / quantile(write_s, 0.5), 2),
     }
 
 
-async def _kills(kills: int) -> dict[str, Any]:
-    with tempfile.TemporaryDirectory() as made:
-        folder = Path(made)
-        rig = Rig(folder, 5, 1, 1)
+async def _time_agreement(rig: Rig, leader_index: int, verb: str) -> float:
+    """Seconds that a call with an agreement takes longer than one that has nothing to agree on."""
+    begun_s = time.monotonic()
+    status, _ = await rig.ask(leader_index, "POST", f"/maintenance/{verb}")
+    assert status == 200
+    with_agreement_s = time.monotonic() - begun_s
+    begun_s = time.monotonic()
+    await rig.ask(leader_index, "GET", "/state")
+    return with_agreement_s - (time.monotonic() - begun_s)
+
+
+def _milliseconds(seconds: list[float]) -> dict[str, float]:
+    return {f"p{part}": round(1000 * quantile(seconds, part / 100), 2) for part in (50, 99)}
+
+
+# --- leaders that are killed ----------------------------------------------------------------------
+
+
+async def measure_leader_kills(kills: int) -> dict[str, Any]:
+    """Kill leaders: how long there is none."""
+    with tempfile.TemporaryDirectory() as directory:
+        folder = Path(directory)
+        rig = Rig(folder, BROKER_COUNT, 1, 1)
         await rig.start()
-        gaps: list[float] = []
-        while len(gaps) < kills:
-            led = -1
-            while led < 0:
-                for place in range(5):
-                    _, answer = await rig.ask(place, "GET", "/maintenance", within_s=2.0)
-                    if answer.get("leader") == rig.names[place] and answer.get("leased"):
-                        led = place
-            begun = time.monotonic()
-            await rig.kill(led)
-            after = 0.0
-            while not after:
-                for name in rig.names:
-                    rows = (folder / f"{name}.events").read_text().splitlines()
-                    said = [json.loads(row) for row in rows if '"leads"' in row]
-                    after = max([after, *(row["at"] for row in said if row["at"] > begun)])
-                await until(asyncio.get_running_loop().time() + 0.02)
-            gaps.append(after - begun)
-            await rig.start_again(led)
-            await until(asyncio.get_running_loop().time() + 1.0)
+        gaps_s: list[float] = []
+        while len(gaps_s) < kills:
+            leader_index = await _find_leader(
+                rig, lambda status: bool(status.get("leased")), ASK_TIMEOUT_AFTER_KILL_S
+            )
+            begun_s = time.monotonic()
+            await rig.kill(leader_index)
+            elected_at_s = await _wait_for_election(folder, rig.names, begun_s)
+            gaps_s.append(elected_at_s - begun_s)
+            await rig.start_again(leader_index)
+            await until(asyncio.get_running_loop().time() + RECOVERY_S)
         await rig.close()
     return {
-        "kills": kills, "p50_s": round(share(gaps, 0.5), 2), "p99_s": round(share(gaps, 0.99), 2),
-        "longest_s": round(max(gaps), 2),
-    }  # fmt: skip
+        "kills": kills,
+        "p50_s": round(quantile(gaps_s, 0.5), 2),
+        "p99_s": round(quantile(gaps_s, 0.99), 2),
+        "longest_s": round(max(gaps_s), 2),
+    }
+
+
+async def _wait_for_election(folder: Path, broker_names: list[str], after_s: float) -> float:
+    """Wait until a broker's log has an election after this time; the time of the last one there."""
+    while True:
+        elected_at_s: list[float] = []
+        for name in broker_names:
+            rows = (folder / f"{name}.events").read_text().splitlines()
+            times_s = [json.loads(row)["at"] for row in rows if '"leads"' in row]
+            elected_at_s += [at_s for at_s in times_s if at_s > after_s]
+        await until(asyncio.get_running_loop().time() + ELECTION_POLL_S)
+        if elected_at_s:
+            return max(elected_at_s)
 
 
-async def _fleet(brokers: int) -> dict[str, Any]:
-    """Idle for 10 s of virtual time, all with their leases."""
-    fleet = Fleet(1, brokers, 5, 4, lease_ms=3_000, load_s=1e6)
+# --- messages of a fleet --------------------------------------------------------------------------
+
+
+async def measure_fleet(broker_count: int) -> dict[str, Any]:
+    """Messages, bytes and CPU of an idle fleet in virtual time, all brokers with their leases."""
+    fleet = Fleet(1, broker_count, 5, 4, lease_ms=3_000, load_s=NO_LOAD_S)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
-    await until(loop.time() + 6.0)
+    await until(loop.time() + FLEET_SETTLE_S)
     before = {name: Counter(carrier.counts) for name, carrier in fleet.carriers.items()}
-    cpu, span = time.process_time(), 10.0
-    await until(loop.time() + span)
-    cpu = time.process_time() - cpu
-    rates = {
-        name: (
-            (carrier.counts["frames_out"] - before[name]["frames_out"]) / span,
-            (carrier.counts["bytes_out"] - before[name]["bytes_out"]) / span,
-        )
-        for name, carrier in fleet.carriers.items()
-    }
-    led = next(name for name, service in fleet.services.items() if service.member.is_leader)
-    found = {
-        "leader": {"messages_s": round(rates[led][0]), "bytes_s": round(rates[led][1])},
+    cpu_before_s = time.process_time()
+    await until(loop.time() + FLEET_SPAN_S)
+    cpu_s = time.process_time() - cpu_before_s
+
+    def rate_per_s(name: str, counter: str) -> float:
+        return (fleet.carriers[name].counts[counter] - before[name][counter]) / FLEET_SPAN_S
+
+    leader = next(name for name, service in fleet.services.items() if service.member.is_leader)
+    figures = {
+        "leader": {
+            "messages_s": round(rate_per_s(leader, "frames_out")),
+            "bytes_s": round(rate_per_s(leader, "bytes_out")),
+        },
         "median": {
-            "messages_s": round(median(r[0] for r in rates.values())),
-            "bytes_s": round(median(r[1] for r in rates.values())),
+            "messages_s": round(median(rate_per_s(name, "frames_out") for name in fleet.carriers)),
+            "bytes_s": round(median(rate_per_s(name, "bytes_out") for name in fleet.carriers)),
         },
-        "cpu_ms_a_second_each": round(1000 * cpu / span / brokers, 2),
+        "cpu_ms_a_second_each": round(1000 * cpu_s / FLEET_SPAN_S / broker_count, 2),
     }
     await fleet.kill_all()
-    return found
+    return figures
 
 
 def main(arguments: list[str]) -> int:
@@ -236,17 +197,17 @@
         rounds, calls, kills, rate = (
             int(given[f"--{name}"]) for name in ("rounds", "calls", "kills", "rate")
         )
-    except ValueError as off:
-        raise SettingsError(f"bench-maintenance: {off}") from None
+    except ValueError as error:
+        raise SettingsError(f"bench-maintenance: {error}") from None
     only = given["--only"]
-    found: dict[str, Any] = {"cores": os.cpu_count()}
+    figures: dict[str, Any] = {"cores": os.cpu_count()}
     if only in ("all", "agree"):
-        found["agree"] = asyncio.run(_agree(calls))
+        figures["agree"] = asyncio.run(measure_agreement(calls))
     if only in ("all", "kill"):
-        found["without_a_leader"] = asyncio.run(_kills(kills))
+        figures["without_a_leader"] = asyncio.run(measure_leader_kills(kills))
     if only in ("all", "fleet"):
-        found["fleet"] = {str(n): virtual_time.run(_fleet(n)) for n in (5, 50, 200)}
+        figures["fleet"] = {str(size): virtual_time.run(measure_fleet(size)) for size in FLEET_SIZES}
     if only in ("all", "work"):
-        found["work"] = work(rounds, float(rate))
-    print(json.dumps(found, indent=1))
+        figures["work"] = compare_methods(rounds, float(rate))
+    print(json.dumps(figures, indent=1))
     return 0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -46,19 +46,21 @@
     assert found.requests > 100
 
 
-@pytest.mark.parametrize("program", ["harriertide", operator_calls.THREADED])
+@pytest.mark.parametrize("program", ["harriertide", operator_calls.THREADED_PROGRAM])
 def test_operators_are_answered_by_a_broker_that_shares_its_core(program: str, tmp_path: Path) -> None:
     """Another program takes the core: operators are still answered within a second."""
-    measured = asyncio.run(operator_calls.play(tmp_path, 1, calls=5, rate=200, busy=1, program=program))
-    assert len(measured.calls) == 5 and measured.late == 0
+    measured = asyncio.run(
+        operator_calls.measure_calls(tmp_path, 1, calls=5, rate=200, busy=1, program=program)
+    )
+    assert len(measured.calls) == 5 and measured.late_count == 0
 
 
 def test_late_and_unanswered_calls_are_counted() -> None:
     """A call that is late or lost must show in the measurement."""
-    measured = operator_calls.Measured(
+    measured = operator_calls.CallTimes(
         [OperatorCall(200, "", 0.1), OperatorCall(200, "", 1.1), OperatorCall(0, "", 0.1)]
     )
-    assert measured.late == 2 and measured.milliseconds(0.5) == 100 and measured.milliseconds(1.0) == 1100
+    assert measured.late_count == 2 and measured.quantile_ms(0.5) == 100 and measured.quantile_ms(1.0) == 1100
 
 
 def test_cases_are_drawn_alike_from_one_seed_and_each_is_played() -> None:
