--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -1,10 +1,10 @@
-"""Drains of one real broker under load: evacuated, watched for 4 s, and taken back, again and again.
+"""Drains of one real broker under load: evacuated, watched for 4 s, and rejoined, again and again.
 
 Usage: drains [--runs N] [--seed N] [--folder DIR]
 
 The front asks the health check every 0.1 s and sends new connections for a further 0.2 s; clients keep using
-those that remain open. Callers that send nothing, or half a call, lie at the operators' address meanwhile.
-Exits with 1 where a request was lost, a connection rested or a call was late.
+those that remain open. Callers that send nothing, or half a call, stay connected to the operators' address.
+Exits with 1 where a request was lost, a connection stayed open or a call was late.
 
 Options:
   --runs N      drains [default: 50]
@@ -35,67 +35,75 @@
 from harriertide.lab.rigs.process_rig import ask_status
 from harriertide.lab.rigs.single_broker import BrokerProcess, OperatorCall, SingleBrokerRig, call_operator
 
-ASK_S, FURTHER_S = 0.1, 0.2  # the front's
-BAD_CALLERS = 12
-SETTLE_S = 0.4
-HEALTH = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+HEALTH_CHECK_INTERVAL_S = 0.1  # of the front
+FRONT_DELAY_S = 0.2  # for which the front still sends new connections to a broker that is not healthy
+OPERATOR_CALL_INTERVAL_S = 0.25
+INCOMPLETE_CALLER_COUNT = 12
+SETTLE_S = 0.4  # of load before each drain
+HEALTH_CHECK = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
 class DrainRun:
     """A broker and its front."""
 
     def __init__(self, rig: SingleBrokerRig, process: BrokerProcess) -> None:
-        self.rig, self.process = rig, process
-        self._bad: list[asyncio.StreamWriter] = []
+        self.rig = rig
+        self.process = process
+        self._incomplete_callers: list[asyncio.StreamWriter] = []
 
-    async def healthy(self) -> bool:
-        """What the front hears."""
-        return await ask_status(self.rig.address[1], HEALTH) == 200
+    async def is_healthy(self) -> bool:
+        """Whether the front's health check succeeds."""
+        return await ask_status(self.rig.address[1], HEALTH_CHECK) == 200
 
-    async def operate(self, line: str) -> OperatorCall:
-        """An operator's call, its time written down."""
-        called = await call_operator(self.process.operator, line)
-        self.rig.logs.write("platform", "called", line=line, status=called.status, took_s=called.took_s)
+    async def call_operator(self, request: str) -> OperatorCall:
+        """Make an operator's call, and log how long it took.
+
+        :param request: method and path
+        """
+        called = await call_operator(self.process.operator, request)
+        self.rig.logs.write("platform", "called", line=request, status=called.status, took_s=called.took_s)
         return called
 
     async def drain(self) -> None:
-        """Evacuate, look, rejoin."""
-        loop, logs, clients = asyncio.get_running_loop(), self.rig.logs, self.rig.clients
-        await self._bad_callers()
-        begun = loop.time()
-        if (await self.operate("POST /api/evacuate")).status != 200:
+        """Evacuate the broker, see that its connections end, and let it rejoin."""
+        loop = asyncio.get_running_loop()
+        logs = self.rig.logs
+        clients = self.rig.clients
+        await self._connect_incomplete_callers()
+        begun_s = loop.time()
+        if (await self.call_operator("POST /api/evacuate")).status != 200:
             logs.write("platform", "failed", what="evacuate was refused")
-        while await self.healthy():
-            await until(loop.time() + ASK_S)
-        await until(loop.time() + FURTHER_S)
+        while await self.is_healthy():
+            await until(loop.time() + HEALTH_CHECK_INTERVAL_S)
+        await until(loop.time() + FRONT_DELAY_S)
         clients.gets_new_connections = False
-        while loop.time() < begun + IDLE_S:
-            await self.operate("GET /api/ready")
-            await until(min(begun + IDLE_S, loop.time() + 0.25))
-        resting, late = clients.count_open(LATE_REQUEST_S)
-        logs.write("platform", "open", idle=resting, late=late)
-        if await self.healthy():
+        while loop.time() < begun_s + IDLE_S:
+            await self.call_operator("GET /api/ready")
+            await until(min(begun_s + IDLE_S, loop.time() + OPERATOR_CALL_INTERVAL_S))
+        idle_count, late_count = clients.count_open(LATE_REQUEST_S)
+        logs.write("platform", "open", idle=idle_count, late=late_count)
+        if await self.is_healthy():
             logs.write("platform", "failed", what="the health check says yes in a drain")
-        begun = loop.time()
-        await self.operate("POST /api/rejoin")
-        while not await self.healthy() and loop.time() < begun + 2 * REJOIN_S:
-            await until(loop.time() + ASK_S)
-        logs.write("platform", "rejoined", took_s=loop.time() - begun)
+        begun_s = loop.time()
+        await self.call_operator("POST /api/rejoin")
+        while not await self.is_healthy() and loop.time() < begun_s + 2 * REJOIN_S:
+            await until(loop.time() + HEALTH_CHECK_INTERVAL_S)
+        logs.write("platform", "rejoined", took_s=loop.time() - begun_s)
         clients.gets_new_connections = True
-        for writer in self._bad:
+        for writer in self._incomplete_callers:
             writer.transport.abort()
 
-    async def _bad_callers(self) -> None:
-        self._bad = []
-        for number in range(BAD_CALLERS):
+    async def _connect_incomplete_callers(self) -> None:
+        self._incomplete_callers = []
+        for number in range(INCOMPLETE_CALLER_COUNT):
             _, writer = await asyncio.open_connection(HOST, self.process.operator)
             if number % 2:
                 writer.write(b"POST /api/rejoin HTTP/1.1\r\nHost: ")
-            self._bad.append(writer)
+            self._incomplete_callers.append(writer)
 
 
-async def play(folder: Path, seed: int, runs: int) -> None:
-    """So many drains; what happened is in the folder's logs."""
+async def run_drains(folder: Path, seed: int, runs: int) -> None:
+    """Drain so many times; what happened is in the folder's logs."""
     rig = SingleBrokerRig(folder, Random(seed))
     await rig.start()
     stop = asyncio.Event()
@@ -115,8 +123,8 @@
         await rig.close()
 
 
-def report(verdict: Verdict, drains: int) -> str:
-    """One line."""
+def summarize(verdict: Verdict, drains: int) -> str:
+    """The counts of a run as one row."""
     return (
         f"drains {drains} requests {verdict.requests} lost {verdict.lost} late-idle {verdict.late_idle} "
         f"rejoin-late {verdict.rejoin_late} door-late {verdict.operator_late} failed {len(verdict.failed)}"
@@ -124,9 +132,9 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Play and judge."""
+    """Run the drains and check their logs."""
     given: dict[str, Any] = docopt(__doc__ or "", arguments)
     with kept_or_temporary(given["--folder"]) as folder:
-        asyncio.run(play(folder, int(given["--seed"]), int(given["--runs"])))
+        asyncio.run(run_drains(folder, int(given["--seed"]), int(given["--runs"])))
         verdict = judge(folder)
-    return conclude(verdict, report(verdict, int(given["--runs"])))
+    return conclude(verdict, summarize(verdict, int(given["--runs"])))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,7 +12,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.benchmarks import operator_calls
 from harriertide.lab.checkers.upgrade_checker import IDLE_S, Verdict, judge
-from harriertide.lab.experiments import drains, upgrades
+from harriertide.lab.experiments import drains, upgrade_cases, upgrades
 from harriertide.lab.rigs.clients import PlannedRequest
 from harriertide.lab.rigs.single_broker import BURST, COLD_UNITS, OperatorCall
 
@@ -32,17 +32,17 @@
     """Upgrades that go well, and processes that die, pause or are stopped in the middle of one: no
     request is lost.
     """
-    asyncio.run(upgrades.play(tmp_path, 7, cases))
+    asyncio.run(upgrades.run_cases(tmp_path, 7, cases))
     found = judge(tmp_path)
-    assert not found.broken, (upgrades.report(found, len(cases)), found.failed)
+    assert not found.broken, (upgrades.summarize(found, len(cases)), found.failed)
     assert found.requests > 100
 
 
 def test_a_broker_is_drained_under_load_and_comes_back(tmp_path: Path) -> None:
     """A broker is drained and taken back while clients go on: none of their requests is lost."""
-    asyncio.run(drains.play(tmp_path, 7, 1))
+    asyncio.run(drains.run_drains(tmp_path, 7, 1))
     found = judge(tmp_path)
-    assert not found.broken, (drains.report(found, 1), found.failed)
+    assert not found.broken, (drains.summarize(found, 1), found.failed)
     assert found.requests > 100
 
 
@@ -65,9 +65,9 @@
 
 def test_cases_are_drawn_alike_from_one_seed_and_each_is_played() -> None:
     """A failing seed has to fail again: it is how a fault is found."""
-    names = list(upgrades.CASES)
-    assert upgrades.draw(3, 50, names) == upgrades.draw(3, 50, names)
-    assert set(upgrades.draw(3, 50, names)) == set(names)
+    names = list(upgrade_cases.CASES)
+    assert upgrades.shuffle_cases(3, 50, names) == upgrades.shuffle_cases(3, 50, names)
+    assert set(upgrades.shuffle_cases(3, 50, names)) == set(names)
 
 
 def test_a_case_that_is_none_is_named() -> None:
