--- a/harriertide/lab/benchmarks/operator_calls.py
+++ b/harriertide/lab/benchmarks/operator_calls.py
@@ -102,9 +102,9 @@
         load = asyncio.create_task(rig.clients.offer(stop))
         await until(loop.time() + WARM_UP_S)
         for _ in range(SILENT_CALLER_COUNT):
-            silent_callers.append((await asyncio.open_connection(HOST, process.operator))[1])
+            silent_callers.append((await asyncio.open_connection(HOST, process.operator_port))[1])
         for _ in range(calls):
-            answers.append(await call_operator(process.operator, "GET /api/ready"))
+            answers.append(await call_operator(process.operator_port, "GET /api/ready"))
             await until(loop.time() + CALL_INTERVAL_S)
         stop.set()
         await load
--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -60,7 +60,7 @@
 
         :param request: method and path
         """
-        called = await call_operator(self.process.operator, request)
+        called = await call_operator(self.process.operator_port, request)
         self.rig.logs.write("platform", "called", line=request, status=called.status, took_s=called.took_s)
         return called
 
@@ -96,7 +96,7 @@
     async def _connect_incomplete_callers(self) -> None:
         self._incomplete_callers = []
         for number in range(INCOMPLETE_CALLER_COUNT):
-            _, writer = await asyncio.open_connection(HOST, self.process.operator)
+            _, writer = await asyncio.open_connection(HOST, self.process.operator_port)
             if number % 2:
                 writer.write(b"POST /api/rejoin HTTP/1.1\r\nHost: ")
             self._incomplete_callers.append(writer)
--- a/harriertide/lab/experiments/upgrade_cases.py
+++ b/harriertide/lab/experiments/upgrade_cases.py
@@ -121,7 +121,7 @@
         self.serving.signal(signal.SIGTERM)
         await self.rig.wait_ended(self.serving)
         states = [
-            (await call_operator(process.operator, "GET /api/ready")).state for process in new_processes
+            (await call_operator(process.operator_port, "GET /api/ready")).state for process in new_processes
         ]
         last = 0 if "superseded" in states[1] else 1
         new_processes[1 - last].signal(signal.SIGTERM)
@@ -187,9 +187,9 @@
 
     async def in_a_drain(self) -> None:
         """The new process is drained too, until it rejoins."""
-        await call_operator(self.serving.operator, "POST /api/evacuate")
+        await call_operator(self.serving.operator_port, "POST /api/evacuate")
         await self.replace_process()
-        if (await call_operator(self.serving.operator, "POST /api/rejoin")).status != 200:
+        if (await call_operator(self.serving.operator_port, "POST /api/rejoin")).status != 200:
             self.log_failure("the new process did not rejoin")
 
     async def discovery_dark(self) -> None:
--- a/harriertide/lab/rigs/clients.py
+++ b/harriertide/lab/rigs/clients.py
@@ -9,14 +9,20 @@
 from harriertide.engine.clock import until
 from harriertide.lab.rigs.nodes import LONG_BYTES, RigLogs
 
-SLOW_STEPS = 64  # parts in which a slow client reads a long answer
+SLOW_READ_COUNT = 64  # parts in which a slow client reads a long response
 PLANS = ("free", "capped")
-DEADLINE_MS = 1500
-ANSWER_S = 8.0  # for an answer to come
+DEADLINE_MS = 1500  # that clients state
+RESPONSE_TIMEOUT_S = 8.0  # for a response to come: past every deadline, so that a late one is seen
+READ_BYTES = 1 << 18
+INITIAL_RATE = 120.0  # requests a second
+LONG_RESPONSE_RATIO = 0.02  # of requests
 
 
 class ConnectionEndedError(Exception):
-    """A connection ended. response_started: some of an answer had come."""
+    """A connection ended.
+
+    :ivar response_started: a part of a response was received
+    """
 
     def __init__(self, response_started: bool) -> None:
         super().__init__()
@@ -29,30 +35,34 @@
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    used: bool = False
 
-    async def ask(self, request: bytes) -> tuple[int, bool]:
-        """One request: the status of its whole answer, and whether the connection is kept."""
+    async def send_request(self, request: bytes) -> tuple[int, bool]:
+        """Send a request; the status of its complete response, and whether the connection is kept.
+
+        :raises ConnectionEndedError: before the response was complete
+        """
         response_started = False
         try:
             self.writer.write(request)
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode().lower()
             response_started = True
-            size = int(head.partition("content-length: ")[2].partition("\r\n")[0])
-            while size > 0:
-                part = await self.reader.read(min(size, 1 << 18))
+            remaining_bytes = int(head.partition("content-length: ")[2].partition("\r\n")[0])
+            while remaining_bytes > 0:
+                part = await self.reader.read(min(remaining_bytes, READ_BYTES))
                 if not part:
                     raise ConnectionEndedError(response_started)
-                size -= len(part)
+                remaining_bytes -= len(part)
         except (ConnectionError, asyncio.IncompleteReadError):
             raise ConnectionEndedError(response_started) from None
-        self.used = True
         return int(head.split(" ", 2)[1]), "connection: close" not in head
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """What a client asks for."""
+    """A request that a client is about to send.
+
+    :ivar long: the node is to answer with LONG_BYTES
+    """
 
     key: int
     plan: str
@@ -79,30 +89,32 @@
     """Open-loop clients that keep connections, as many as they need."""
 
     def __init__(self, address: tuple[str, int], random: Random, logs: RigLogs) -> None:
-        self._address, self._random, self._logs = address, random, logs
+        self._address = address
+        self._random = random
+        self._logs = logs
         self.idle: list[Connection] = []
         self.request_count = 0
-        self.rate = 120.0  # requests a second
-        self.long_ratio = 0.02
-        self.gets_new_connections = True  # the front sends new connections; else only kept ones are used
-        self.at_work: dict[Connection, float] = {}  # since when
+        self.rate = INITIAL_RATE
+        self.long_ratio = LONG_RESPONSE_RATIO
+        self.gets_new_connections = True  # from the front; else requests use kept connections only
+        self.busy: dict[Connection, float] = {}  # since when each carries a request
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def offer(self, stop: asyncio.Event) -> None:
-        """Ask, until told to stop; then wait for all answers."""
+        """Send requests until the event is set; then wait for all responses."""
         loop = asyncio.get_running_loop()
         while not stop.is_set():
             await until(loop.time() + self._random.expovariate(self.rate))
             if not (self.gets_new_connections or self.idle):
                 continue  # the front sends it to another broker
-            task = loop.create_task(self._one())
+            task = loop.create_task(self._send_one())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         await asyncio.gather(*self._tasks)
         for connection in self.idle:
             connection.writer.transport.abort()
 
-    def _draw(self) -> PlannedRequest:
+    def _plan_request(self) -> PlannedRequest:
         self.request_count += 1
         random = self._random
         return PlannedRequest(
@@ -113,9 +125,9 @@
             long=random.random() < self.long_ratio,
         )
 
-    async def _one(self) -> None:
-        """Ask; once more on a new connection, where a kept one was closed before an answer began."""
-        planned = self._draw()
+    async def _send_one(self) -> None:
+        """Send a request; retry on a new connection where a kept one was closed before a response began."""
+        planned = self._plan_request()
         self.idle = [each for each in self.idle if not each.reader.at_eof()]
         if not self.idle:
             await self._attempt(planned, 0, None)
@@ -123,27 +135,27 @@
             await self._attempt(planned, 1, None)
 
     async def _attempt(self, planned: PlannedRequest, attempt: int, kept: Connection | None) -> bool:
-        """Ask on a kept connection, or on a new one; False where the kept one was closed first."""
+        """Send on a kept connection, or on a new one; False where the kept one was closed first."""
         request = planned.request_id(attempt)
         self._logs.write("clients", "asked", request=request)
         connection = kept
         try:
             connection = kept or await self._connect()
-            self.at_work[connection] = asyncio.get_running_loop().time()
-            async with asyncio.timeout(ANSWER_S):
-                status, keep = await connection.ask(planned.encode(attempt))
-        except ConnectionEndedError as end:
-            if kept is not None and not end.response_started:
+            self.busy[connection] = asyncio.get_running_loop().time()
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                status, keep = await connection.send_request(planned.encode(attempt))
+        except ConnectionEndedError as error:
+            if kept is not None and not error.response_started:
                 self._logs.write("clients", "crossed", request=request)
                 return False
-            self._logs.write("clients", "ended", request=request, begun=end.response_started)
+            self._logs.write("clients", "ended", request=request, begun=error.response_started)
             return True
         except (OSError, TimeoutError):
             self._logs.write("clients", "ended", request=request, begun=False)
             return True
         finally:
             if connection is not None:
-                self.at_work.pop(connection, None)
+                self.busy.pop(connection, None)
         self._logs.write("clients", "told", request=request, status=status)
         if keep:
             self.idle.append(connection)
@@ -152,28 +164,33 @@
         return True
 
     async def read_slowly(self, over_s: float) -> bool:
-        """Ask for a long answer and read it over this time: whether it came whole."""
-        loop, planned = asyncio.get_running_loop(), replace(self._draw(), long=True)
-        request, left = planned.request_id(0), LONG_BYTES
+        """Send a request with a long response and read it over this time; whether it came complete."""
+        loop = asyncio.get_running_loop()
+        planned = replace(self._plan_request(), long=True)
+        request = planned.request_id(0)
+        remaining_bytes = LONG_BYTES
         self._logs.write("clients", "asked", request=request)
         connection = await self._connect()
         connection.writer.write(planned.encode(0))
         status = int((await connection.reader.readuntil(b"\r\n\r\n")).split(b" ")[1])
-        while status == 200 and left > 0 and (part := await connection.reader.read(LONG_BYTES // SLOW_STEPS)):
-            left -= len(part)
-            await until(loop.time() + over_s / SLOW_STEPS)
+        while status == 200 and remaining_bytes > 0:
+            part = await connection.reader.read(LONG_BYTES // SLOW_READ_COUNT)
+            if not part:
+                break
+            remaining_bytes -= len(part)
+            await until(loop.time() + over_s / SLOW_READ_COUNT)
         connection.writer.close()
-        if status == 200 and left > 0:
+        if status == 200 and remaining_bytes > 0:
             self._logs.write("clients", "ended", request=request, begun=True)
             return False
         self._logs.write("clients", "told", request=request, status=status)
         return True
 
     def count_open(self, late_s: float) -> tuple[int, int]:
-        """Connections that rest and were not ended, and those that carry a request younger than that."""
-        now = asyncio.get_running_loop().time()
-        resting = sum(not connection.reader.at_eof() for connection in self.idle)
-        return resting, sum(now - since < late_s for since in self.at_work.values())
+        """Connections that are idle and open, and those that carry a request younger than late_s."""
+        now_s = asyncio.get_running_loop().time()
+        idle_count = sum(not connection.reader.at_eof() for connection in self.idle)
+        return idle_count, sum(now_s - since < late_s for since in self.busy.values())
 
     async def _connect(self) -> Connection:
         return Connection(*await asyncio.open_connection(*self._address))
--- a/harriertide/lab/rigs/faulty_broker.py
+++ b/harriertide/lab/rigs/faulty_broker.py
@@ -2,8 +2,8 @@
 
 Usage: child FILE FAULTS
 
-FILE is the operator's file. FAULTS is a file of the rig's, read anew at each sync: sync_ms (how much longer
-a sync takes), fail (it fails), full (nothing can be written), wall_s (how far the wall's clock is off).
+FILE is the operator's file. FAULTS is a JSON file of the rig, read anew at each sync: sync_ms (how much
+longer a sync takes), fail (it fails), full (nothing can be written), wall_s (how far the wall clock is off).
 """
 
 from __future__ import annotations
@@ -21,24 +21,27 @@
 from harriertide.control.environment import Environment
 
 
-class Faults:
-    """What the rig wants to go wrong by now."""
+class InjectedFaults:
+    """The faults that the rig has written to its file."""
 
     def __init__(self, path: str) -> None:
         self._path = path
 
-    def now(self) -> dict[str, Any]:
-        """As the file says."""
+    def read(self) -> dict[str, Any]:
+        """The faults of this moment. A file that is missing, or half written, is no fault."""
         try:
             with open(self._path, encoding="utf-8") as file:
-                found: dict[str, Any] = json.load(file)
-            return found
+                faults: dict[str, Any] = json.load(file)
+            return faults
         except (OSError, ValueError):
             return {}
 
     def sync(self, descriptor: int) -> None:
-        """In place of the system's."""
-        faults = self.now()
+        """Sync a file, in place of the system's call.
+
+        :raises OSError: where a fault says so
+        """
+        faults = self.read()
         if faults.get("full"):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if faults.get("fail"):
@@ -47,15 +50,15 @@
         time.sleep(faults.get("sync_ms", 0) / 1000)  # on the store's own thread
 
     def wall_s(self) -> float:
-        """A wall clock that jumps."""
-        return time.time() + float(self.now().get("wall_s", 0))
+        """The wall clock, as far off as the faults say."""
+        return time.time() + float(self.read().get("wall_s", 0))
 
 
-def main(file: str, faults: str) -> int:
+def main(operator_file: str, faults_file: str) -> int:
     """Serve as the daemon does."""
-    made = Faults(faults)
-    environment = Environment(disk=partial(Store.open, sync=made.sync))
-    return run({}, file, maintenance_overrides={"environment": environment, "wall_s": made.wall_s})
+    faults = InjectedFaults(faults_file)
+    environment = Environment(disk=partial(Store.open, sync=faults.sync))
+    return run({}, operator_file, maintenance_overrides={"environment": environment, "wall_s": faults.wall_s})
 
 
 if __name__ == "__main__":
--- a/harriertide/lab/rigs/folders.py
+++ b/harriertide/lab/rigs/folders.py
@@ -9,12 +9,16 @@
 
 
 @contextmanager
-def kept_or_temporary(named: str | None) -> Iterator[Path]:
-    """The folder of that name, made where there is none; without a name one that is deleted behind it."""
-    if named:
-        folder = Path(named)
+def kept_or_temporary(path: str | None) -> Iterator[Path]:
+    """Give a folder to work in.
+
+    :param path: of a folder that is kept, created where there is none; without one, a folder that is deleted
+        behind the block
+    """
+    if path:
+        folder = Path(path)
         folder.mkdir(parents=True, exist_ok=True)
         yield folder
         return
-    with tempfile.TemporaryDirectory() as made:
-        yield Path(made)
+    with tempfile.TemporaryDirectory() as temporary:
+        yield Path(temporary)
--- a/harriertide/lab/rigs/nodes.py
+++ b/harriertide/lab/rigs/nodes.py
@@ -1,7 +1,7 @@
 """Stand-ins of a platform: storage nodes and discovery, and the logs of what happens to them.
 
-All that happens is written to logs as it happens: clients.log, nodes.log and platform.log, one JSON object a
-line. What judges reads these files and nothing else.
+All that happens is logged as it happens: clients.log, nodes.log and platform.log, one JSON object a line. The
+checkers read these files and nothing else; their event names ("told": answered, "crossed": closed on) stay.
 """
 
 from __future__ import annotations
@@ -16,26 +16,32 @@
 from harriertide.engine.clock import until
 from harriertide.lab.rigs.fault_script import HOST
 
-SERVICE_S = 0.008
-LONG_BYTES = 4 << 20  # of a long answer
+SERVICE_S = 0.008  # of each request
+LONG_BYTES = 4 << 20  # of a long response
+BODY_PART_BYTES = 65_536
+KEEPALIVE_S = 1.0  # between empty lines on a watch
 
 
 class RigLogs:
-    """What happened, by file."""
+    """The log files of a run."""
 
     def __init__(self, folder: Path) -> None:
         self._files: dict[str, IO[str]] = {}
         for name in ("clients", "nodes", "platform"):
             self._files[name] = (folder / f"{name}.log").open("w", encoding="utf-8")
-        self._begun = asyncio.get_running_loop().time()
+        self._begun_s = asyncio.get_running_loop().time()
 
     def write(self, name: str, event: str, **row: Any) -> None:
-        """A line of a log, with its time."""
-        row = {"at_s": round(asyncio.get_running_loop().time() - self._begun, 6), "event": event, **row}
+        """Write an event to a log, with its time.
+
+        :param name: "clients", "nodes" or "platform"
+        :param row: further keys of the JSON object
+        """
+        row = {"at_s": round(asyncio.get_running_loop().time() - self._begun_s, 6), "event": event, **row}
         self._files[name].write(json.dumps(row) + "\n")
 
     def close(self) -> None:
-        """All is written."""
+        """Close all files."""
         for file in self._files.values():
             file.close()
 
@@ -52,11 +58,11 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
 
     def entry(self) -> dict[str, Any]:
-        """As discovery's list has it."""
+        """Its row of discovery's endpoint list."""
         assert self.server is not None
         port = self.server.sockets[0].getsockname()[1]
         return {
@@ -83,34 +89,36 @@
         self.logs.write("nodes", "answered", **row)
         size = LONG_BYTES if "x-long" in fields else 2
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-        for _ in range(max(1, size // 65_536)):
-            writer.write(b"k" * min(size, 65_536))
+        for _ in range(max(1, size // BODY_PART_BYTES)):
+            writer.write(b"k" * min(size, BODY_PART_BYTES))
             await writer.drain()
 
 
 class StandInDiscovery:
-    """Pushes the list; while it is dark it hangs up on all."""
+    """Pushes the endpoint list; while it is dark it closes all connections."""
 
     def __init__(self, nodes: list[Node], logs: RigLogs) -> None:
-        self._nodes, self._logs, self._seq = nodes, logs, 1
+        self._nodes = nodes
+        self._logs = logs
+        self._seq = 1
         self._watches: set[asyncio.StreamWriter] = set()
         self.dark = False
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
 
     @property
     def address(self) -> str:
-        """Where."""
+        """Where it listens."""
         return f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
 
     def full_list(self) -> dict[str, Any]:
-        """The list by now."""
+        """The complete endpoint list as it is now."""
         return {"seq": self._seq, "whole": True, "hosts": [node.entry() for node in self._nodes]}
 
     def notify(self) -> None:
-        """Tell all watches."""
+        """Log the states of all nodes, and push the list to all watches."""
         self._seq += 1
         for node in self._nodes:
             row = {"node": node.name, "health": node.health, "started_us": node.started_us}
@@ -119,16 +127,16 @@
             self._send_list(watch)
 
     def set_dark(self, dark: bool) -> None:
-        """Away, or back."""
+        """Make discovery unreachable, or reachable again."""
         self.dark = dark
         for watch in list(self._watches) if dark else ():
             watch.transport.abort()
 
     def _send_list(self, watch: asyncio.StreamWriter) -> None:
-        self._chunk(watch, json.dumps(self.full_list()).encode() + b"\n")
+        self._write_chunk(watch, json.dumps(self.full_list()).encode() + b"\n")
 
     @staticmethod
-    def _chunk(watch: asyncio.StreamWriter, data: bytes) -> None:
+    def _write_chunk(watch: asyncio.StreamWriter, data: bytes) -> None:
         if not watch.is_closing():
             watch.write(b"%x\r\n%b\r\n" % (len(data), data))
 
@@ -140,7 +148,7 @@
                 self._watches.add(writer)
                 self._send_list(writer)
                 while not writer.is_closing():
-                    await until(asyncio.get_running_loop().time() + 1.0)
-                    self._chunk(writer, b"\n")
+                    await until(asyncio.get_running_loop().time() + KEEPALIVE_S)
+                    self._write_chunk(writer, b"\n")
         self._watches.discard(writer)
         writer.transport.abort()
--- a/harriertide/lab/rigs/threaded_operators.py
+++ b/harriertide/lab/rigs/threaded_operators.py
@@ -1,4 +1,4 @@
-"""A broker that answers operators on a thread and a loop of their own, to measure the shared loop against.
+"""A broker that answers operators on a thread and an event loop of their own, to compare with a shared loop.
 
 Started as a program, by `lab operator-calls --thread`; it reads its configuration as `serve` does.
 """
@@ -16,16 +16,17 @@
 
 
 class ThreadedDaemon(daemon.Daemon):
-    """The daemon, but for where its operators' address is served."""
+    """The daemon, except that its operators' address is served by another event loop."""
 
     async def open_operator_api(self, at: tuple[str, int]) -> None:
         """Serve it on a loop that runs on a thread of its own."""
-        clients_loop, operators_loop = asyncio.get_running_loop(), asyncio.new_event_loop()
+        clients_loop = asyncio.get_running_loop()
+        operators_loop = asyncio.new_event_loop()
 
-        def changed() -> None:
+        def on_change() -> None:
             clients_loop.call_soon_threadsafe(self.apply_lifecycle)
 
-        self.operator_api = OperatorApi(self.lifecycle, changed)
+        self.operator_api = OperatorApi(self.lifecycle, on_change)
         threading.Thread(target=operators_loop.run_forever, daemon=True).start()
         listening = listen(at, self.operator_api.connection)
         future = asyncio.run_coroutine_threadsafe(listening, operators_loop)
@@ -33,7 +34,7 @@
 
 
 def main() -> int:
-    """Serve as the environment says."""
+    """Serve with the configuration that the environment names."""
     daemon.Daemon = ThreadedDaemon  # type: ignore[misc]
     return daemon.run(os.environ)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -448,7 +448,7 @@
 
 def test_a_short_drawn_run_keeps_every_bound(tmp_path: Path) -> None:
     faults = draw(5, 5, 4.0)
-    groups, done = asyncio.run(maintenance.play(tmp_path, 5, 5, 6, 4.0, faults))
+    groups, done = asyncio.run(maintenance.run_orders(tmp_path, 5, 5, 6, 4.0, faults))
     found = maintenance_checker.judge(tmp_path, groups, maintenance.AT_ONCE)
     assert done and not found.broken, found.rows
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
