--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -272,7 +272,7 @@
 
 
 async def _serve(daemon: Daemon, environment: Mapping[str, str], record_path: str | None) -> None:
-    """Serve, and record what the core is told of requests and nodes where a file is named for it."""
+    """Serve, and record what the core gets of requests and nodes where a file is named for it."""
     if record_path is None:
         await daemon.serve(environment)
         return
--- a/harriertide/cli/demo.py
+++ b/harriertide/cli/demo.py
@@ -32,7 +32,7 @@
 listen = "127.0.0.1:{port}"
 admin = "127.0.0.1:0"
 catalogue = "{catalogue}"
-{boxes}
+{nodes}
 [grades.deadline]
 reserve = 8.8 # units a second that each of its volumes is sure of
 weight = 4
@@ -106,9 +106,9 @@
 def _run_one_broker(stack: ExitStack, folder: Path, port: int, node_count: int) -> NoReturn:
     """One daemon, its log passed on, and calls of the object front to try."""
     _check_port_is_free(port)
-    boxes = _start_nodes(stack, node_count)
+    nodes = _start_nodes(stack, node_count)
     file = folder / "objects.toml"
-    text = OPERATOR_FILE.format(port=port, catalogue=folder / "catalogue.sqlite3", boxes=boxes)
+    text = OPERATOR_FILE.format(port=port, catalogue=folder / "catalogue.sqlite3", nodes=nodes)
     file.write_text(text, encoding="utf-8")
     daemon = _start_daemon(stack, file)
     front = _read_after(daemon.stderr, LISTENING_MARK)
@@ -141,12 +141,12 @@
         f'\n[maintenance.brokers.{name}]\naddress = "127.0.0.1:{port}"\nvoter = "yes"\n'
         for name, port in zip(names, _choose_free_ports(broker_count), strict=True)
     )
-    boxes = _start_nodes(stack, node_count)
+    nodes = _start_nodes(stack, node_count)
     admin_addresses = []
     daemons = []
     for name in names:
         file = folder / f"{name}.toml"
-        text = OPERATOR_FILE.format(port=0, catalogue=folder / f"{name}.sqlite3", boxes=boxes)
+        text = OPERATOR_FILE.format(port=0, catalogue=folder / f"{name}.sqlite3", nodes=nodes)
         own_section = f'\n[maintenance]\nname = "{name}"\nfolder = "{folder / name}"\n'
         file.write_text(text + own_section + broker_section, encoding="utf-8")
         daemon = _start_daemon(stack, file)
--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -106,7 +106,7 @@
         return self._own_share or limits.half()
 
     def stop_reclaiming(self) -> None:
-        """The process was told to end: it does not accept again where the newer one dies."""
+        """The process was asked to stop: it does not accept again where the newer one dies."""
         self.lease.stop_reclaiming()
 
     def close(self) -> None:
--- a/harriertide/cli/serve.py
+++ b/harriertide/cli/serve.py
@@ -17,7 +17,7 @@
 
 
 def main(given: dict[str, Any]) -> int:
-    """Serve until the process is told to stop.
+    """Serve until the process is asked to stop.
 
     :returns: exit status.
     :raises SettingsError: where an option is wrong.
--- a/harriertide/config/decision_settings.py
+++ b/harriertide/config/decision_settings.py
@@ -1,4 +1,4 @@
-"""What the decision module is told of an operator's state: its settings, and changes of its endpoint list."""
+"""What the decision module learns of an operator's state: its settings, and changes of its endpoint list."""
 
 from __future__ import annotations
 
@@ -62,9 +62,9 @@
 def endpoint_update(
     old: State, new: State, started_us: Mapping[str, int] | None = None
 ) -> api.EndpointUpdate:
-    """How the boxes of two states differ, as a change of the decision module's endpoint list.
+    """How the nodes of two states differ, as a change of the decision module's endpoint list.
 
-    :param started_us: when boxes came back cold, by name; others have run for long.
+    :param started_us: when nodes came back cold, by name; others have run for long.
     """
     started_us = started_us or {}
     removed = [
--- a/harriertide/config/maintenance_section.py
+++ b/harriertide/config/maintenance_section.py
@@ -58,9 +58,9 @@
     :param events: path of a log that the checkers of experiments read; "": there is none.
     :param lease_ms: how long a broker acts on what was agreed without a word from the majority.
     :param blind_s: cut off for longer, a broker sends nothing at all; 0: it serves on, and orders wait.
-    :param cold_s: how long a box that came back counts as warming up.
+    :param cold_s: how long a node that came back counts as warming up.
     :param brokers: rows by the name of a broker.
-    :param labels: rows by the name of a box.
+    :param labels: rows by the name of a node.
     """
 
     name: str
@@ -73,8 +73,8 @@
     labels: dict[str, Row]
 
 
-def read_maintenance_section(raw: Any, boxes: Mapping[str, Row]) -> MaintenanceSettings:
-    """Check the section against itself and against the boxes of the same file.
+def read_maintenance_section(raw: Any, nodes: Mapping[str, Row]) -> MaintenanceSettings:
+    """Check the section against itself and against the nodes of the same file.
 
     :raises OperatorFileError: naming the key that is wrong.
     """
@@ -85,9 +85,9 @@
     own_keys = {key: value for key, value in raw.items() if key not in ("brokers", "labels")}
     section = read_row(own_keys, SECTION_KEYS, "maintenance")
     _check_broker_counts(section, brokers)
-    _check_broker_names(brokers, boxes)
+    _check_broker_names(brokers, nodes)
     for name in labels:
-        if name not in boxes:
+        if name not in nodes:
             raise OperatorFileError(f"maintenance.labels.{name}: there is no box {name}")
     return MaintenanceSettings(**section, brokers=brokers, labels=labels)
 
@@ -107,10 +107,10 @@
         )
 
 
-def _check_broker_names(brokers: Mapping[str, Row], boxes: Mapping[str, Row]) -> None:
+def _check_broker_names(brokers: Mapping[str, Row], nodes: Mapping[str, Row]) -> None:
     owner_of_address: dict[str, str] = {}
     for name, row in brokers.items():
-        if name in boxes:
+        if name in nodes:
             raise OperatorFileError(f"maintenance.brokers.{name}: is the name of a box")
         owner = owner_of_address.setdefault(row["address"], name)
         if owner != name:
--- a/harriertide/config/operator_file.py
+++ b/harriertide/config/operator_file.py
@@ -1,7 +1,7 @@
 """The operator's file, read and checked key by key. An error names the key by its full path.
 
 The part of it that `plan` and `apply` change is the *state*: plain tables, as the admin address sends them as
-JSON and a plan holds their digest. What the decision module is told of a state is in `decision_settings`.
+JSON and a plan holds their digest. What the decision module learns of a state is in `decision_settings`.
 """
 
 from __future__ import annotations
@@ -153,10 +153,10 @@
             raise OperatorFileError(f"volumes.{name}.grade: there is no grade {volume['grade']}")
 
 
-def _check_shards(boxes: dict[str, Row]) -> None:
-    """Each box is a shard of its own: its blobs are on no other."""
+def _check_shards(nodes: dict[str, Row]) -> None:
+    """Each node is a shard of its own: its blobs are on no other."""
     owner_of_shard: dict[int, str] = {}
-    for name, row in boxes.items():
+    for name, row in nodes.items():
         owner = owner_of_shard.setdefault(row["shard"], name)
         if owner != name:
             raise OperatorFileError(f"boxes.{name}.shard: is that of box {owner}")
--- a/harriertide/control/follower_member.py
+++ b/harriertide/control/follower_member.py
@@ -34,7 +34,7 @@
 
     @property
     def leader(self) -> str:
-        """The leader as the parent told it last; "" for none."""
+        """The leader as the parent sent it last; "" for none."""
         return self._link.tree.leader
 
     @property
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -56,7 +56,7 @@
         self.name = name
         self.voters = voters
         self.incarnation = random.getrandbits(31) | 1  # of this process; never 0
-        self.wait_reasons: dict[str, list[str]] = {}  # by "order/machine", as the leader told it last
+        self.wait_reasons: dict[str, list[str]] = {}  # by "order/machine", as the leader sent it last
         self._addresses = addresses
         self._listener = listener
         self._events = events
--- a/harriertide/control/member_link.py
+++ b/harriertide/control/member_link.py
@@ -21,7 +21,7 @@
 
 
 class MemberListener(Protocol):
-    """Who uses a member: it is told of what was agreed on, and states what this broker reports."""
+    """Who uses a member: it is notified of what was agreed on, and states what this broker reports."""
 
     def build_report(self) -> SubtreeReport:
         """Return what this broker reports of itself now."""
--- a/harriertide/control/node_barrier.py
+++ b/harriertide/control/node_barrier.py
@@ -1,6 +1,6 @@
 """Which nodes this broker may not send to: what is agreed on, as far as its lease goes.
 
-Asked right before each write, by the clock of that moment. The object front is told as well, so that nothing
+Asked right before each write, by the clock of that moment. The object front is notified too, so that nothing
 new is placed there.
 """
 
--- a/harriertide/core/events.py
+++ b/harriertide/core/events.py
@@ -1,4 +1,4 @@
-"""What the core is told (events) and what it asks for (effects). All times are microseconds of one clock."""
+"""What the core gets (events) and what it asks for (effects). All times are microseconds of one clock."""
 
 from __future__ import annotations
 
--- a/harriertide/core/reducer.py
+++ b/harriertide/core/reducer.py
@@ -132,7 +132,7 @@
     def _emit(self, effect: ev.Effect) -> None:
         self._effects.append(effect)
 
-    # --- events: each handler returns what the decision module is to be told of it --------------
+    # --- events: each handler returns what the decision module is notified of --------------
 
     def _on_request_arrived(self, now_us: int, event: ev.RequestArrived) -> list[api.Event]:
         if not self._lifecycle.take_request(event.arrival, event.streams_body):
@@ -183,12 +183,12 @@
         self._lifecycle.answer_open_requests()
         return []
 
-    # --- actions: each handler returns what the decision module is to be told at once -----------
+    # --- actions: each handler returns what the decision module is notified of at once --
 
     def _decide(self, now_us: int, events: list[api.Event]) -> list[api.Event]:
         """Ask the decision module, and do what it says.
 
-        :returns: what it is to be told at once of that
+        :returns: what it is to be notified of at once
         """
         pending: list[api.Event] = []
         try:
--- a/harriertide/core/request_lifecycle.py
+++ b/harriertide/core/request_lifecycle.py
@@ -70,7 +70,7 @@
     def start_attempt(self, now_us: int, action: api.StartAttempt) -> api.AttemptFinished | None:
         """Start an attempt, unless that would break a rule.
 
-        :returns: the outcome of an attempt that was turned back, as the decision module is to be told
+        :returns: the outcome of an attempt that was turned back, as the decision module is to be notified
         """
         request = self.requests.get(action.request_id)
         if request is None:
@@ -148,7 +148,7 @@
     def finish_attempt(self, now_us: int, event: ev.AttemptFinished) -> api.AttemptFinished | None:
         """End an attempt, and answer its request where it was served.
 
-        :returns: the outcome as the decision module is to be told; None if no such attempt was open
+        :returns: the outcome as the decision module is to be notified; None if no such attempt was open
         """
         request = self.requests.get(event.request_id)
         attempt = request.open_attempt_numbered(event.attempt) if request is not None else None
--- a/harriertide/decide/admission.py
+++ b/harriertide/decide/admission.py
@@ -34,7 +34,7 @@
     left = _target_rate(context, shard)
     is_report_missing = context.now_us - shard.updated_at_us > BID_LIFETIME_US
     if not shard.is_capacity_known and is_report_missing:
-        # new here, or never told of its capacity: an even part
+        # new here, or never notified of its capacity: an even part
         shard.allotment = left / context.settings.broker_count
         return
     # Lost reports are bridged by the last one: an even part of hundreds of brokers would serve nobody.
--- a/harriertide/decide/demand_aggregate.py
+++ b/harriertide/decide/demand_aggregate.py
@@ -27,7 +27,7 @@
 class DemandAggregate:
     """The sums of the bids on one shard; bids that are not renewed run out.
 
-    bidders: brokers that have bid, and when, the longest ago first. is_overload_announced: they were told so.
+    bidders: brokers that have bid, and when, the longest ago first. is_overload_announced: they know of it.
     """
 
     sums: list[float] = field(default_factory=lambda: [0.0] * FIGURE_COUNT)
--- a/harriertide/decide/derived.py
+++ b/harriertide/decide/derived.py
@@ -40,7 +40,7 @@
 class DerivedSettings:
     """Figures that follow from the settings.
 
-    is_alone: no other broker can be told anything. slow_start_ratio: the part of a warming node's budget that
+    is_alone: no other broker can be notified. slow_start_ratio: the part of a warming node's budget that
     each of its coordinators deals out. highest_priority: of any request of these settings. preferred_shards:
     where new objects go first.
     """
--- a/harriertide/decide/endpoints.py
+++ b/harriertide/decide/endpoints.py
@@ -1,4 +1,4 @@
-"""The nodes and shards of the endpoint list, as this broker was last told of them."""
+"""The nodes and shards of the endpoint list, as this broker was last notified of them."""
 
 from __future__ import annotations
 
--- a/harriertide/engine/runtime.py
+++ b/harriertide/engine/runtime.py
@@ -61,7 +61,7 @@
         """Perform one attempt."""
 
     def has_client_disconnected(self) -> bool:
-        """Whether the client is gone as the system knows it now: the loop may not have been told yet."""
+        """Whether the client is gone as the system knows it now: the loop may not have been notified yet."""
 
     def respond(self, answer: ev.Respond) -> None:
         """Give the client its final answer."""
--- a/harriertide/engine/workload.py
+++ b/harriertide/engine/workload.py
@@ -53,7 +53,7 @@
 
 
 class Recorder:
-    """Writes what a core is told to a file, line by line as it comes."""
+    """Writes what a core gets to a file, line by line as it comes."""
 
     def __init__(self, file: BinaryIO, settings: api.Settings, seed: int, start_us: int) -> None:
         self._file, self._start_us = file, start_us
--- a/harriertide/library/asgi.py
+++ b/harriertide/library/asgi.py
@@ -49,7 +49,7 @@
         self._buffered: bytes | None = None
 
     async def buffer(self) -> None:
-        """Read it to its end, or until the client is gone, which the application is told of later."""
+        """Read it to its end, or until the client is gone, which the application is notified of later."""
         chunks: list[bytes] = []
         while True:
             message = await self._receive()
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -51,7 +51,7 @@
     :param source: where the endpoint list comes from, or the nodes of a list that stays as it is
     :param seed: of the decisions' random numbers; None: drawn
     :param descriptor_count: how many sockets and files the process may have open
-    :param record: a file to which all that the core is told is written, to be played again
+    :param record: a file to which all that the core gets is written, to be played again
         (`harriertide lab parity`)
     :param peers: reaches other brokers before the same nodes, so that they share what one alone would take
     """
--- a/harriertide/library/errors.py
+++ b/harriertide/library/errors.py
@@ -12,7 +12,7 @@
 
 
 class AttemptError(Exception):
-    """An attempt did not succeed; outcome is what the core is told of it."""
+    """An attempt did not succeed; outcome is what the core learns of it."""
 
     outcome: api.OutcomeKind = "error"
 
--- a/harriertide/library/node_sources.py
+++ b/harriertide/library/node_sources.py
@@ -33,7 +33,7 @@
         """Host and port of a node."""
 
     def watch(self) -> None:
-        """The core asks for changes from what it knows on, also after it was told of a failure."""
+        """The core asks for changes from what it knows on, also after it was notified of a failure."""
 
     async def close(self) -> None:
         """Report nothing more."""
@@ -71,7 +71,7 @@
         post(ev.EndpointsUpdated(_update_of("cached", self._nodes.values())))
 
     def update(self, *nodes: Node) -> None:
-        """Change nodes of the list; the core is told in this turn of the event loop.
+        """Change nodes of the list; the core is notified in this turn of the event loop.
 
         :param nodes: as they are from now on, live, draining or gone
         :raises ValueError: a state is none of these
@@ -114,7 +114,7 @@
 
     def __init__(self, path: str, poll_interval_s: float) -> None:
         self.state = operator_file.load_operator_file(path).state
-        # Called with each new state, before the core is told of its nodes.
+        # Called with each new state, before the core is notified of its nodes.
         self.on_state_changed: Callable[[operator_file.State], None] = lambda state: None
         self._path = path
         self._poll_interval_s = poll_interval_s
--- a/harriertide/lifecycle/active_process.py
+++ b/harriertide/lifecycle/active_process.py
@@ -72,7 +72,7 @@
             data = await self._claim_from(before) if registry.is_alive(before) else None
             registry.become_active()
             if data is None and registry.is_alive(before):
-                # Guards against two that act at once: the process before may be standing still, and would go
+                # Guards against two that act at once: the process before may be paused, and would go
                 # on without a look for as long as it believes in its lease.
                 log(
                     "the process in charge did not answer; its lease is waited for",
@@ -114,7 +114,7 @@
             self._renew()
 
     def stop_reclaiming(self) -> None:
-        """Never become active again, as the process was told to end. It still answers a claim."""
+        """Never become active again, as the process was asked to stop. It still answers a claim."""
         self._may_reclaim = False
 
     def close(self) -> None:
--- a/harriertide/lifecycle/machine.py
+++ b/harriertide/lifecycle/machine.py
@@ -123,7 +123,7 @@
         self._move(StageEvent.READY)
 
     def mark_stopping(self) -> None:
-        """The process was told to end."""
+        """The process was asked to stop."""
         self._move(StageEvent.STOP_REQUESTED)
 
     def mark_superseded(self) -> None:
--- a/harriertide/maintenance/capacity.py
+++ b/harriertide/maintenance/capacity.py
@@ -14,7 +14,7 @@
 )
 MIN_WARM_UP_S = 0.1  # where the operator's file says 0
 LOAD_RISE_RATIO = 1.1  # above the recorded peak, and
-LOAD_RISE_UNITS = 1.0  # so many units a second more: a smaller rise is not worth an entry of the log
+LOAD_RISE_UNITS = 1.0  # so many units a second more: a smaller rise does not justify an entry of the log
 
 
 def node_units(context: PlanningContext, machine: Machine) -> float:
--- a/harriertide/maintenance/phases.py
+++ b/harriertide/maintenance/phases.py
@@ -2,7 +2,7 @@
 
 =========  =====================================================================================
 waiting    it has not had its turn
-permitted  it may go, under a fence of its own; brokers are being told, and still send to it
+permitted  it may go, under a fence of its own; brokers are being notified, and still send to it
 draining   every broker knows; nothing new is sent to it, open attempts end
 out        nothing is sent to it, and nothing is open there: the work may be done
 returning  the work is done; it is warming up and gets requests again
