--- a/harriertide/lab/experiments/__init__.py
+++ b/harriertide/lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: runs under drawn faults, each judged by a checker. Started by `harriertide lab`."""
+"""Experiments: runs under random faults, with a checker for each. Started by `harriertide lab`."""
--- a/harriertide/lab/experiments/processes.py
+++ b/harriertide/lab/experiments/processes.py
@@ -1,19 +1,19 @@
-"""Real brokers, each a process of its own, with faults between them and a box that judges a plan's limit.
+"""Real brokers, each a process of its own, with faults between them and a node that checks a plan's limit.
 
 Usage: processes [--brokers N] [--seconds S] [--seed N] [--script FILE] [--folder DIR] [--lost PART] [--json]
 
-Starts N brokers on loopback, every datagram between two of them through a relay, and a box that all of them
+Starts N brokers on loopback, every datagram between two of them through a relay, and a node that all of them
 reach through relays too. Requests of one volume come through all brokers, nine in ten through the busiest,
-which changes every 3 s, at five times the limit. A script of faults is drawn from the seed, written to
-DIR/script.json, and plays again with --script. What came to the box and what clients were told is written to
-DIR/box.log and DIR/clients.log; the judgement reads these files and nothing else. Exits with 1 where a rule
+which changes every 3 s, at five times the limit. A script of faults is generated from the seed, written to
+DIR/script.json, and runs again with --script. What the node received and how clients were answered is in
+DIR/box.log and DIR/clients.log; the checker reads these files and nothing else. Exits with 1 where a rule
 was broken.
 
 Options:
   --brokers N    from 2 to 8 [default: 4]
   --seconds S    of offered load [default: 24]
   --seed N       of faults and load [default: 1]
-  --script FILE  faults as written before, in place of drawn ones
+  --script FILE  faults as written before, in place of random ones
   --folder DIR   where configurations and logs are kept; else a folder that is deleted
   --lost PART    of datagrams [default: 0.3]
   --json         the judgement as one object
@@ -74,9 +74,9 @@
 
 def _print_verdict(verdict: Verdict, faults: list[Fault]) -> None:
     verbs = Counter(fault.verb for fault in faults)
-    told = ", ".join(f"{status or 'gone'} {count}" for status, count in sorted(verdict.told.items()))
+    answers = ", ".join(f"{status or 'gone'} {count}" for status, count in sorted(verdict.told.items()))
     print("faults   " + ", ".join(f"{verb} {count}" for verb, count in sorted(verbs.items())))
-    print(f"requests {verdict.requests}: {told}; came to the box {verdict.came}")
+    print(f"requests {verdict.requests}: {answers}; came to the box {verdict.came}")
     print(f"limit    used {verdict.used:.3f}, store never under {verdict.lowest:.1f} of {BURST:g}")
     for broken in verdict.broken[:10]:
         print(f"broken   {broken}")
@@ -89,8 +89,8 @@
     brokers, seconds, seed = int(given["--brokers"]), float(given["--seconds"]), int(given["--seed"])
     if not 2 <= brokers <= 8 or not 6 <= seconds <= 600:
         raise SettingsError("--brokers from 2 to 8, --seconds from 6 to 600")
-    drawn = draw(seed, brokers, seconds, float(given["--lost"]))
-    faults = load_script(given["--script"], brokers, VERBS) if given["--script"] else drawn
+    random_faults = draw(seed, brokers, seconds, float(given["--lost"]))
+    faults = load_script(given["--script"], brokers, VERBS) if given["--script"] else random_faults
     with kept_or_temporary(given["--folder"]) as folder:
         rows = [asdict(fault) for fault in faults]
         (folder / "script.json").write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
