--- a/harriertide/decide/admission.py
+++ b/harriertide/decide/admission.py
@@ -35,7 +35,7 @@
     remaining_rate = _target_rate(context, shard)
     is_report_missing = context.now_us - shard.updated_at_us > BID_LIFETIME_US
     if not shard.is_capacity_known and is_report_missing:
-        # new here, or never told of its capacity: an even part
+        # new here, or never notified of its capacity: an even part
         shard.allotment = remaining_rate / context.settings.broker_count
         return
     # Where reports are missing the last one is used on: an even part would starve each of hundreds of
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -14,7 +14,7 @@
 from harriertide.decide import api
 from harriertide.decide.scheduler import Scheduler
 from harriertide.decide.state import PRIORITY_BAND_COUNT
-from harriertide.lab.simulation.stand_in_nodes import OTHER
+from harriertide.lab.simulation.random_workloads import OTHER_SETTINGS
 from tests.helpers import SETTINGS, START_US, bid_datagram
 
 LARGE_BROKER_COUNT, LARGE_NODE_COUNT = 40, 60
@@ -28,7 +28,7 @@
 HUNDREDS_FLEETS = {
     "first": HUNDREDS_FLEET,
     "other": replace(
-        OTHER,
+        OTHER_SETTINGS,
         broker_count=HUNDREDS_BROKER_COUNT,
         shard_count=HUNDREDS_SHARD_COUNT,
         peer_messages_allowed=True,
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,7 +12,7 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.benchmarks import operator_calls
 from harriertide.lab.checkers.upgrade_checker import IDLE_S, Verdict, judge
-from harriertide.lab.experiments import drains, upgrades
+from harriertide.lab.experiments import drains, upgrade_cases, upgrades
 from harriertide.lab.rigs.clients import PlannedRequest
 from harriertide.lab.rigs.single_broker import BURST, COLD_UNITS, OperatorCall
 
@@ -32,40 +32,42 @@
     """Upgrades that go well, and processes that die, pause or are stopped in the middle of one: no
     request is lost.
     """
-    asyncio.run(upgrades.play(tmp_path, 7, cases))
+    asyncio.run(upgrades.run_cases(tmp_path, 7, cases))
     found = judge(tmp_path)
-    assert not found.broken, (upgrades.report(found, len(cases)), found.failed)
+    assert not found.broken, (upgrades.summarize(found, len(cases)), found.failed)
     assert found.requests > 100
 
 
 def test_a_broker_is_drained_under_load_and_comes_back(tmp_path: Path) -> None:
     """A broker is drained and taken back while clients go on: none of their requests is lost."""
-    asyncio.run(drains.play(tmp_path, 7, 1))
+    asyncio.run(drains.run_drains(tmp_path, 7, 1))
     found = judge(tmp_path)
-    assert not found.broken, (drains.report(found, 1), found.failed)
+    assert not found.broken, (drains.summarize(found, 1), found.failed)
     assert found.requests > 100
 
 
-@pytest.mark.parametrize("program", ["harriertide", operator_calls.THREADED])
+@pytest.mark.parametrize("program", ["harriertide", operator_calls.THREADED_PROGRAM])
 def test_operators_are_answered_by_a_broker_that_shares_its_core(program: str, tmp_path: Path) -> None:
     """Another program takes the core: operators are still answered within a second."""
-    measured = asyncio.run(operator_calls.play(tmp_path, 1, calls=5, rate=200, busy=1, program=program))
-    assert len(measured.calls) == 5 and measured.late == 0
+    measured = asyncio.run(
+        operator_calls.measure_calls(tmp_path, 1, calls=5, rate=200, busy=1, program=program)
+    )
+    assert len(measured.calls) == 5 and measured.late_count == 0
 
 
 def test_late_and_unanswered_calls_are_counted() -> None:
     """A call that is late or lost must show in the measurement."""
-    measured = operator_calls.Measured(
+    measured = operator_calls.CallTimes(
         [OperatorCall(200, "", 0.1), OperatorCall(200, "", 1.1), OperatorCall(0, "", 0.1)]
     )
-    assert measured.late == 2 and measured.milliseconds(0.5) == 100 and measured.milliseconds(1.0) == 1100
+    assert measured.late_count == 2 and measured.quantile_ms(0.5) == 100 and measured.quantile_ms(1.0) == 1100
 
 
 def test_cases_are_drawn_alike_from_one_seed_and_each_is_played() -> None:
     """A failing seed has to fail again: it is how a fault is found."""
-    names = list(upgrades.CASES)
-    assert upgrades.draw(3, 50, names) == upgrades.draw(3, 50, names)
-    assert set(upgrades.draw(3, 50, names)) == set(names)
+    names = list(upgrade_cases.CASES)
+    assert upgrades.shuffle_cases(3, 50, names) == upgrades.shuffle_cases(3, 50, names)
+    assert set(upgrades.shuffle_cases(3, 50, names)) == set(names)
 
 
 def test_a_case_that_is_none_is_named() -> None:
--- a/tests/test_single_attempt.py
+++ b/tests/test_single_attempt.py
@@ -19,6 +19,7 @@
 from harriertide.http.node_client import NodeClient
 from harriertide.http.node_connection import NodeConnection
 from harriertide.lab.experiments import duplicate_attempts
+from harriertide.lab.rigs import late_reading_nodes
 from tests.helpers import SETTINGS
 from tests.scenario import StubServer
 from tests.scripted import NODES_LISTED, ScriptedModule
@@ -154,7 +155,7 @@
 
 def test_two_attempts_of_one_request_never_run_at_once() -> None:
     """The probe of docs/measurements/second-copy.md, in small: a node that is late and reads in any order."""
-    counts = duplicate_attempts.look(attempts=6_000, width=64, late_ms=0.5, seed=1)
-    assert counts["attempts"] > 5_000 and all(counts[name] > 20 for name in duplicate_attempts.ENDS)
+    counts = duplicate_attempts.count_duplicates(attempts=6_000, width=64, late_ms=0.5, seed=1)
+    assert counts["attempts"] > 5_000 and all(counts[name] > 20 for name in late_reading_nodes.ENDINGS)
     assert counts["open"] == 0
     assert counts["unread"] <= 6  # 60 to 130 of them without the gap
