--- a/harriertide/decide/api.py
+++ b/harriertide/decide/api.py
@@ -115,8 +115,8 @@
     :ivar collapse_window_us, collapse_load_ratio: a warming node collapses when it is sent, in this window,
         so many times what it can do
     :ivar polls_endpoint_list: the list is asked for; else it is pushed
-    :ivar poll_interval_us: the operators' rule: a change of the list counts as known to a broker that polls so
-        long after it was made; four times as long after a failed call
+    :ivar poll_interval_us: the operators' rule: a change of the list counts as known to a broker that polls
+        so long after it was made; four times as long after a failed call
     :ivar peer_messages_allowed: brokers may tell each other something
     :ivar retry_after_allowed: a rejected client may be told when to come back
     :ivar max_retry_after_us: the longest time that it is told
--- a/harriertide/lab/rigs/fault_player.py
+++ b/harriertide/lab/rigs/fault_player.py
@@ -8,14 +8,13 @@
 import signal
 from collections.abc import Awaitable, Callable
 from dataclasses import asdict
+from pathlib import Path
 from random import Random
-from typing import TYPE_CHECKING
+from typing import Any, Protocol
 
 from harriertide.engine.clock import until
 from harriertide.lab.rigs.fault_script import Fault
-
-if TYPE_CHECKING:
-    from harriertide.lab.rigs.maintenance_rig import Rig
+from harriertide.lab.rigs.frame_relay import FrameFaults, FrameRelay
 
 WALL_JUMPS_S = (-3600.0, 3600.0)
 BUSY_AFTER_S = 2.5  # after a fault of a process: until another process may have one
@@ -54,10 +53,38 @@
     return faults
 
 
+class FaultyRig(Protocol):
+    """What faults are played on: brokers by number, their processes, links and files."""
+
+    folder: Path
+    names: list[str]
+    random: Random
+    links: dict[tuple[int, int], FrameRelay]
+    frame_faults: FrameFaults
+
+    def write(self, name: str, **row: Any) -> None:
+        """Write a line of a log, with its time."""
+
+    def links_of(self, place: int) -> list[FrameRelay]:
+        """The links from and to a broker."""
+
+    def send_signal(self, place: int, number: signal.Signals) -> None:
+        """Send a signal to a broker's process."""
+
+    async def kill(self, place: int) -> None:
+        """Kill a broker's process."""
+
+    async def end(self, place: int, number: signal.Signals) -> None:
+        """Send a signal to a broker's process, and wait for its end."""
+
+    async def start_again(self, place: int) -> None:
+        """Start a broker's process anew."""
+
+
 class FaultPlayer:
     """Plays faults on a rig, each until it is over."""
 
-    def __init__(self, rig: Rig) -> None:
+    def __init__(self, rig: FaultyRig) -> None:
         self._rig = rig
         self._players: dict[str, Callable[[Fault], Awaitable[None]]] = {
             "kill": self._play_kill,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -43,6 +43,30 @@
     assert not wrong, "\n".join(wrong)
 
 
+def imported_modules(path: Path, modules: set[str]) -> set[str]:
+    """The modules of this program that one imports, for types only included."""
+    found = set()
+    for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+        if isinstance(node, ast.ImportFrom) and node.module:
+            inner = {f"{node.module}.{alias.name}" for alias in node.names}
+            found |= inner & modules or {node.module} & modules
+    return found
+
+
+def test_no_modules_import_each_other_in_a_circle() -> None:
+    """Two files that need each other can only be read together: an import for types counts too."""
+    paths = {
+        ".".join(path.relative_to(ROOT).with_suffix("").parts): path
+        for path in (ROOT / "harriertide").rglob("*.py")
+        if path.stem != "__init__"
+    }
+    imports = {name: imported_modules(path, set(paths)) for name, path in paths.items()}
+    while free := [name for name, needed in imports.items() if not needed & imports.keys()]:
+        for name in free:
+            del imports[name]
+    assert not imports, sorted(imports)  # what is left imports, directly or not, a circle
+
+
 def test_pure_rooms_do_no_input_or_output() -> None:
     """Neither by themselves nor through the modules for disks and wires beside them."""
     banned = {"asyncio", "os", "socket", "time", "pathlib", "structlog", "signal", "threading"}
