--- a/harriertide/core/reducer.py
+++ b/harriertide/core/reducer.py
@@ -132,7 +132,7 @@
     def _emit(self, effect: ev.Effect) -> None:
         self._effects.append(effect)
 
-    # --- events: each handler returns what the decision module is to be told of it --------------
+    # --- events: each handler returns what the decision module is notified of --------------
 
     def _on_request_arrived(self, now_us: int, event: ev.RequestArrived) -> list[api.Event]:
         if not self._lifecycle.take_request(event.arrival, event.streams_body):
@@ -183,12 +183,12 @@
         self._lifecycle.answer_open_requests()
         return []
 
-    # --- actions: each handler returns what the decision module is to be told at once -----------
+    # --- actions: each handler returns what the decision module is notified of at once --
 
     def _decide(self, now_us: int, events: list[api.Event]) -> list[api.Event]:
         """Ask the decision module, and do what it says.
 
-        :returns: what it is to be told at once of that
+        :returns: what it is to be notified of at once
         """
         pending: list[api.Event] = []
         try:
@@ -210,14 +210,21 @@
         return []
 
     def _reject_request(self, now_us: int, action: api.Reject) -> list[api.Event]:
+        self._count_reason(action.reason)
         answer = ev.Respond(action.request_id, "rejected", None, action.retry_after_us)
         self._lifecycle.give_final_answer(answer)
         return []
 
     def _fail_request(self, now_us: int, action: api.Fail) -> list[api.Event]:
+        self._count_reason(action.reason)
         self._lifecycle.give_final_answer(ev.Respond(action.request_id, "failed"))
         return []
 
+    def _count_reason(self, reason: api.GiveUpReason | None) -> None:
+        """Count why the decision module gave a request up, for the engineer who asks why it was rejected."""
+        if reason is not None:
+            self.counts[f"given_up_{reason}"] += 1
+
     def _set_timer(self, now_us: int, action: api.SetTimer) -> list[api.Event]:
         self._emit(ev.SetTimer(now_us + action.after_us, action.token))
         return []
--- a/harriertide/decide/api.py
+++ b/harriertide/decide/api.py
@@ -115,8 +115,8 @@
     :ivar collapse_window_us, collapse_load_ratio: a warming node collapses when it is sent, in this window,
         so many times what it can do
     :ivar polls_endpoint_list: the list is asked for; else it is pushed
-    :ivar poll_interval_us: a broker that has not asked for so long counts as told; four times as long after a
-        failed call
+    :ivar poll_interval_us: the operators' rule: a change of the list counts as known to a broker that polls
+        so long after it was made; four times as long after a failed call
     :ivar peer_messages_allowed: brokers may tell each other something
     :ivar retry_after_allowed: a rejected client may be told when to come back
     :ivar max_retry_after_us: the longest time that it is told
@@ -354,12 +354,31 @@
     attempt: int
 
 
+# Why a request is given up: no node of its shard takes requests; its shard is overloaded and it is among
+# those that are thinned out; its queue is too long; an answer could not be in time; its plan's limit; its
+# last moment has come; it may not be attempted again (its own rules, its deduplication window, the retry
+# budget); its node does not hold the shard; its nodes have left.
+GiveUpReason: TypeAlias = Literal[
+    "no_node",
+    "overload",
+    "queue_full",
+    "too_late",
+    "rate_limit",
+    "deadline",
+    "not_repeatable",
+    "deduplication_over",
+    "retry_budget",
+    "wrong_shard",
+]
+
+
 @dataclass(frozen=True, slots=True)
 class Reject:
     """Final answer: trying again is harmless. retry_after_us 0: the client is not told when."""
 
     request_id: str
     retry_after_us: int = 0
+    reason: GiveUpReason | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -367,6 +386,7 @@
     """Final answer without a promise: the request may have run."""
 
     request_id: str
+    reason: GiveUpReason | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/platform/endpoint_watch.py
+++ b/harriertide/platform/endpoint_watch.py
@@ -23,8 +23,8 @@
 # The platform counts a change as known to this broker so long after discovery had it and could be reached,
 # whatever failed before. The longest ways to hear of one end before that: a watch that falls silent behind
 # its last change, then a call that is never answered and one more that is; or a call that is never answered,
-# behind the longest backoff of the decision module, and one more. tests/test_silence.py adds them up and
-# plays them.
+# behind the longest backoff of the decision module, and one more. tests/test_endpoint_watch.py adds them up
+# and plays them.
 NOTIFICATION_DEADLINE_S = 6.0
 CONNECT_TIMEOUT_S = 0.8
 # Discovery answers a call, or rejects it, within two seconds: one without a response by then gets none.
