--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -151,9 +151,7 @@
         assert self.config is not None, "only a platform's settings change hands"
         if not self.lifecycle.is_superseded:
             return self.config.settings
-        from harriertide.decide.handover import superseded
-
-        return superseded(self.config.settings)
+        return self.config.settings.superseded()
 
     def apply_lifecycle(self) -> None:
         """Have all parts go by the lifecycle as it is now, in the same turn of the loop."""
--- a/harriertide/decide/api.py
+++ b/harriertide/decide/api/settings.py
@@ -1,16 +1,14 @@
-"""The interface of the decision module: settings, events and actions.
-
-Times are whole microseconds of one clock that only advances; a field `..._at_us` is a point of time, `..._us`
-a span. Units are what requests cost, as the deployment counts them. Volumes, keys, nodes and requests are
-opaque strings, shards, brokers, classes and plans are numbers from 0. Nothing here decides anything.
-"""
+"""Settings of one broker: request classes, plans and limits. Figures out of their range are refused."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from math import isfinite
 from typing import Literal, TypeAlias
 
+# In place of a limit that must be above 0: no request fits in.
+EXHAUSTED_UNITS = 1e-6
+
 Idempotency: TypeAlias = Literal["idempotent", "keyed", "non_idempotent"]
 DeduplicationScope: TypeAlias = Literal["all", "zone", "shard"]
 
@@ -28,9 +26,6 @@
         _require(holds, field, f"must be a number of at least {least}")
 
 
-# --- settings ------------------------------------------------------------------------------------------
-
-
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     """A class of requests: how soon an answer is wanted, how important it is, whether it may run again.
@@ -191,247 +186,15 @@
         )
         return all(getattr(self, name) == getattr(other, name) for name in names)
 
+    def superseded(self) -> Settings:
+        """The same for a process whose budgets a newer one has taken over.
 
-# --- events --------------------------------------------------------------------------------------------
-
-
-@dataclass(frozen=True, slots=True)
-class NodeEntry:
-    """One node of the endpoint list.
-
-    :ivar shard: the shard that it serves
-    :ivar state: gets requests; gets no new ones; has left
-    :ivar started_us: when it has started; 0: long ago
-    """
-
-    node_id: str
-    shard: int
-    state: Literal["live", "draining", "gone"] = "live"
-    zone: int = 0
-    started_us: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class EndpointUpdate:
-    """News of the endpoint list.
-
-    :ivar kind: changes; the complete list; the complete list as it was kept from before; a call that failed
-    """
-
-    kind: Literal["delta", "full", "cached", "failed"]
-    entries: tuple[NodeEntry, ...] = ()
-
-
-@dataclass(frozen=True, slots=True)
-class Arrival:
-    """A request that this broker has taken.
-
-    :ivar request_class, plan: their numbers in the settings
-    :ivar volume: whose quota and limit it counts in
-    :ivar shard: that it has to go to; -1: a new object, any node may take it
-    :ivar deadline_at_us: its client waits until then
-    :ivar units: what it costs
-    :ivar key: of its object; requests of ordered classes run in turn by it
-    :ivar sharing_broker_count: the brokers through which the volume's requests come
-    :ivar is_retry: its client has asked for the same before
-    """
-
-    request_id: str
-    request_class: int
-    plan: int
-    volume: str
-    shard: int
-    deadline_at_us: int
-    units: float = 1.0
-    key: str = ""
-    sharing_broker_count: int = 1
-    is_retry: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class ResponseStarted:
-    """The response of a streamed request goes to its client: no other attempt may follow."""
-
-    request_id: str
-    attempt: int
-
-
-# ok: served. error: the node has failed. rejected: the node takes no more just now. timeout, connect_failed,
-# reset: the connection's end. cancelled: by this broker. not_sent: nothing was sent, or the node says that
-# the request is over or not its own; another attempt there would not help.
-OutcomeKind: TypeAlias = Literal[
-    "ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent"
-]
-# The node has shown no sign of life.
-UNRESPONSIVE_OUTCOMES: frozenset[OutcomeKind] = frozenset({"timeout", "connect_failed", "reset"})
-# Proof that the attempt had no effect.
-NOT_EXECUTED_OUTCOMES: frozenset[OutcomeKind] = frozenset({"rejected", "connect_failed", "not_sent"})
-
-
-@dataclass(frozen=True, slots=True)
-class AttemptFinished:
-    """How an attempt ended.
-
-    :ivar latency_us: from when it was sent
-    :ivar is_final: its request has its final answer
-    """
-
-    request_id: str
-    attempt: int
-    node_id: str
-    kind: OutcomeKind
-    latency_us: int = 0
-    is_final: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class ProbeFinished:
-    """How a probe of a node ended; ok: it lives."""
-
-    node_id: str
-    kind: OutcomeKind
-
-
-@dataclass(frozen=True, slots=True)
-class ClientDisconnected:
-    """The client of a request has gone; no answer is owed any more."""
-
-    request_id: str
-
-
-@dataclass(frozen=True, slots=True)
-class TimerFired:
-    """A timer set with SetTimer has run out."""
-
-    token: int
-
-
-@dataclass(frozen=True, slots=True)
-class PeerMessageReceived:
-    """A datagram from another broker."""
-
-    sender_index: int
-    body: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class SettingsChanged:
-    """New settings for a running broker: figures of plans and classes, shards, limits."""
-
-    settings: Settings
-
-
-Event: TypeAlias = (
-    Arrival
-    | AttemptFinished
-    | EndpointUpdate
-    | PeerMessageReceived
-    | ResponseStarted
-    | ProbeFinished
-    | ClientDisconnected
-    | SettingsChanged
-    | TimerFired
-)
-
-
-# --- actions -------------------------------------------------------------------------------------------
-
-
-@dataclass(frozen=True, slots=True)
-class StartAttempt:
-    """Send a request to a node; the attempt ends at stop_at_us at the latest."""
-
-    request_id: str
-    node_id: str
-    stop_at_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class CancelAttempt:
-    """Wait for an attempt no longer. Its outcome follows: cancelled, or what was on its way."""
-
-    request_id: str
-    attempt: int
-
-
-# Why a request is given up: no node of its shard takes requests; its shard is overloaded and it is among
-# those that are thinned out; its queue is too long; an answer could not be in time; its plan's limit; its
-# last moment has come; it may not be attempted again (its own rules, its deduplication window, the retry
-# budget); its node does not hold the shard; its nodes have left.
-GiveUpReason: TypeAlias = Literal[
-    "no_node",
-    "overload",
-    "queue_full",
-    "too_late",
-    "rate_limit",
-    "deadline",
-    "not_repeatable",
-    "deduplication_over",
-    "retry_budget",
-    "wrong_shard",
-]
-
-
-@dataclass(frozen=True, slots=True)
-class Reject:
-    """Final answer: trying again is harmless. retry_after_us 0: the client is not told when."""
-
-    request_id: str
-    retry_after_us: int = 0
-    reason: GiveUpReason | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class Fail:
-    """Final answer without a promise: the request may have run."""
-
-    request_id: str
-    reason: GiveUpReason | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class SetTimer:
-    """Ask for a TimerFired event after a while."""
-
-    after_us: int
-    token: int
-
-
-@dataclass(frozen=True, slots=True)
-class WatchEndpoints:
-    """Ask for the endpoint list, and for its changes from there on."""
-
-
-@dataclass(frozen=True, slots=True)
-class SendPeerMessage:
-    """Send a datagram to another broker; it may be lost."""
-
-    recipient_index: int
-    body: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class StartProbe:
-    """Ask a node, beside all requests, whether it lives; one ProbeFinished follows."""
-
-    node_id: str
-
-
-@dataclass(frozen=True, slots=True)
-class LogLine:
-    """A line for the engineer on call: a decision and its reason."""
-
-    text: str
-
-
-Action: TypeAlias = (
-    StartAttempt
-    | CancelAttempt
-    | Reject
-    | Fail
-    | SetTimer
-    | WatchEndpoints
-    | SendPeerMessage
-    | StartProbe
-    | LogLine
-)
+        It finishes its requests, but sends none that count in a plan's limit and none to a warming node.
+        """
+        plans = tuple(
+            replace(plan, rate_limit=EXHAUSTED_UNITS, burst_limit_units=EXHAUSTED_UNITS)
+            if plan.rate_limit > 0
+            else plan
+            for plan in self.plans
+        )
+        return replace(self, plans=plans, slow_start_units=EXHAUSTED_UNITS, slow_start_initial_ratio=1.0)
--- a/harriertide/decide/demand_aggregate.py
+++ b/harriertide/decide/demand_aggregate.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from harriertide.decide.peer_messages import DemandBid
 from harriertide.decide.state import PRIORITY_BAND_COUNT
@@ -15,8 +16,7 @@
 MIN_SERVED_RATE = 0.01  # units a second; guards a division where nothing is served
 
 
-@dataclass(frozen=True, slots=True)
-class ReceivedBid:
+class ReceivedBid(NamedTuple):
     """A broker's last bid: when it came, and its figures."""
 
     received_at_us: int
--- a/harriertide/decide/leases.py
+++ b/harriertide/decide/leases.py
@@ -33,12 +33,11 @@
 NOBODY = -1
 
 
-@dataclass(slots=True)
-class Ballot:
+class Ballot(NamedTuple):
     """A request for votes: when it was made, and who has voted for it."""
 
     requested_at_us: int
-    voters: set[int] = field(default_factory=set)
+    voters: set[int]
 
 
 @dataclass(slots=True)
@@ -145,7 +144,7 @@
 
     def _open_ballot(self, state: LeaseSlot, now_us: int) -> None:
         state.ballot_number = (state.ballot_number + 1) % REQUEST_NUMBER_COUNT
-        state.ballots[state.ballot_number] = Ballot(now_us)
+        state.ballots[state.ballot_number] = Ballot(now_us, set())
         if len(state.ballots) > VOTES_PER_LEASE_COUNT:
             del state.ballots[next(iter(state.ballots))]
         state.promised_to = self.broker_index
--- a/harriertide/decide/quota_grants.py
+++ b/harriertide/decide/quota_grants.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from harriertide.decide.leases import Leases
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US, REQUEST_NUMBER_COUNT, UNIT_COUNTER_COUNT
@@ -27,8 +28,7 @@
     number: int
 
 
-@dataclass(frozen=True, slots=True)
-class Grant:
+class Grant(NamedTuple):
     """The answer to a broker's last request."""
 
     epoch: int
--- a/harriertide/decide/slow_start.py
+++ b/harriertide/decide/slow_start.py
@@ -19,7 +19,7 @@
     SlowStartRequest,
 )
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US
-from harriertide.decide.state import NodeState
+from harriertide.decide.state import GrantedUnits, NodeState
 from harriertide.decide.warming import bearable_units, is_warming
 
 # So many of the largest requests tell what a warming node can do by now; older answers count half.
@@ -98,7 +98,7 @@
             span_us = settings.collapse_window_us + CREDIT_LIFETIME_US + settings.tick_us
             granted = node.units_granted_since(context.now_us - span_us)
             if granted + request.units <= bearable_units(context, node) * derived.slow_start_ratio:
-                node.granted.append((context.now_us, request.units))
+                node.granted.append(GrantedUnits(context.now_us, request.units))
                 grant = SlowStartGrant(
                     request.shard,
                     request.started_ms,
--- a/harriertide/decide/state.py
+++ b/harriertide/decide/state.py
@@ -4,6 +4,7 @@
 
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from harriertide.decide import api
 from harriertide.decide.quota_credit import QuotaCredit
@@ -90,6 +91,13 @@
             self.shard.queued_units = max(0.0, self.shard.queued_units - self.weighted_units)
 
 
+class GrantedUnits(NamedTuple):
+    """Units that a coordinator has granted of a warming node's budget, and when."""
+
+    granted_at_us: int
+    units: float
+
+
 @dataclass(slots=True, eq=False)
 class NodeState:
     """One node of the endpoint list: what is open there and what its answers were like.
@@ -112,7 +120,7 @@
     is_ejected: bool = False
     next_trial_at_us: int = 0
     overtaking_answers: dict[RequestState, int] = field(default_factory=dict)
-    granted: deque[tuple[int, float]] = field(default_factory=deque)  # when, and how many units
+    granted: list[GrantedUnits] = field(default_factory=list)  # the oldest first
     answered_units: float = 0.0
     answered_us: int = 0
     proven_units: float = 0.0
@@ -144,9 +152,8 @@
 
     def units_granted_since(self, at_us: int) -> float:
         """As coordinator: units granted after then; older grants are forgotten."""
-        while self.granted and self.granted[0][0] <= at_us:
-            self.granted.popleft()
-        return sum(units for _, units in self.granted)
+        self.granted = [grant for grant in self.granted if grant.granted_at_us > at_us]
+        return sum(grant.units for grant in self.granted)
 
     @property
     def started_ms(self) -> int:
--- a/harriertide/decide/warming.py
+++ b/harriertide/decide/warming.py
@@ -4,7 +4,7 @@
 
 from harriertide.decide.context import DecisionContext
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US
-from harriertide.decide.state import NodeState
+from harriertide.decide.state import GrantedUnits, NodeState
 
 # The safe rate counts as so many mean requests among a node's answers: its first answers prove little yet.
 SAFE_RATE_WEIGHT_REQUESTS = 0.5
@@ -39,4 +39,4 @@
     Guards against a budget that is granted twice: once by this broker before it restarted, or by the
     coordinator of before, and once more by this one, which does not know of it.
     """
-    node.granted.append((context.now_us, bearable_units(context, node)))
+    node.granted.append(GrantedUnits(context.now_us, bearable_units(context, node)))
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The floors of docs/ARCHITECTURE.md, and what the platform's broker may not load."""
+"""The layers of docs/ARCHITECTURE.md, and what the platform's broker may not load."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# An import points to a lower floor, or stays in its room.
-FLOORS = {
+# An import points to a lower layer, or stays in its package.
+LAYERS = {
     "decide": 1, "core": 2, "consensus": 2, "maintenance": 3, "engine": 3, "http": 4, "config": 4,
     "platform": 5, "lifecycle": 6, "objects": 5, "control": 6, "library": 6, "cli": 7, "lab": 8,
 }  # fmt: skip
-# Disks and wires of pure rooms, each in a module beside them: on a floor of their own.
-OUTSIDE = {"consensus/store.py": 4, "consensus/transport.py": 4}
+# Disk and network of the pure packages, each in a module beside them: in a layer of their own.
+INPUT_OUTPUT_MODULES = {"consensus/store.py": 4, "consensus/transport.py": 4}
 HEAVY = ("msgspec", "lmdb", "numpy", "matplotlib", "hdrh", "lark", "rich", "starlette", "uvicorn", "xxhash")
 
 
-def room(module: str) -> str:
+def package_of(module: str) -> str:
     """The package of a module of this program; "" for the top itself."""
     parts = module.split(".")
     return parts[1] if parts[0] == "harriertide" and len(parts) > 1 else ""
@@ -30,15 +30,15 @@
     wrong = []
     for path in sorted((ROOT / "harriertide").rglob("*.py")):
         own = path.relative_to(ROOT / "harriertide").parts[0]
-        floor = OUTSIDE.get(str(path.relative_to(ROOT / "harriertide")), FLOORS.get(own, 0))
+        layer = INPUT_OUTPUT_MODULES.get(str(path.relative_to(ROOT / "harriertide")), LAYERS.get(own, 0))
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
             if isinstance(node, ast.ImportFrom) and node.module:
                 inner = [f"{node.module}.{alias.name}" for alias in node.names]
-                names = [node.module] if room(node.module) else inner
+                names = [node.module] if package_of(node.module) else inner
             for name in names:
-                there = room(name)
-                if own in FLOORS and there in FLOORS and own != there and FLOORS[there] >= floor:
+                there = package_of(name)
+                if own in LAYERS and there in LAYERS and own != there and LAYERS[there] >= layer:
                     wrong.append(f"{path.relative_to(ROOT)} imports {name}")
     assert not wrong, "\n".join(wrong)
 
@@ -67,14 +67,14 @@
     assert not imports, sorted(imports)  # what is left imports, directly or not, a circle
 
 
-def test_pure_rooms_do_no_input_or_output() -> None:
-    """Neither by themselves nor through the modules for disks and wires beside them."""
+def test_pure_packages_do_no_input_or_output() -> None:
+    """Neither by themselves nor through the modules for disk and network beside them."""
     banned = {"asyncio", "os", "socket", "time", "pathlib", "structlog", "signal", "threading"}
-    banned |= {f"harriertide.{module[:-3].replace('/', '.')}" for module in OUTSIDE}
+    banned |= {f"harriertide.{module[:-3].replace('/', '.')}" for module in INPUT_OUTPUT_MODULES}
     wrong = []
-    for room_name in ("consensus", "maintenance"):
-        for path in sorted((ROOT / "harriertide" / room_name).glob("*.py")):
-            if str(path.relative_to(ROOT / "harriertide")) in OUTSIDE:
+    for package in ("consensus", "maintenance"):
+        for path in sorted((ROOT / "harriertide" / package).glob("*.py")):
+            if str(path.relative_to(ROOT / "harriertide")) in INPUT_OUTPUT_MODULES:
                 continue
             for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
                 names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
@@ -84,16 +84,17 @@
     assert not wrong, "\n".join(wrong)
 
 
-def test_every_room_has_its_floor() -> None:
-    rooms = {path.parent.name for path in (ROOT / "harriertide").glob("*/__init__.py")}
-    assert rooms == set(FLOORS)
+def test_every_package_has_its_layer() -> None:
+    packages = {path.parent.name for path in (ROOT / "harriertide").glob("*/__init__.py")}
+    assert packages == set(LAYERS)
 
 
 def deciding_modules() -> set[str]:
     """All modules of decide/ but the formats: what crosses its border, on the wire, in files or in memory."""
-    formats = {"__init__", "api", "settings", "settings_section", "peer_messages", "handover"}
-    paths = (ROOT / "harriertide" / "decide").glob("*.py")
-    return {f"harriertide/decide/{path.name}" for path in paths if path.stem not in formats}
+    formats = {"__init__.py", "api", "settings.py", "settings_section.py", "peer_messages.py", "handover"}
+    root = ROOT / "harriertide" / "decide"
+    paths = [path.relative_to(root) for path in root.rglob("*.py")]
+    return {f"harriertide/decide/{path}" for path in paths if path.parts[0] not in formats}
 
 
 def test_the_deploy_file_names_all_modules_that_decide_as_policy() -> None:
@@ -121,10 +122,10 @@
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
     loaded, rows = json.loads(done.stdout)
-    own = {room(name) for name in loaded} - {""}
+    own = {package_of(name) for name in loaded} - {""}
     assert own == {"decide", "core", "engine", "http", "platform", "lifecycle", "cli"}
     # of the life of a process the state machine alone: the rest is loaded where the configuration names it
-    lifecycle = {name for name in loaded if room(name) == "lifecycle"}
+    lifecycle = {name for name in loaded if package_of(name) == "lifecycle"}
     assert lifecycle == {"harriertide.lifecycle", "harriertide.lifecycle.machine"}
     assert not [name for name in loaded if name.split(".")[0] in HEAVY]
     private_kb = sum(int(row.split()[1]) for row in rows if row.startswith("Private_"))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,6 +15,7 @@
 from harriertide.cli.daemon import Daemon
 from harriertide.decide import api, handover
 from harriertide.decide.demand_aggregate import DemandAggregate
+from harriertide.decide.handover import records as handover_records
 from harriertide.decide.settings import from_wire, names_from_wire
 from harriertide.decide.state import VolumeState
 from harriertide.decide.token_bucket import TokenBucket
@@ -221,18 +222,22 @@
 
 # --- the record ----------------------------------------------------------------------------------
 
-EMPTY = Handover("n", 2, 100.0, 1, True, 0, 0, DirectoryState(3, [], {}, []), handover.DecisionRecord())
+EMPTY = Handover(
+    "n", 2, 100.0, 1, True, 0, 0, DirectoryState(3, [], {}, []), handover_records.DecisionRecord()
+)
 
 
 def test_a_record_comes_back_as_it_went() -> None:
     """Everything that is exported is there after the import."""
     ballots = {3: (5, {1, 2})}
-    slot = handover.LeaseSlotRecord(-1, 0, 0, 0, ballots, 0, 0)
-    leases = handover.LeasesRecord(7, {1: slot}, {})
-    aggregate = handover.AggregateRecord(
+    slot = handover_records.LeaseSlotRecord(-1, 0, 0, 0, ballots, 0, 0)
+    leases = handover_records.LeasesRecord(7, {1: slot}, {})
+    aggregate = handover_records.AggregateRecord(
         [1.0] * 9, 5, {2: (9, [0.5])}, 0.0, False, False, 0, False, 0, 0.0, {}
     )
-    decisions = handover.DecisionRecord(aggregates={4: aggregate}, usual_latency_us=[2.0], leases=leases)
+    decisions = handover_records.DecisionRecord(
+        aggregates={4: aggregate}, usual_latency_us=[2.0], leases=leases
+    )
     directory = DirectoryState(9, [api.NodeEntry("b", 1)], {"b": "x:1"}, ["a"])
     data = record.encode(replace(EMPTY, decisions=decisions, directory=directory))
     back = record.decode(data, "n", 2, 100.5)
@@ -357,7 +362,7 @@
     """Both processes live on for a while: only the active one may spend rate limits and slow-start budget."""
     cold = api.NodeEntry("n0", 0, started_us=START_US - 1_000_000)
     head = BrokerUnderTest((cold, api.NodeEntry("n1", 1)))
-    head.handle(api.SettingsChanged(handover.superseded(head.settings)))
+    head.handle(api.SettingsChanged(head.settings.superseded()))
     for _ in range(20):
         assert not started_attempts(head.request(plan=1, shard=1))  # of a plan with a limit
         assert not started_attempts(head.request(plan=0, shard=0))  # at the cold node
