--- a/harriertide/decide/capacity.py
+++ b/harriertide/decide/capacity.py
@@ -7,7 +7,7 @@
 from harriertide.decide.demand_aggregate import DemandAggregate
 from harriertide.decide.state import NodeState, RequestState, ShardState
 from harriertide.decide.units import SECOND_US
-from harriertide.decide.warming import bearable_units, is_warming
+from harriertide.decide.warming import is_warming, slow_start_budget_units
 
 # A shard is overloaded when its answers take this part of their latency objective, waiting included, and
 # until they take less than the lower one: early enough that what waits then can still be in time, and apart
@@ -58,8 +58,8 @@
 
     def _estimate_warming(self, aggregate: DemandAggregate, live: list[NodeState]) -> None:
         """A shard whose nodes all warm up can do what these bear: nothing is learned of it."""
-        bearable = sum(bearable_units(self._context, node) for node in live)
-        aggregate.capacity = bearable * SECOND_US / max(1, self._context.settings.collapse_window_us)
+        budget_units = sum(slow_start_budget_units(self._context, node) for node in live)
+        aggregate.capacity = budget_units * SECOND_US / max(1, self._context.settings.collapse_window_us)
         aggregate.is_capacity_known = True
         aggregate.is_overloaded = aggregate.demand_rate > aggregate.capacity
 
--- a/harriertide/decide/context.py
+++ b/harriertide/decide/context.py
@@ -76,7 +76,7 @@
         """Whether anything was decided yet."""
         return self.started_at_us >= 0
 
-    def last_moment_us(self, arrival: api.Arrival) -> int:
+    def answer_deadline_us(self, arrival: api.Arrival) -> int:
         """When a request has to be answered at the latest: one tick before its client's deadline."""
         return arrival.deadline_at_us - self.settings.tick_us
 
--- a/harriertide/decide/demand.py
+++ b/harriertide/decide/demand.py
@@ -11,6 +11,7 @@
 from harriertide.decide.capacity import CapacityEstimator
 from harriertide.decide.context import DecisionContext
 from harriertide.decide.demand_aggregate import DemandAggregate
+from harriertide.decide.derived import IDLE_STATE_RETENTION_US
 from harriertide.decide.endpoints import BID_LIFETIME_US, Endpoints
 from harriertide.decide.peer_exchange import PeerExchange
 from harriertide.decide.peer_messages import DemandBid, DemandReport
@@ -60,8 +61,8 @@
         """Begin the first interval."""
         now_us = self._context.now_us
         self.interval_started_us = now_us
-        part = FIRST_INTERVAL_MIN_RATIO + self._context.random.random()
-        self.interval_ends_us = now_us + int(BID_INTERVAL_US * part)
+        ratio = FIRST_INTERVAL_MIN_RATIO + self._context.random.random()
+        self.interval_ends_us = now_us + int(BID_INTERVAL_US * ratio)
 
     def shift(self, by_us: int) -> None:
         """Follow a clock that was set by so much, as a newer process goes by the clock of the one before."""
@@ -127,12 +128,12 @@
     def _on_bid(self, broker: int, bid: DemandBid) -> None:
         """Sum up a bid, answer it, and tell all bidders when an overload begins or ends."""
         settings, derived = self._context.settings, self._context.derived
-        is_mine = settings.broker_index in derived.coordinators(bid.shard)
-        if bid.shard >= settings.shard_count or not is_mine:
+        is_coordinator = settings.broker_index in derived.coordinators(bid.shard)
+        if bid.shard >= settings.shard_count or not is_coordinator:
             return
         now_us = self._context.now_us
         aggregate = self.aggregates.setdefault(bid.shard, DemandAggregate())
-        aggregate.replace_bid(broker, now_us, bid, BID_LIFETIME_US, derived.idle_retention_us)
+        aggregate.replace_bid(broker, now_us, bid, BID_LIFETIME_US, IDLE_STATE_RETENTION_US)
         if not aggregate.is_capacity_known:
             # a coordinator that has restarted, or a standby: it goes on from what the bidders know
             aggregate.capacity = max(aggregate.capacity, bid.capacity)
@@ -144,7 +145,8 @@
             capacity=aggregate.capacity,
             weight_sum=aggregate.weight_sum,
             latency_ratio=aggregate.latency_ratio,
-            flags=DemandReport.flags_of(aggregate.is_capacity_known, aggregate.is_overloaded),
+            is_capacity_known=aggregate.is_capacity_known,
+            is_overloaded=aggregate.is_overloaded,
         )
         self._exchange.send(broker, report)
         self._announce_overload(aggregate, report, broker)
@@ -168,8 +170,8 @@
             return
         aggregate.is_overload_announced = aggregate.is_overloaded
         aggregate.next_announcement_at_us = now_us + ANNOUNCE_INTERVAL_US
-        own = self._context.settings.broker_index
-        for broker in aggregate.bidders.keys() - {answered, own}:
+        own_index = self._context.settings.broker_index
+        for broker in aggregate.bidders.keys() - {answered, own_index}:
             self._exchange.send(broker, report)
 
     # --- as broker -----------------------------------------------------------------------------------
--- a/harriertide/decide/demand_aggregate.py
+++ b/harriertide/decide/demand_aggregate.py
@@ -8,10 +8,10 @@
 from harriertide.decide.peer_messages import DemandBid
 from harriertide.decide.state import PRIORITY_BAND_COUNT
 
-# Places of a bid's figures: demand by band, then these.
-SERVED_RATE_PLACE = PRIORITY_BAND_COUNT
-LATENCY_WEIGHTED_RATE_PLACE = PRIORITY_BAND_COUNT + 1
-WEIGHT_SUM_PLACE = PRIORITY_BAND_COUNT + 2
+# Indexes of a bid's figures: demand by band, then these.
+SERVED_RATE_INDEX = PRIORITY_BAND_COUNT
+LATENCY_WEIGHTED_RATE_INDEX = PRIORITY_BAND_COUNT + 1
+WEIGHT_SUM_INDEX = PRIORITY_BAND_COUNT + 2
 FIGURE_COUNT = PRIORITY_BAND_COUNT + 3
 MIN_SERVED_RATE = 0.01  # units a second; guards a division where nothing is served
 
@@ -55,17 +55,17 @@
     @property
     def served_rate(self) -> float:
         """Units a second that are served."""
-        return self.sums[SERVED_RATE_PLACE]
+        return self.sums[SERVED_RATE_INDEX]
 
     @property
     def weight_sum(self) -> float:
         """Of the volumes at all brokers."""
-        return self.sums[WEIGHT_SUM_PLACE]
+        return self.sums[WEIGHT_SUM_INDEX]
 
     @property
     def interval_latency_ratio(self) -> float:
         """Latency over latency objective of what was served in the last bid intervals."""
-        return self.sums[LATENCY_WEIGHTED_RATE_PLACE] / max(MIN_SERVED_RATE, self.served_rate)
+        return self.sums[LATENCY_WEIGHTED_RATE_INDEX] / max(MIN_SERVED_RATE, self.served_rate)
 
     def replace_bid(
         self, broker: int, now_us: int, bid: DemandBid, lifetime_us: int, retention_us: int
@@ -81,12 +81,12 @@
             outdated.append(self.bids.pop(next(iter(self.bids))))
         self.bids[broker] = ReceivedBid(now_us, figures)
         self.updated_at_us = now_us
-        self._note_bidder(broker, now_us, retention_us)
-        for place, figure in enumerate(figures):
-            gone = sum(old.figures[place] for old in outdated)
-            self.sums[place] = max(0.0, self.sums[place] + figure - gone)
+        self._record_bidder(broker, now_us, retention_us)
+        for index, figure in enumerate(figures):
+            expired = sum(old.figures[index] for old in outdated)
+            self.sums[index] = max(0.0, self.sums[index] + figure - expired)
 
-    def _note_bidder(self, broker: int, now_us: int, retention_us: int) -> None:
+    def _record_bidder(self, broker: int, now_us: int, retention_us: int) -> None:
         self.bidders.pop(broker, None)
         self.bidders[broker] = now_us
         while now_us - next(iter(self.bidders.values())) > retention_us:
--- a/harriertide/decide/derived.py
+++ b/harriertide/decide/derived.py
@@ -40,26 +40,25 @@
 class DerivedSettings:
     """Figures that follow from the settings.
 
-    is_alone: no other broker can be notified. slow_start_ratio: the part of a warming node's budget that
+    is_standalone: no other broker can be notified. slow_start_ratio: the part of a warming node's budget that
     each of its coordinators deals out. highest_priority: of any request of these settings. preferred_shards:
     where new objects go first.
     """
 
     broker_index: int
     broker_count: int
-    is_alone: bool
+    is_standalone: bool
     slow_start_ratio: float
     preferred_shards: frozenset[int]
     shortest_objective_us: int
     highest_priority: float
-    idle_retention_us: int
     volume_retention_us: int
     poll_first_wait_us: int
     poll_max_wait_us: int
 
     def coordinators(self, shard: int) -> Coordinators:
         """The broker that sums up the bids on a shard, and its standby."""
-        if self.is_alone:
+        if self.is_standalone:
             return Coordinators(self.broker_index, self.broker_index)
         primary = crc32(b"%d" % shard) % self.broker_count
         return Coordinators(primary, (primary + 1) % self.broker_count)
@@ -67,7 +66,7 @@
 
 def derive(settings: api.Settings) -> DerivedSettings:
     """Work out what follows from these settings."""
-    is_alone = settings.broker_count == 1 or not settings.peer_messages_allowed
+    is_standalone = settings.broker_count == 1 or not settings.peer_messages_allowed
     poll_max_wait_us = max(POLL_FIRST_WAIT_US, min(POLL_MAX_WAIT_US, settings.poll_interval_us // 2))
     poll_first_wait_us = max(POLL_FIRST_WAIT_US, POLL_FIRST_WAIT_PER_BROKER_US * settings.broker_count)
     highest_priority = max(
@@ -78,24 +77,23 @@
     return DerivedSettings(
         broker_index=settings.broker_index,
         broker_count=settings.broker_count,
-        is_alone=is_alone,
-        slow_start_ratio=_slow_start_ratio(settings, is_alone),
+        is_standalone=is_standalone,
+        slow_start_ratio=_slow_start_ratio(settings, is_standalone),
         preferred_shards=_preferred_shards(settings),
         shortest_objective_us=min(each.latency_objective_us for each in settings.classes),
         highest_priority=highest_priority or 1.0,
-        idle_retention_us=IDLE_STATE_RETENTION_US,
         volume_retention_us=_volume_retention_us(settings),
         poll_first_wait_us=min(poll_max_wait_us, poll_first_wait_us),
         poll_max_wait_us=poll_max_wait_us,
     )
 
 
-def _slow_start_ratio(settings: api.Settings, is_alone: bool) -> float:
+def _slow_start_ratio(settings: api.Settings, is_standalone: bool) -> float:
     """The part of a warming node's budget that one coordinator deals out.
 
     Half of a budget under two large requests serves none of them: there the primary has all of it.
     """
-    if is_alone:
+    if is_standalone:
         return 1.0 / settings.broker_count
     is_small = settings.slow_start_units < 2 * settings.max_request_units
     return 1.0 if is_small else SLOW_START_HALF_RATIO
--- a/harriertide/decide/dispatch.py
+++ b/harriertide/decide/dispatch.py
@@ -8,7 +8,7 @@
 from harriertide.decide.context import DecisionContext, RequestTimer, ShardTimer
 from harriertide.decide.health import HealthChecks
 from harriertide.decide.key_queues import KeyQueues
-from harriertide.decide.latency import UsualLatency
+from harriertide.decide.latency import BaselineLatency
 from harriertide.decide.placement import FREE_IN_FLIGHT_COUNT, MAX_IN_FLIGHT_COUNT, Placement
 from harriertide.decide.rate_limits import RateLimits
 from harriertide.decide.responses import Responses
@@ -20,7 +20,7 @@
 # Queued work may need this part of the shortest latency objective before the lowest priorities are given up.
 QUEUE_OBJECTIVE_RATIO = 0.3
 # How often queued work is looked at without news of its shard, and only while some is queued.
-QUEUE_LOOK_INTERVAL_US = 10_000
+QUEUE_RECHECK_INTERVAL_US = 10_000
 
 
 class Dispatcher:
@@ -30,7 +30,7 @@
         self,
         context: DecisionContext,
         placement: Placement,
-        latency: UsualLatency,
+        latency: BaselineLatency,
         health: HealthChecks,
         slow_start: SlowStart,
         rate_limits: RateLimits,
@@ -100,7 +100,7 @@
                 heappop(shard.queue)
                 request.leave_queue()
             elif request.is_queued:
-                self._look_again(shard)
+                self._schedule_recheck(shard)
                 return
 
     def _is_too_late(self, request: RequestState, node: NodeState | None) -> bool:
@@ -114,12 +114,12 @@
         expected_us = latency_ratio * self._latency.by_class_us[request.arrival.request_class]
         return self._context.now_us + expected_us > request.objective_at_us
 
-    def _look_again(self, shard: ShardState) -> None:
+    def _schedule_recheck(self, shard: ShardState) -> None:
         """Look at the queue soon, also without news of the shard."""
         now_us = self._context.now_us
-        if shard.next_look_at_us <= now_us:
-            shard.next_look_at_us = now_us + max(QUEUE_LOOK_INTERVAL_US, self._context.settings.tick_us)
-            self._context.timers.schedule(shard.next_look_at_us, ShardTimer(shard))
+        if shard.next_recheck_at_us <= now_us:
+            shard.next_recheck_at_us = now_us + max(QUEUE_RECHECK_INTERVAL_US, self._context.settings.tick_us)
+            self._context.timers.schedule(shard.next_recheck_at_us, ShardTimer(shard))
 
     # --- the checks right before an attempt: the single place where attempts leave -------------------
 
--- a/harriertide/decide/handover/export.py
+++ b/harriertide/decide/handover/export.py
@@ -33,7 +33,7 @@
             shard: _store(aggregate, AggregateRecord)
             for shard, aggregate in scheduler.demand.aggregates.items()
         },
-        usual_latency_us=list(scheduler.latency.by_class_us),
+        baseline_latency_us=list(scheduler.latency.by_class_us),
         requests_at_us=list(retry_budget.requests_at_us),
         retries_at_us=list(retry_budget.retries_at_us),
         placements={
--- a/harriertide/decide/handover/records.py
+++ b/harriertide/decide/handover/records.py
@@ -21,7 +21,7 @@
     rename={
         "expires_at_us": "end_us",
         "request_number": "number",
-        "useful_units": "least",
+        "min_useful_units": "least",
         "is_short": "short",
         "unanswered": "misses",
         "requested_at_us": "asked_us",
@@ -35,7 +35,7 @@
     expires_at_us: int
     request_number: int
     wanted: int
-    useful_units: float
+    min_useful_units: float
     is_short: bool
     unanswered: int
     requested_at_us: int
@@ -52,8 +52,8 @@
         "next_trial_at_us": "trial_us",
         "granted": "given",
         "answered_units": "answered",
-        "proven_units": "proof",
-        "proven_us": "proof_us",
+        "measured_units": "proof",
+        "measured_us": "proof_us",
         "slow_start_credit": "gift",
     },
 ):
@@ -68,8 +68,8 @@
     granted: list[tuple[int, float]]
     answered_units: float
     answered_us: int
-    proven_units: float
-    proven_us: int
+    measured_units: float
+    measured_us: int
     slow_start_credit: QuotaCreditRecord
 
 
@@ -205,7 +205,7 @@
     Struct,
     rename={
         "aggregates": "tallies",
-        "usual_latency_us": "usual",
+        "baseline_latency_us": "usual",
         "requests_at_us": "taken",
         "retries_at_us": "extra",
         "placements": "placed",
@@ -217,7 +217,7 @@
     shards: list[ShardRecord] = field(default_factory=list)
     volumes: list[VolumeRecord] = field(default_factory=list)
     aggregates: dict[int, AggregateRecord] = field(default_factory=dict)
-    usual_latency_us: list[float] = field(default_factory=list)
+    baseline_latency_us: list[float] = field(default_factory=list)
     requests_at_us: list[int] = field(default_factory=list)
     retries_at_us: list[int] = field(default_factory=list)
     placements: dict[str, tuple[int, int]] = field(default_factory=dict)
--- a/harriertide/decide/handover/restore.py
+++ b/harriertide/decide/handover/restore.py
@@ -34,8 +34,8 @@
         scheduler.rate_limits.add_volume(_load(volume_record, VolumeState))
     for shard, aggregate_record in record.aggregates.items():
         scheduler.demand.aggregates[shard] = _load(aggregate_record, DemandAggregate)
-    usual_us = scheduler.latency.by_class_us
-    usual_us[: len(record.usual_latency_us)] = record.usual_latency_us[: len(usual_us)]
+    baseline_us = scheduler.latency.by_class_us
+    baseline_us[: len(record.baseline_latency_us)] = record.baseline_latency_us[: len(baseline_us)]
     scheduler.retry_budget.requests_at_us = deque(record.requests_at_us)
     scheduler.retry_budget.retries_at_us = deque(record.retries_at_us)
     scheduler.placements.by_key.update(
--- a/harriertide/decide/health.py
+++ b/harriertide/decide/health.py
@@ -11,7 +11,7 @@
 from harriertide.decide import api
 from harriertide.decide.context import DecisionContext
 from harriertide.decide.endpoints import Endpoints
-from harriertide.decide.latency import UsualLatency
+from harriertide.decide.latency import BaselineLatency
 from harriertide.decide.state import NodeState
 
 # Attempts in a row without a sign of life until a node is ejected: one may be its connection's fault, two
@@ -33,7 +33,7 @@
 class HealthChecks:
     """Ejects and reinstates nodes, and cancels attempts that hang."""
 
-    def __init__(self, context: DecisionContext, endpoints: Endpoints, latency: UsualLatency) -> None:
+    def __init__(self, context: DecisionContext, endpoints: Endpoints, latency: BaselineLatency) -> None:
         self._context = context
         self._endpoints = endpoints
         self._latency = latency
--- a/harriertide/decide/key_queues.py
+++ b/harriertide/decide/key_queues.py
@@ -20,7 +20,7 @@
             queue.members.append(request)
             request.key_queue = queue
 
-    def keep_quiet(self, request: RequestState) -> None:
+    def start_quiet_period(self, request: RequestState) -> None:
         """An attempt has ended without an answer: it may still run, so the next of its key waits."""
         if request.key_queue is not None:
             settings = self._context.settings
@@ -40,7 +40,7 @@
         if request.key_queue is not None:
             self._advance(request.arrival.key, request.key_queue)
 
-    def on_quiet_over(self, key: str) -> None:
+    def on_quiet_period_over(self, key: str) -> None:
         """The quiet time of a key is over."""
         if key in self._queues:
             self._advance(key, self._queues[key])
--- a/harriertide/decide/peer_exchange.py
+++ b/harriertide/decide/peer_exchange.py
@@ -38,7 +38,7 @@
         """Take a datagram. Junk, other versions, unknown senders and absurd figures have no effect."""
         sender, settings = received.sender_index, self._context.settings
         is_peer = 0 <= sender < settings.broker_count and sender != settings.broker_index
-        if not is_peer or self._context.derived.is_alone:
+        if not is_peer or self._context.derived.is_standalone:
             return
         for message in decode(received.body):
             self._handlers[type(message)](sender, message)
--- a/harriertide/decide/peer_messages.py
+++ b/harriertide/decide/peer_messages.py
@@ -20,8 +20,11 @@
 KIND_OFFSET = len(MAGIC)
 HEADER_BYTES = KIND_OFFSET + 1
 # The time that answers took travels in counts of this.
-PROOF_TIME_UNIT_US = 10_000
+ANSWER_TIME_UNIT_US = 10_000
 MAX_BYTE = 255
+# Flags of a DemandReport, which travel as one figure on the scale of rates.
+CAPACITY_KNOWN_FLAG = 1
+OVERLOADED_FLAG = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """From a shard's coordinator: the sums of all brokers' bids, and what follows of them."""
+    """From a shard's coordinator: the sums of all brokers' bids, and what follows from them.
+
+    is_capacity_known: it was learned, and is not a guess. is_overloaded: the shard gets more than it can do.
+    """
 
     KIND: ClassVar[int] = 3
     LAYOUT: ClassVar[Struct] = Struct("<I10B")
@@ -56,30 +62,16 @@
     capacity: float
     weight_sum: float
     latency_ratio: float
-    flags: float  # is_capacity_known, and twice is_overloaded
-
-    @staticmethod
-    def flags_of(is_capacity_known: bool, is_overloaded: bool) -> float:
-        """Both answers as one figure."""
-        return is_capacity_known + 2 * is_overloaded
-
-    @property
-    def is_capacity_known(self) -> bool:
-        """Whether the capacity was learned, and is not a guess."""
-        return round(self.flags) % 2 == 1
-
-    @property
-    def is_overloaded(self) -> bool:
-        """Whether the shard gets more than it can do."""
-        return self.flags > 1.5
+    is_capacity_known: bool
+    is_overloaded: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartRequest:
     """To a coordinator: units wanted for a warming node of its shard.
 
-    started_ms: the node's start, modulo 2**32. answered_units, answered_time: what it answered to this broker
-    since the last request, and how long that took in PROOF_TIME_UNIT_US.
+    started_ms: the node's start, modulo 2**32. answered_units, answered_time_units: what it answered to this
+    broker since the last request, and how long that took in ANSWER_TIME_UNIT_US.
     """
 
     KIND: ClassVar[int] = 6
@@ -90,7 +82,7 @@
     units: int
     number: int
     answered_units: int
-    answered_time: int
+    answered_time_units: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +97,7 @@
     units: int
     number: int
     answered_units: int
-    answered_time: int
+    answered_time_units: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -199,8 +191,9 @@
         rates = (*message.demand, message.served_rate, message.latency_weighted_rate)
         return [message.shard, *map(scale_to_byte, (*rates, message.weight_sum, message.capacity))]
     if isinstance(message, DemandReport):
-        rates = (*message.demand, message.capacity, message.weight_sum)
-        return [message.shard, *map(scale_to_byte, (*rates, message.latency_ratio, message.flags))]
+        rates = (*message.demand, message.capacity, message.weight_sum, message.latency_ratio)
+        flags = CAPACITY_KNOWN_FLAG * message.is_capacity_known + OVERLOADED_FLAG * message.is_overloaded
+        return [message.shard, *map(scale_to_byte, (*rates, flags))]
     return [getattr(message, name) for name in message.__slots__]
 
 
@@ -231,4 +224,17 @@
     key, *scaled = row
     rates = [byte_to_scale(byte) for byte in scaled]
     demand = tuple(rates[:PRIORITY_BAND_COUNT])
-    return message_type(key, demand, *rates[PRIORITY_BAND_COUNT:])
+    figures = rates[PRIORITY_BAND_COUNT:]
+    if message_type is DemandBid:
+        return DemandBid(key, demand, *figures)
+    capacity, weight_sum, latency_ratio, scaled_flags = figures
+    flags = round(scaled_flags)
+    return DemandReport(
+        key,
+        demand,
+        capacity,
+        weight_sum,
+        latency_ratio,
+        is_capacity_known=bool(flags & CAPACITY_KNOWN_FLAG),
+        is_overloaded=flags >= OVERLOADED_FLAG,
+    )
--- a/harriertide/decide/placement.py
+++ b/harriertide/decide/placement.py
@@ -131,7 +131,7 @@
             for node in shard.nodes.values()
             if node.is_live and not node.is_ejected
         ]
-        if not context.derived.is_alone:
+        if not context.derived.is_standalone:
             candidates = self._sample(candidates)
         if not candidates:
             return None
--- a/harriertide/decide/quota_credit.py
+++ b/harriertide/decide/quota_credit.py
@@ -19,16 +19,16 @@
 class QuotaCredit:
     """What another broker granted on the last request, and until when it holds.
 
-    wanted: units of the last request. useful_units: the least that is of any use. is_short: fewer units were
-    granted than wanted. unanswered: requests so far without an answer. used_units: sent in all, since the
-    start.
+    wanted: units of the last request. min_useful_units: the least that is of any use. is_short: fewer units
+    were granted than wanted. unanswered: requests so far without an answer. used_units: sent in all, since
+    the start.
     """
 
     units: float = 0.0
     expires_at_us: int = 0
     request_number: int = 0
     wanted: int = 0
-    useful_units: float = 0.0
+    min_useful_units: float = 0.0
     is_short: bool = False
     unanswered: int = 0
     requested_at_us: int = 0
@@ -51,16 +51,16 @@
         self.units -= units
         self.used_units += ceil(units)
 
-    def request(self, now_us: int, wanted: float, useful_units: float, retry_at_us: int) -> None:
+    def request(self, now_us: int, wanted: float, min_useful_units: float, retry_at_us: int) -> None:
         """Ask anew, which gives up what was not sent of the last grant.
 
         :param wanted: units that would be used
-        :param useful_units: the least that is of any use
+        :param min_useful_units: the least that is of any use
         :param retry_at_us: when to ask again if no answer comes
         """
         self.void()
         self.wanted = min(MAX_REQUESTED_UNITS, ceil(wanted))
-        self.useful_units = useful_units
+        self.min_useful_units = min_useful_units
         self.requested_at_us = now_us
         self.retry_at_us = retry_at_us
         self.request_number = (self.request_number + 1) % REQUEST_NUMBER_COUNT
@@ -81,6 +81,6 @@
         self.expires_at_us = self.requested_at_us + CREDIT_LIFETIME_US
         self.is_short = units < self.wanted
         self.unanswered -= 1
-        lacking = max(0.0, self.useful_units - units)
+        lacking = max(0.0, self.min_useful_units - units)
         self.retry_at_us = now_us + int(lacking / rate * SECOND_US) if rate else now_us
         return True
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -38,8 +38,7 @@
     def __init__(self, context: DecisionContext, exchange: PeerExchange) -> None:
         self._context = context
         self._exchange = exchange
-        self.volumes: dict[int, VolumeState] = {}
-        self._used_at_us: dict[int, int] = {}  # volumes, the longest unused first
+        self.volumes: dict[int, VolumeState] = {}  # by key, the longest unused first
         self.leases: Leases | None = None
         self.grants: QuotaGrants | None = None
         exchange.register(LeaseVoteRequest, self._on_vote_request)
@@ -53,7 +52,7 @@
         """Take part in leases, if brokers share limits, from this broker's start on."""
         context = self._context
         has_limits = any(plan.rate_limit > 0 for plan in context.settings.plans)
-        if context.derived.is_alone or not has_limits:
+        if context.derived.is_standalone or not has_limits:
             self.leases = self.grants = None
         elif self.leases is None and context.has_started:
             settings = context.settings
@@ -82,10 +81,8 @@
         now_us, retention_us = self._context.now_us, self._context.derived.volume_retention_us
         if self.grants is not None:
             self.grants.forget(now_us - retention_us)
-        while self._used_at_us and now_us - next(iter(self._used_at_us.values())) > retention_us:
-            key = next(iter(self._used_at_us))
-            del self._used_at_us[key]
-            del self.volumes[key]
+        while self.volumes and now_us - next(iter(self.volumes.values())).used_at_us > retention_us:
+            del self.volumes[next(iter(self.volumes))]
 
     # --- volumes -------------------------------------------------------------------------------------
 
@@ -104,10 +101,10 @@
         return volume
 
     def add_volume(self, volume: VolumeState) -> None:
-        """Keep a volume, as used now."""
+        """Keep a volume, as used now and therefore the last in order."""
+        self.volumes.pop(volume.key, None)
         self.volumes[volume.key] = volume
-        self._used_at_us.pop(volume.key, None)
-        self._used_at_us[volume.key] = self._context.now_us
+        volume.used_at_us = self._context.now_us
 
     # --- requests ------------------------------------------------------------------------------------
 
@@ -135,8 +132,8 @@
         arrival = request.arrival
         rate = plan.rate_limit / arrival.sharing_broker_count
         capacity = plan.burst_limit_units / arrival.sharing_broker_count
-        held = request.volume.rate_limit_bucket.refill(self._context.now_us, rate, capacity)
-        lacking = arrival.units - held
+        available = request.volume.rate_limit_bucket.refill(self._context.now_us, rate, capacity)
+        lacking = arrival.units - available
         if lacking <= 0:
             return 0
         return NEVER_IN_TIME_US if arrival.is_retry else 1 + int(lacking / rate * SECOND_US)
@@ -157,10 +154,10 @@
         if not credit.is_short:
             return max(1, credit.retry_at_us - now_us)
         # where the bucket is short, requests that come for the first time have priority
-        filled_us = (
+        refill_us = (
             NEVER_IN_TIME_US if arrival.is_retry else int(sum(waiting_units) / plan.rate_limit * SECOND_US)
         )
-        return max(1, credit.retry_at_us - now_us, filled_us)
+        return max(1, credit.retry_at_us - now_us, refill_us)
 
     def _request_credit(
         self, request: RequestState, plan: api.Plan, leases: Leases, waiting_units: list[float]
@@ -168,9 +165,9 @@
         """Ask the holder for what waits here; a busy volume's broker also for what comes meanwhile."""
         now_us, volume = self._context.now_us, request.volume
         credit = volume.credit
-        coming = 2 * plan.rate_limit * CREDIT_LIFETIME_US / SECOND_US if credit.is_short else 0.0
+        expected = 2 * plan.rate_limit * CREDIT_LIFETIME_US / SECOND_US if credit.is_short else 0.0
         holder = leases.presumed_holder(leases.slot_of(volume.key), now_us, credit.unanswered)
-        credit.request(now_us, sum(waiting_units) + coming, min(waiting_units), now_us + QUOTA_RETRY_US)
+        credit.request(now_us, sum(waiting_units) + expected, min(waiting_units), now_us + QUOTA_RETRY_US)
         message = QuotaRequest(
             volume_key=volume.key,
             plan=request.arrival.plan,
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -30,13 +30,13 @@
     Timer,
 )
 from harriertide.decide.demand import Demand
-from harriertide.decide.derived import derive
+from harriertide.decide.derived import IDLE_STATE_RETENTION_US, derive
 from harriertide.decide.dispatch import Dispatcher
 from harriertide.decide.endpoint_polling import EndpointPolling
 from harriertide.decide.endpoints import Endpoints
 from harriertide.decide.health import HealthChecks
 from harriertide.decide.key_queues import KeyQueues
-from harriertide.decide.latency import UsualLatency
+from harriertide.decide.latency import BaselineLatency
 from harriertide.decide.peer_exchange import PeerExchange
 from harriertide.decide.placement import Placement, Placements
 from harriertide.decide.rate_limits import RateLimits
@@ -66,7 +66,7 @@
         self.capacity = CapacityEstimator(self.context)
         self.demand = Demand(self.context, self.endpoints, self.exchange, self.capacity)
         self.rate_limits = RateLimits(self.context, self.exchange)
-        self.latency = UsualLatency()
+        self.latency = BaselineLatency()
         self.health = HealthChecks(self.context, self.endpoints, self.latency)
         self.placement = Placement(self.context, self.endpoints, self.health)
         self.placements = Placements()
@@ -127,7 +127,7 @@
     def _start(self) -> None:
         """The first call: time is known from here on."""
         self.context.started_at_us = self.context.now_us
-        self._apply_settings(self.context.settings)
+        self.rate_limits.apply_settings()  # leases begin with the first call, as they need its time
         self.demand.start()
         self.endpoint_polling.start()
 
@@ -179,11 +179,11 @@
         request = self._new_request(arrival)
         self.responses.add(request)
         self.retry_budget.record_request()
-        last_moment_us = context.last_moment_us(arrival)
-        context.timers.schedule(last_moment_us, RequestTimer(request))
+        answer_deadline_us = context.answer_deadline_us(arrival)
+        context.timers.schedule(answer_deadline_us, RequestTimer(request))
         self.key_queues.join(request)
         shard = self._shard_for(arrival)
-        if shard is None or last_moment_us <= context.now_us:
+        if shard is None or answer_deadline_us <= context.now_us:
             self.responses.give_up(request, "no_node" if shard is None else "deadline")
             return
         request.shard = shard
@@ -200,14 +200,14 @@
         context = self.context
         request_class = context.settings.classes[arrival.request_class]
         objective_us = request_class.latency_objective_us
-        last_moment_us = context.last_moment_us(arrival)
+        answer_deadline_us = context.answer_deadline_us(arrival)
         return RequestState(
             id=arrival.request_id,
             request_class=request_class,
             arrival=arrival,
             volume=self.rate_limits.use_volume(arrival),
             arrived_at_us=context.now_us,
-            objective_at_us=min(context.now_us + objective_us, last_moment_us),
+            objective_at_us=min(context.now_us + objective_us, answer_deadline_us),
             weighted_units=arrival.units * context.derived.shortest_objective_us / objective_us,
         )
 
@@ -262,9 +262,9 @@
         assert shard is not None
         self._release_attempt(request, node)
         if outcome.kind not in api.NOT_EXECUTED_OUTCOMES:
-            request.note_execution(node, attempt.sent_at_us)
+            request.record_execution(node, attempt.sent_at_us)
         if outcome.kind in _MAY_STILL_RUN:
-            self.key_queues.keep_quiet(request)
+            self.key_queues.start_quiet_period(request)
         self.health.on_outcome(node, outcome.kind)
         self.demand.mark_active(shard)
         self.context.mark_ready(shard)
@@ -328,7 +328,7 @@
 
     def _forget(self) -> None:
         """Forget what cannot matter any more."""
-        self.placements.forget(self.context.now_us - self.context.derived.idle_retention_us)
+        self.placements.forget(self.context.now_us - IDLE_STATE_RETENTION_US)
         self.rate_limits.forget_idle()
         self.endpoints.forget_removed()
 
@@ -348,12 +348,12 @@
             case LeaseTimer():
                 self.rate_limits.on_lease_timer(timer)
             case KeyTimer(key):
-                self.key_queues.on_quiet_over(key)
+                self.key_queues.on_quiet_period_over(key)
 
     def _on_request_timer(self, request: RequestState) -> None:
         """A request's last moment is answered at once; one that may leave now is queued."""
-        last_moment_us = self.context.last_moment_us(request.arrival)
-        if self.context.now_us >= last_moment_us and not request.open_attempts:
+        answer_deadline_us = self.context.answer_deadline_us(request.arrival)
+        if self.context.now_us >= answer_deadline_us and not request.open_attempts:
             self.responses.give_up(request, "deadline")
         elif self._may_be_queued(request):
             self.dispatcher.enqueue(request)
--- a/harriertide/decide/slow_start.py
+++ b/harriertide/decide/slow_start.py
@@ -13,17 +13,17 @@
 from harriertide.decide.endpoints import Endpoints
 from harriertide.decide.peer_exchange import PeerExchange
 from harriertide.decide.peer_messages import (
+    ANSWER_TIME_UNIT_US,
     MAX_BYTE,
-    PROOF_TIME_UNIT_US,
     SlowStartGrant,
     SlowStartRequest,
 )
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US
 from harriertide.decide.state import GrantedUnits, NodeState
-from harriertide.decide.warming import bearable_units, is_warming
+from harriertide.decide.warming import is_warming, slow_start_budget_units
 
-# So many of the largest requests tell what a warming node can do by now; older answers count half.
-PROOF_REQUEST_COUNT = 16
+# Answers to so many of the largest requests show what a warming node can do by now; older ones count half.
+MEASUREMENT_REQUEST_COUNT = 16
 
 
 class SlowStart:
@@ -56,7 +56,7 @@
             units=ceil(units),
             number=credit.request_number,
             answered_units=min(MAX_BYTE, int(node.answered_units)),
-            answered_time=min(MAX_BYTE, ceil(node.answered_us / PROOF_TIME_UNIT_US)),
+            answered_time_units=min(MAX_BYTE, ceil(node.answered_us / ANSWER_TIME_UNIT_US)),
         )
         node.answered_units = 0.0
         node.answered_us = 0
@@ -70,7 +70,7 @@
         node.slow_start_credit.spend(units)
 
     def record_answer(self, node: NodeState, units: float, took_us: int) -> None:
-        """A node has answered; while it warms up that is proof of what it can do."""
+        """A node has answered; while it warms up, that measures what it can do."""
         if is_warming(self._context, node):
             node.answered_units += units
             node.answered_us += took_us
@@ -89,15 +89,17 @@
         """As coordinator, grant what this one's part of the budget still covers."""
         context = self._context
         settings, derived = context.settings, context.derived
-        is_mine = settings.broker_index in derived.coordinators(request.shard)
-        if request.shard >= settings.shard_count or not is_mine:
+        is_coordinator = settings.broker_index in derived.coordinators(request.shard)
+        if request.shard >= settings.shard_count or not is_coordinator:
             return
         for node in self._warming_nodes(request.shard, request.started_ms):
-            took_us = request.answered_time * PROOF_TIME_UNIT_US
-            node.add_proof(request.answered_units, took_us, PROOF_REQUEST_COUNT * settings.max_request_units)
+            took_us = request.answered_time_units * ANSWER_TIME_UNIT_US
+            node.add_measurement(
+                request.answered_units, took_us, MEASUREMENT_REQUEST_COUNT * settings.max_request_units
+            )
             span_us = settings.collapse_window_us + CREDIT_LIFETIME_US + settings.tick_us
             granted = node.units_granted_since(context.now_us - span_us)
-            if granted + request.units <= bearable_units(context, node) * derived.slow_start_ratio:
+            if granted + request.units <= slow_start_budget_units(context, node) * derived.slow_start_ratio:
                 node.granted.append(GrantedUnits(context.now_us, request.units))
                 grant = SlowStartGrant(
                     request.shard,
@@ -105,7 +107,7 @@
                     request.units,
                     request.number,
                     request.answered_units,
-                    request.answered_time,
+                    request.answered_time_units,
                 )
                 self._exchange.send(broker, grant)
 
--- a/harriertide/decide/state.py
+++ b/harriertide/decide/state.py
@@ -78,7 +78,7 @@
         """Whether no other request of its key has to run first."""
         return self.key_queue is None or self.key_queue.is_first(self)
 
-    def note_execution(self, node: NodeState, sent_at_us: int) -> None:
+    def record_execution(self, node: NodeState, sent_at_us: int) -> None:
         """An attempt may have run; the earliest one counts."""
         if not self.may_have_run or sent_at_us < self.executed_since_us:
             self.executed_since_us = sent_at_us
@@ -102,8 +102,8 @@
 class NodeState:
     """One node of the endpoint list: what is open there and what its answers were like.
 
-    latency_ratio: of its latest answers over what is usual for their class. overtaking_answers: of each
-    attempt that is open there, how many answers came to what was sent later. granted, proven_*: as
+    latency_ratio: of its latest answers over the baseline of their class. overtaking_answers: of each
+    attempt that is open there, how many answers came to what was sent later. granted, measured_*: as
     coordinator of its shard, for all brokers. answered_*: here, while warming up and since the last grant
     request.
     """
@@ -123,8 +123,8 @@
     granted: list[GrantedUnits] = field(default_factory=list)  # the oldest first
     answered_units: float = 0.0
     answered_us: int = 0
-    proven_units: float = 0.0
-    proven_us: int = 0
+    measured_units: float = 0.0
+    measured_us: int = 0
     slow_start_credit: QuotaCredit = field(default_factory=QuotaCredit)
 
     def restart(self, started_us: int) -> None:
@@ -136,19 +136,19 @@
         self.slow_start_credit.void()
         self.answered_units = 0.0
         self.answered_us = 0
-        self.proven_units = 0.0
-        self.proven_us = 0
+        self.measured_units = 0.0
+        self.measured_us = 0
 
-    def add_proof(self, units: float, took_us: int, max_units: float) -> None:
-        """As coordinator: answers to any broker. Older ones count less, as it gets warmer.
+    def add_measurement(self, units: float, took_us: int, max_units: float) -> None:
+        """As coordinator: count answers to any broker. Older ones count less, as the node gets warmer.
 
-        :param max_units: beyond it all proof so far is halved
+        :param max_units: beyond it all that was measured so far is halved
         """
-        self.proven_units += units
-        self.proven_us += took_us
-        if self.proven_units > max_units:
-            self.proven_units /= 2
-            self.proven_us //= 2
+        self.measured_units += units
+        self.measured_us += took_us
+        if self.measured_units > max_units:
+            self.measured_units /= 2
+            self.measured_us //= 2
 
     def units_granted_since(self, at_us: int) -> float:
         """As coordinator: units granted after then; older grants are forgotten."""
@@ -189,7 +189,7 @@
     unanswered_bids: int = 0
     local_latency_ratio: float = 0.0
     allotment: float = 0.0
-    next_look_at_us: int = 0
+    next_recheck_at_us: int = 0
     queue: list[tuple[int, int, RequestState]] = field(default_factory=list)  # heap, earliest objective first
     queued_units: float = 0.0
     offered_units: list[float] = field(default_factory=lambda: _per_band(0.0))  # in this bid interval
@@ -228,3 +228,4 @@
     quota_buckets: dict[int, TokenBucket] = field(default_factory=dict)
     credit: QuotaCredit = field(default_factory=QuotaCredit)
     waiting: list[RequestState] = field(default_factory=list)
+    used_at_us: int = 0  # when its last request came
--- a/harriertide/decide/warming.py
+++ b/harriertide/decide/warming.py
@@ -16,10 +16,10 @@
     return node.started_us > 0 and context.now_us < node.started_us + context.settings.slow_start_us
 
 
-def bearable_units(context: DecisionContext, node: NodeState) -> float:
+def slow_start_budget_units(context: DecisionContext, node: NodeState) -> float:
     """Units that a warming node bears in one collapse window by now, from all brokers together.
 
-    The safe figure is that of its start, with the slowest rise that the settings allow. Its answers prove
+    The safe figure is that of its start, with the slowest rise that the settings allow. Its answers show
     more: their units over the time that they took are at most what one core does.
     """
     settings = context.settings
@@ -29,8 +29,8 @@
     window_us = settings.collapse_load_ratio * settings.collapse_window_us
     weight_units = SAFE_RATE_WEIGHT_REQUESTS * settings.mean_request_units
     weight_us = weight_units * window_us / max(MIN_SLOW_START_UNITS, settings.slow_start_units)
-    proven = (node.proven_units + weight_units) * window_us / max(1.0, node.proven_us + weight_us)
-    return max(safe, proven)
+    measured = (node.measured_units + weight_units) * window_us / max(1.0, node.measured_us + weight_us)
+    return max(safe, measured)
 
 
 def assume_all_granted(context: DecisionContext, node: NodeState) -> None:
@@ -39,4 +39,4 @@
     Guards against a budget that is granted twice: once by this broker before it restarted, or by the
     coordinator of before, and once more by this one, which does not know of it.
     """
-    node.granted.append(GrantedUnits(context.now_us, bearable_units(context, node)))
+    node.granted.append(GrantedUnits(context.now_us, slow_start_budget_units(context, node)))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -147,8 +147,9 @@
     is_overloaded: bool = True,
 ) -> bytes:
     """A coordinator's report on a shard whose capacity it has learned, as it is sent."""
-    flags = DemandReport.flags_of(True, is_overloaded)
-    return encode([DemandReport(shard, tuple(demand), capacity, weight_sum, latency_ratio, flags)])[0]
+    return encode(
+        [DemandReport(shard, tuple(demand), capacity, weight_sum, latency_ratio, True, is_overloaded)]
+    )[0]
 
 
 def message_bodies(actions: list[api.Action], kind: type[PeerMessage] = DemandBid) -> list[bytes]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -30,12 +30,13 @@
     harder to leave than to enter.
     """
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO)
-    steps = ((4.0, 0), (15.0, 0), (15.0, 2), (9.0, 2), (4.0, 2), (4.0, 0))  # smoothed, and harder to leave
+    # smoothed, and harder to leave than to enter
+    steps = ((4.0, False), (15.0, False), (15.0, True), (9.0, True), (4.0, True), (4.0, False))
     for latency_weighted_rate, is_overloaded in steps:
         broker.now_us += SECOND_US
         datagram = bid_datagram(0, [9.0] * PRIORITY_BAND_COUNT, 20.0, latency_weighted_rate)
         (report,) = demand_reports(broker.handle(api.PeerMessageReceived(1 - COORDINATOR_OF_TWO, datagram)))
-        assert round(report.flags) & 2 == is_overloaded
+        assert report.is_overloaded is is_overloaded
 
 
 def test_overload_begins_with_slow_answers_and_ends_again() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 from harriertide.decide import api
 from harriertide.decide.peer_messages import SlowStartGrant, SlowStartRequest, decode, encode
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US
-from harriertide.decide.warming import bearable_units
+from harriertide.decide.warming import slow_start_budget_units
 from tests.fleet_simulation import (
     LARGE_COORDINATOR,
     LARGE_FLEET,
@@ -55,7 +55,7 @@
     node = quick_broker.scheduler.endpoints.nodes["n0"]
     restarted = api.NodeEntry("n0", 0, "live", 0, quick_broker.now_us)
     quick_broker.handle(api.EndpointUpdate("delta", (restarted,)))
-    assert node.proven_units == node.answered_units == 0  # what it did before the restart proves nothing
+    assert node.measured_units == node.answered_units == 0  # what it did before the restart proves nothing
 
 
 def test_a_few_quick_answers_prove_little() -> None:
@@ -67,7 +67,9 @@
         for send in started_attempts(broker.request(units=1.0) + broker.advance(200_000, 10_000)):
             broker.handle(api.AttemptFinished(send.request_id, 0, "n0", "ok", 1_000, True))
     broker.advance(300_000, 10_000)
-    assert bearable_units(broker.scheduler.context, broker.scheduler.endpoints.nodes["n0"]) < 24 * 2.1
+    assert (
+        slow_start_budget_units(broker.scheduler.context, broker.scheduler.endpoints.nodes["n0"]) < 24 * 2.1
+    )
 
 
 def grant_for(datagram: bytes) -> bytes:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -94,15 +94,29 @@
     7: peer_messages.SlowStartGrant, 8: peer_messages.LeaseVoteRequest, 9: peer_messages.LeaseVote,
     10: peer_messages.QuotaRequest, 11: peer_messages.QuotaGrant,
 }  # fmt: skip
+FLAGS = {0: (False, False), 1: (True, False), 2: (False, True), 3: (True, True)}
 
 
 def peer_message(kind: int, key: int, figures: list[Any]) -> Any:
     """A message by the figures that the text before had in a list."""
-    if kind in (2, 3):
-        return KINDS[kind](key, tuple(figures[:6]), *figures[6:])
+    if kind == 2:
+        return peer_messages.DemandBid(key, tuple(figures[:6]), *figures[6:])
+    if kind == 3:  # the text before had both flags in one figure
+        *rates, flags = figures
+        is_known, is_overloaded = FLAGS[flags]
+        return peer_messages.DemandReport(key, tuple(rates[:6]), *rates[6:], is_known, is_overloaded)
     return KINDS[kind](key, *figures)
 
 
+def flags_of(messages: list[Any]) -> list[tuple[bool, bool]]:
+    """The flags of reports; other messages have none."""
+    return [
+        (message.is_capacity_known, message.is_overloaded)
+        for message in messages
+        if isinstance(message, peer_messages.DemandReport)
+    ]
+
+
 def test_datagrams_between_brokers_are_the_same_bytes() -> None:
     for case in stored_json("datagrams.json"):
         messages = [peer_message(case["kind"], key, figures) for key, figures in case["rows"]]
@@ -113,6 +127,7 @@
             assert [message.shard for message in decoded if hasattr(message, "shard")] == [
                 message.shard for message in messages
             ]
+            assert flags_of(decoded) == flags_of(messages)
         else:
             assert decoded == messages
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -236,7 +236,7 @@
         [1.0] * 9, 5, {2: (9, [0.5])}, 0.0, False, False, 0, False, 0, 0.0, {}
     )
     decisions = handover_records.DecisionRecord(
-        aggregates={4: aggregate}, usual_latency_us=[2.0], leases=leases
+        aggregates={4: aggregate}, baseline_latency_us=[2.0], leases=leases
     )
     directory = DirectoryState(9, [api.NodeEntry("b", 1)], {"b": "x:1"}, ["a"])
     data = record.encode(replace(EMPTY, decisions=decisions, directory=directory))
@@ -318,7 +318,7 @@
     keeper, taker = old.scheduler, new.scheduler
     node = keeper.endpoints.nodes["n0"]
     node.granted.append((START_US, 3.0))
-    node.is_ejected, node.proven_units = True, 4.0
+    node.is_ejected, node.measured_units = True, 4.0
     cell = keeper.endpoints.shards[node.shard]
     cell.capacity, cell.is_capacity_known, cell.is_overloaded = 42.0, True, True
     cell.demand[0] = 5.0
@@ -330,7 +330,7 @@
     ).decisions
     handover.import_state(taker, state, new.now_us)
     there, shard = taker.endpoints.nodes["n0"], taker.endpoints.shards[node.shard]
-    assert there.granted == node.granted and there.is_ejected and there.proven_units == 4.0
+    assert there.granted == node.granted and there.is_ejected and there.measured_units == 4.0
     assert (shard.capacity, shard.is_capacity_known, shard.is_overloaded) == (42.0, True, True)
     assert (
         shard.shard in taker.demand.active_shards
