--- a/harriertide/decide/context.py
+++ b/harriertide/decide/context.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTimer:
-    """A request's last moment for an answer, or an earlier one at which it may be able to leave."""
+    """A request's deadline, or an earlier time at which it may be able to leave."""
 
     request: RequestState
 
--- a/harriertide/decide/demand_aggregate.py
+++ b/harriertide/decide/demand_aggregate.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from harriertide.decide.expiry import expire_oldest
 from harriertide.decide.peer_messages import DemandBid
 from harriertide.decide.state import PRIORITY_BAND_COUNT
 
@@ -77,17 +78,16 @@
         """
         figures = [*bid.demand, bid.served_rate, bid.latency_weighted_rate, bid.weight_sum]
         outdated = [self.bids.pop(broker)] if broker in self.bids else []
-        while self.bids and now_us - next(iter(self.bids.values())).received_at_us > lifetime_us:
-            outdated.append(self.bids.pop(next(iter(self.bids))))
+        expired = expire_oldest(self.bids, lambda old: now_us - old.received_at_us > lifetime_us)
+        outdated += [old for _, old in expired]
         self.bids[broker] = ReceivedBid(now_us, figures)
         self.updated_at_us = now_us
         self._record_bidder(broker, now_us, retention_us)
         for index, figure in enumerate(figures):
-            expired = sum(old.figures[index] for old in outdated)
-            self.sums[index] = max(0.0, self.sums[index] + figure - expired)
+            lost = sum(old.figures[index] for old in outdated)
+            self.sums[index] = max(0.0, self.sums[index] + figure - lost)
 
     def _record_bidder(self, broker: int, now_us: int, retention_us: int) -> None:
         self.bidders.pop(broker, None)
         self.bidders[broker] = now_us
-        while now_us - next(iter(self.bidders.values())) > retention_us:
-            del self.bidders[next(iter(self.bidders))]
+        expire_oldest(self.bidders, lambda bid_at_us: now_us - bid_at_us > retention_us)
--- a/harriertide/decide/dispatch.py
+++ b/harriertide/decide/dispatch.py
@@ -19,7 +19,7 @@
 
 # Queued work may need this part of the shortest latency objective before the lowest priorities are given up.
 QUEUE_OBJECTIVE_RATIO = 0.3
-# How often queued work is looked at without news of its shard, and only while some is queued.
+# How often a queue is checked again without news of its shard, and only while something is queued.
 QUEUE_RECHECK_INTERVAL_US = 10_000
 
 
@@ -115,7 +115,7 @@
         return self._context.now_us + expected_us > request.objective_at_us
 
     def _schedule_recheck(self, shard: ShardState) -> None:
-        """Look at the queue soon, also without news of the shard."""
+        """Check the queue again soon, also without news of the shard."""
         now_us = self._context.now_us
         if shard.next_recheck_at_us <= now_us:
             shard.next_recheck_at_us = now_us + max(QUEUE_RECHECK_INTERVAL_US, self._context.settings.tick_us)
--- a/harriertide/decide/endpoints.py
+++ b/harriertide/decide/endpoints.py
@@ -4,6 +4,7 @@
 
 from harriertide.decide import api
 from harriertide.decide.context import DecisionContext
+from harriertide.decide.expiry import expire_oldest
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US
 from harriertide.decide.state import NodeState, ShardState
 from harriertide.decide.units import SECOND_US
@@ -76,7 +77,6 @@
         settings = self._context.settings
         kept_us = settings.slow_start_us + settings.collapse_window_us + REMOVAL_MARGIN_US
         before_us = self._context.now_us - kept_us
-        while self._removed_at_us and next(iter(self._removed_at_us.values())) < before_us:
-            node = self.nodes.pop(next(iter(self._removed_at_us)))
-            del self._removed_at_us[node.id]
+        for node_id, _ in expire_oldest(self._removed_at_us, lambda at_us: at_us < before_us):
+            node = self.nodes.pop(node_id)
             del self.shards[node.shard].nodes[node.id]
--- a/harriertide/decide/placement.py
+++ b/harriertide/decide/placement.py
@@ -12,6 +12,7 @@
 from harriertide.decide.context import DecisionContext
 from harriertide.decide.derived import PLACEMENT_SAMPLE_FACTOR
 from harriertide.decide.endpoints import Endpoints
+from harriertide.decide.expiry import expire_oldest
 from harriertide.decide.health import HealthChecks
 from harriertide.decide.state import NodeState, RequestState, ShardState
 from harriertide.decide.units import SECOND_US
@@ -58,8 +59,7 @@
 
     def forget(self, until_us: int) -> None:
         """Forget those that were placed by then."""
-        while self.by_key and next(iter(self.by_key.values())).placed_at_us <= until_us:
-            del self.by_key[next(iter(self.by_key))]
+        expire_oldest(self.by_key, lambda record: record.placed_at_us <= until_us)
 
     def redirected(self, arrival: api.Arrival) -> api.Arrival | None:
         """The same request to the shard that took its object.
--- a/harriertide/decide/quota_grants.py
+++ b/harriertide/decide/quota_grants.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from harriertide.decide.expiry import expire_oldest
 from harriertide.decide.leases import Leases
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US, REQUEST_NUMBER_COUNT, UNIT_COUNTER_COUNT
 from harriertide.decide.units import SECOND_US
@@ -124,5 +125,4 @@
 
     def forget(self, before_us: int) -> None:
         """Forget buckets that nobody asked of since then: they are full again."""
-        while self.buckets and next(iter(self.buckets.values())).requested_at_us < before_us:
-            del self.buckets[next(iter(self.buckets))]
+        expire_oldest(self.buckets, lambda bucket: bucket.requested_at_us < before_us)
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -11,6 +11,7 @@
 
 from harriertide.decide import api
 from harriertide.decide.context import DecisionContext, LeaseTimer, RequestTimer
+from harriertide.decide.expiry import expire_oldest
 from harriertide.decide.leases import VOTE_INTERVAL_US, Leases
 from harriertide.decide.peer_exchange import PeerExchange
 from harriertide.decide.peer_messages import LeaseVote, LeaseVoteRequest, QuotaGrant, QuotaRequest
@@ -81,8 +82,7 @@
         now_us, retention_us = self._context.now_us, self._context.derived.volume_retention_us
         if self.grants is not None:
             self.grants.forget(now_us - retention_us)
-        while self.volumes and now_us - next(iter(self.volumes.values())).used_at_us > retention_us:
-            del self.volumes[next(iter(self.volumes))]
+        expire_oldest(self.volumes, lambda volume: now_us - volume.used_at_us > retention_us)
 
     # --- volumes -------------------------------------------------------------------------------------
 
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -176,10 +176,10 @@
     def _on_arrival(self, arrival: api.Arrival) -> None:
         """Take a request: classify it, count it as offered, and queue it or give it up at once."""
         context = self.context
-        request = self._new_request(arrival)
+        answer_deadline_us = context.answer_deadline_us(arrival)
+        request = self._new_request(arrival, answer_deadline_us)
         self.responses.add(request)
         self.retry_budget.record_request()
-        answer_deadline_us = context.answer_deadline_us(arrival)
         context.timers.schedule(answer_deadline_us, RequestTimer(request))
         self.key_queues.join(request)
         shard = self._shard_for(arrival)
@@ -196,11 +196,10 @@
         elif request.is_its_turn():
             self.dispatcher.enqueue(request)
 
-    def _new_request(self, arrival: api.Arrival) -> RequestState:
+    def _new_request(self, arrival: api.Arrival, answer_deadline_us: int) -> RequestState:
         context = self.context
         request_class = context.settings.classes[arrival.request_class]
         objective_us = request_class.latency_objective_us
-        answer_deadline_us = context.answer_deadline_us(arrival)
         return RequestState(
             id=arrival.request_id,
             request_class=request_class,
@@ -351,7 +350,7 @@
                 self.key_queues.on_quiet_period_over(key)
 
     def _on_request_timer(self, request: RequestState) -> None:
-        """A request's last moment is answered at once; one that may leave now is queued."""
+        """Answer a request whose deadline has come; queue one that may leave now."""
         answer_deadline_us = self.context.answer_deadline_us(request.arrival)
         if self.context.now_us >= answer_deadline_us and not request.open_attempts:
             self.responses.give_up(request, "deadline")
