--- a/harriertide/cli/lab.py
+++ b/harriertide/cli/lab.py
@@ -26,7 +26,7 @@
 MODULES = {  # by experiment, under harriertide/lab/
     "bench-library": "benchmarks.library_overhead",
     "bench-maintenance": "benchmarks.maintenance_cost",
-    "consensus-check": "check",
+    "consensus-check": "experiments.consensus_check",
     "drains": "experiments.drains",
     "limits": "experiments.limits",
     "maintenance": "experiments.maintenance",
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -5,7 +5,7 @@
 follower's), `heartbeat`, `snapshots`, `membership`, `transfer`, `reads`. They share one `RaftState`, and put
 what is to be done into one `Outbox`. This module hands each event to the part that takes it.
 
-The invariants; each is named again beside the line that keeps it, and harriertide/lab/check.py tests it:
+The invariants; each is named again beside the line that keeps it, and lab/model_checker checks it:
 
 ELECTION   one leader a term: a vote is on the disk before it is sent, and only the member on the disk that
            the membership names may cast it (each disk has an identity, made on its first use)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -18,9 +18,9 @@
     encode_membership,
 )
 from harriertide.consensus.sessions import ANSWER_COUNT, CLIENT_COUNT, FORGOTTEN_ANSWER, Sessions
-from harriertide.lab.check import SEARCHES, SEEDED_BUG_SEARCHES, search
 from harriertide.lab.cluster import FAULTS, SECOND, Cluster, Host, run_simulation
 from harriertide.lab.history import Operation, is_linearizable
+from harriertide.lab.model_checker.scenarios import SEARCHES, SEEDED_BUG_SEARCHES, search
 
 
 @pytest.mark.parametrize("name", SEARCHES)
