--- a/harriertide/lab/experiments/consensus_check.py
+++ b/harriertide/lab/experiments/consensus_check.py
@@ -83,7 +83,8 @@
 def format_search(report: SearchReport, state_limit: int) -> str:
     """The lines of one search."""
     seeded_bug = f", seeded bug {report.seeded_bug}" if report.seeded_bug else ""
-    extent = "all" if report.states < state_limit else "the first"
+    is_exhaustive = report.states < state_limit and not report.counterexample
+    extent = "all" if is_exhaustive else "the first"
     violation, *path = report.counterexample or ["every invariant holds"]
     return "\n".join(
         [
--- a/harriertide/lab/model_checker/actions.py
+++ b/harriertide/lab/model_checker/actions.py
@@ -59,7 +59,7 @@
 class TimeOutElection(NodeAction):
     """A follower or candidate hears no leader for an election timeout."""
 
-    text = "elapse"
+    text = "election timeout"
 
     def spend(self, budget: Budget) -> Budget:
         """One election less."""
@@ -72,9 +72,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHeartbeat(NodeAction):
-    """A leader's heartbeat is due."""
+    """A heartbeat of a leader is due."""
 
-    text = "beat"
+    text = "heartbeat"
 
     def spend(self, budget: Budget) -> Budget:
         """One heartbeat less."""
@@ -136,7 +136,7 @@
 class LoseDisk(NodeAction):
     """The process ends, and starts anew on an empty disk."""
 
-    text = "lose-disk"
+    text = "lose disk"
     crashes = True
 
     def spend(self, budget: Budget) -> Budget:
@@ -164,7 +164,7 @@
         message = self.message
         fields = f"term {message.term}"
         if isinstance(message, AppendRequest):
-            fields += f", behind {message.prev_index}, {len(message.entries)} entries"
+            fields += f", after entry {message.prev_index}, {len(message.entries)} entries"
         kind = type(message).__name__
         return f"{self.text}: {kind} from {message.sender.name} to {message.to.name} ({fields})"
 
@@ -173,7 +173,7 @@
 class DeliverDuplicate(Deliver):
     """A message arrives, and a copy of it stays in flight."""
 
-    text = "deliver, and once more later"
+    text = "deliver, and keep a duplicate in flight"
 
     def spend(self, budget: Budget) -> Budget:
         """One duplicate less."""
--- a/harriertide/lab/model_checker/invariants.py
+++ b/harriertide/lab/model_checker/invariants.py
@@ -60,7 +60,7 @@
     """COMPLETE: no member applies another entry at an index than the one that was committed there first."""
     if (entry.term, entry.data) != (committed.term, committed.data):
         raise InvariantViolationError(
-            f"COMPLETE: {node.me.name} has another entry {entry.index} than was agreed on"
+            f"COMPLETE: {node.me.name} applies another entry {entry.index} than was committed"
         )
 
 
@@ -68,5 +68,5 @@
     """COMMIT: a leader commits by counting copies only up to an entry of its own term (section 5.4.2)."""
     if node.is_leader and last_committed.term != node.term:
         raise InvariantViolationError(
-            f"COMMIT: {node.me.name} agrees on entry {last_committed.index} by count"
+            f"COMMIT: {node.me.name} commits entry {last_committed.index} of an earlier term by count"
         )
--- a/harriertide/lab/model_checker/model_state.py
+++ b/harriertide/lab/model_checker/model_state.py
@@ -132,8 +132,8 @@
     )
 
 
-def founded_state() -> ModelState:
-    """A cluster that was founded: the membership is entry 1 of every log."""
+def bootstrapped_state() -> ModelState:
+    """A cluster that was just bootstrapped: the first membership is entry 1 of every log."""
     membership = Membership(tuple(Member(name, f"{name}1") for name in NODE_NAMES))
     entry = Entry(1, 1, "members", encode_membership(membership))
     disks = {name: Disk(f"{name}1", "c", 1, None, (entry,)) for name in NODE_NAMES}
--- a/harriertide/lab/model_checker/scenarios.py
+++ b/harriertide/lab/model_checker/scenarios.py
@@ -7,7 +7,7 @@
 from harriertide.consensus.messages import Message, VoteRequest, VoteResponse
 from harriertide.consensus.node import Node
 from harriertide.lab.model_checker.actions import Action, Deliver, Propose, TimeOutElection
-from harriertide.lab.model_checker.model_state import Budget, ModelState, founded_state
+from harriertide.lab.model_checker.model_state import Budget, ModelState, bootstrapped_state
 from harriertide.lab.model_checker.search import BreadthFirstSearch
 from harriertide.lab.model_checker.transitions import TransitionSystem
 from harriertide.lab.seeded_bugs import SEEDED_BUGS
@@ -41,7 +41,7 @@
 class Scenario:
     """One search.
 
-    :param prefix: the way from the founding of the cluster to the state in which the search starts
+    :param prefix: the steps from the bootstrap of the cluster to the state in which the search starts
     :param budget: what may happen from there on
     """
 
@@ -52,7 +52,7 @@
     def start(self) -> ModelState:
         """The state in which the search starts."""
         system = TransitionSystem()
-        state = founded_state()
+        state = bootstrapped_state()
         for step in self.prefix:
             state = _apply_step(system, state, step)
         state.budget = self.budget
--- a/harriertide/lab/seeded_bugs.py
+++ b/harriertide/lab/seeded_bugs.py
@@ -1,5 +1,5 @@
-"""Members with a known bug each: the search and the simulated runs have to find every one of them, or what
-they do not find means nothing.
+"""Members with one known bug each. A checker that does not find every one of them proves nothing by finding
+nothing in members without a bug.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class UnsyncedVotes(Outbox):
-    """Sends votes before they are on the disk."""
+    """Sends votes before they are synced."""
 
     def send_when_durable(self, message: Message) -> None:
         """Send a vote at once."""
@@ -36,10 +36,10 @@
 
 
 class CommitOfAnyTerm(Replication):
-    """Counts copies of entries of any term."""
+    """Commits entries of any term by counting copies."""
 
     def advance_commit(self) -> None:
-        """Commit what a majority has, whatever its term."""
+        """Commit up to what a majority has synced, whatever its term."""
         if self.state.is_leader:
             index = self.majority_index()
             if index > self.state.commit_index:
@@ -53,10 +53,10 @@
 
 
 class ConcurrentChanges(MembershipChanges):
-    """Takes the next change of membership before the last one is committed."""
+    """Starts the next change of membership before the last one is committed."""
 
     def change(self, event: ev.ChangeMembership) -> None:
-        """Remove a voter, whatever else is under way."""
+        """Remove a voter, whatever other change is not committed yet."""
         present = self.state.members.voters
         if self.state.is_leader and event.action == "remove" and event.member != self.state.me:
             voters = tuple(voter for voter in present if voter != event.member)
@@ -75,5 +75,5 @@
     "vote-not-synced": VotesBeforeSync,
     "earlier-term-by-count": CommitsEarlierTerms,
     "two-majorities": ChangesAtOnce,
-    "empty-disk-votes": Node,  # as it is; the disk has the name of the one that was lost
+    "empty-disk-votes": Node,  # the bug is in the disk: an empty one has the identity of the lost one
 }
