--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -48,6 +48,13 @@
     """A write or sync failed. The node halts until its process is started again."""
 
 
+@dataclass(frozen=True, slots=True)
+class InvariantViolated:
+    """An invariant does not hold. The node halts until its process is started again."""
+
+    reason: str
+
+
 @dataclass(frozen=True, slots=True)
 class Proposed:
     """Append a command, if this node leads. client and serial make its repetition recognizable."""
@@ -101,6 +108,7 @@
     | ElectionTimedOut
     | Synced
     | SyncFailed
+    | InvariantViolated
     | Proposed
     | ReadRequested
     | TransferLeadership
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -215,6 +215,8 @@
                 self._on_synced(event)
             case ev.SyncFailed():
                 self._roles.halt("the disk refused")
+            case ev.InvariantViolated():
+                self._roles.halt(event.reason)
             case _:
                 self._dispatch_request(event)
 
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -176,8 +176,8 @@
         return self._effects
 
     def _halt(self, now_us: int, reason: str) -> None:
-        """An invariant does not hold: answer nothing any more, and write nothing."""
-        self._step_node(now_us, ev.SyncFailed())
+        """Halt the node after a broken invariant: it answers and writes nothing from now on."""
+        self._step_node(now_us, ev.InvariantViolated(reason))
         self._effects.append(ev.LogLine(LogEvent.BROKEN.value, self.node.term, reason))
 
     # --- messages of other replicas -------------------------------------------------------------------
--- a/tests/test_raft_parts.py
+++ b/tests/test_raft_parts.py
@@ -31,6 +31,7 @@
     ClientRead,
     PendingRequests,
 )
+from harriertide.consensus.replica import Replica
 from harriertide.consensus.roles import InvariantViolationError, Roles
 from harriertide.consensus.state import RaftState
 
@@ -125,6 +126,32 @@
         receiver.on_append_request(AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000))
 
 
+class Unchanged:
+    """A state machine without a state."""
+
+    def apply(self, index: int, data: bytes) -> bytes:
+        return b""
+
+    def dump(self) -> bytes:
+        return b""
+
+    def load(self, data: bytes) -> None:
+        pass
+
+
+def test_a_member_that_halts_after_a_broken_invariant_names_the_invariant() -> None:
+    """An operator reads why a member is out of the agreement: its disk is not to blame for this."""
+    disk = ev.RestoredState("c", 1, None, None, (FOUNDING, command(2)))
+    replica = Replica(A, Unchanged(), Tuning(), disk, Random(0), 0)
+    replica.step(0, ev.MessageReceived(AppendRequest("c", B, A, 1, 2, 1, (), 2, 1, 400_000)))
+    changed = AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000)
+    effects = replica.step(0, ev.MessageReceived(changed))
+    lines = {line.event: line.detail for line in effects if isinstance(line, ev.LogLine)}
+    assert set(lines) == {"halted", "broken"}
+    assert all(detail.startswith("COMPLETE: entry 2") for detail in lines.values()), lines
+    assert replica.node.role == "halted" and not replica.step(0, ev.Tick())
+
+
 def test_a_truncated_membership_falls_back_to_the_one_before() -> None:
     """A change of membership was in the log of a leader that lost its term before it was committed."""
     smaller = Membership((A, B))
