--- a/harriertide/consensus/append_entries.py
+++ b/harriertide/consensus/append_entries.py
@@ -12,6 +12,29 @@
 from harriertide.consensus.state import RaftState
 
 
+def append_response(
+    state: RaftState,
+    request: AppendRequest | SnapshotChunk,
+    success: bool,
+    prev_index: int,
+    received_index: int,
+    match_index: int,
+) -> AppendResponse:
+    """The response to an append, or to a chunk that completes a snapshot."""
+    return AppendResponse(
+        cluster=state.cluster,
+        sender=state.me,
+        to=request.sender,
+        term=state.term,
+        success=success,
+        prev_index=prev_index,
+        received_index=received_index,
+        match_index=match_index,
+        heartbeat_round=request.heartbeat_round,
+        sync_us=int(state.disk.sync_us),
+    )
+
+
 class AppendReceiver:
     """Takes entries of the leader into the log."""
 
@@ -88,31 +111,15 @@
         if message.prev_index <= hint_index:
             before_term = state.log.first_index_of_term(message.prev_index) - 1
             hint_index = max(before_term, state.commit_index)
-        response = self._response(message, False, message.prev_index, hint_index, match_index=0)
+        response = append_response(state, message, False, message.prev_index, hint_index, match_index=0)
         self._outbox.send_when_term_durable(response)
 
     def _accept(self, message: AppendRequest, received_index: int) -> None:
         """Answer at once with what is synced, and again when the rest is: a slow disk is not silence."""
-        match_index = min(received_index, self._state.durable_index)
-        response = self._response(message, True, message.prev_index, received_index, match_index)
+        state, prev_index = self._state, message.prev_index
+        match_index = min(received_index, state.durable_index)
+        response = append_response(state, message, True, prev_index, received_index, match_index)
         self._outbox.send_when_term_durable(response)
         if match_index < received_index:
-            response = self._response(message, True, message.prev_index, received_index, received_index)
+            response = append_response(state, message, True, prev_index, received_index, received_index)
             self._outbox.send_when_durable(response)
-
-    def _response(
-        self, message: AppendRequest, success: bool, prev_index: int, received_index: int, match_index: int
-    ) -> AppendResponse:
-        state = self._state
-        return AppendResponse(
-            cluster=state.cluster,
-            sender=state.me,
-            to=message.sender,
-            term=state.term,
-            success=success,
-            prev_index=prev_index,
-            received_index=received_index,
-            match_index=match_index,
-            heartbeat_round=message.heartbeat_round,
-            sync_us=int(state.disk.sync_us),
-        )
--- a/harriertide/consensus/follower.py
+++ b/harriertide/consensus/follower.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, field
 from typing import NamedTuple
 
-import xxhash
-
 from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.fanout_messages import TreeUpdate
 from harriertide.consensus.messages import Entry
+from harriertide.consensus.state import IncomingSnapshot
 
 # Entries kept for children that are behind: as many as a voter keeps; who lacks more is sent a snapshot.
 KEPT_ENTRY_COUNT = 1024
@@ -29,22 +27,13 @@
     digest: int
 
 
-@dataclass(slots=True)
-class _IncomingSnapshot:
-    """A snapshot that comes in chunks. index and checksum tell it from another one."""
-
-    index: int = 0
-    checksum: int = 0
-    data: bytearray = field(default_factory=bytearray)
-
-
 class Follower:
     """Applies updates of the parent in order, and keeps entries for its own children."""
 
     def __init__(self, applied_state: AppliedState) -> None:
         self.applied_state = applied_state
         self._entries: deque[Entry] = deque(maxlen=KEPT_ENTRY_COUNT)
-        self._incoming = _IncomingSnapshot()
+        self._incoming = IncomingSnapshot()
 
     def apply_update(self, update: TreeUpdate) -> list[FollowedEntry]:
         """Apply the entries that come next, or take a chunk of a snapshot."""
@@ -60,17 +49,14 @@
 
     def _add_chunk(self, update: TreeUpdate) -> None:
         """Add a chunk that comes next, and load the snapshot once all of it is here."""
-        incoming = self._incoming
-        if (incoming.index, incoming.checksum) != (update.snapshot_index, update.checksum):
-            incoming = self._incoming = _IncomingSnapshot(update.snapshot_index, update.checksum)
-        if update.offset == len(incoming.data):
-            incoming.data += update.data
-        if len(incoming.data) < update.total_bytes:
+        key = (update.snapshot_index, update.checksum)
+        if self._incoming.key != key:
+            self._incoming = IncomingSnapshot(key)
+        if not self._incoming.add_chunk(update.offset, update.data, update.total_bytes):
             return
-        data = bytes(incoming.data)
-        incoming.data = bytearray()
+        data = self._incoming.take_data(update.checksum)
         # One that was damaged on its way is dropped: the parent sends it again after the next report.
-        if xxhash.xxh3_64_intdigest(data) == update.checksum:
+        if data is not None:
             self.applied_state.load(update.snapshot_index, data)
             self._entries.clear()
 
--- a/harriertide/consensus/heartbeat.py
+++ b/harriertide/consensus/heartbeat.py
@@ -11,13 +11,11 @@
 from harriertide.consensus.reads import ReadIndex
 from harriertide.consensus.replication import Replication
 from harriertide.consensus.snapshots import SnapshotSender
-from harriertide.consensus.state import PeerProgress, RaftState
+from harriertide.consensus.state import PeerProgress, RaftState, moving_average
 
 # Rounds whose times are kept for measuring round trips: six seconds of them, later answers tell nothing.
 ROUNDS_KEPT_COUNT = 64
-# Weights of the earlier round trips and of the latest in the smoothed time: about the last five count.
-EARLIER_ROUND_TRIPS_RATIO = 0.8
-LATEST_ROUND_TRIP_RATIO = 0.2
+ROUND_TRIP_WEIGHT = 0.2  # of the latest round trip in the moving average: about the last five count
 # An election takes two round trips and two syncs, a heartbeat half a round trip: with these a candidate wins
 # well within one election timeout, and jitter does not look like a silent leader.
 ROUND_TRIPS_PER_TIMEOUT = 6
@@ -80,19 +78,11 @@
             progress.last_answered_round = heartbeat_round
             sent_us = state.leadership.round_sent_us.get(heartbeat_round)
             if sent_us is not None:
-                self._smooth_round_trip(progress, state.now_us - sent_us)
+                took_us = state.now_us - sent_us
+                progress.round_trip_us = moving_average(progress.round_trip_us, took_us, ROUND_TRIP_WEIGHT)
             self._reads.confirm()
         return progress
 
-    @staticmethod
-    def _smooth_round_trip(progress: PeerProgress, took_us: int) -> None:
-        if not progress.round_trip_us:
-            progress.round_trip_us = took_us
-        else:
-            progress.round_trip_us = (
-                EARLIER_ROUND_TRIPS_RATIO * progress.round_trip_us + LATEST_ROUND_TRIP_RATIO * took_us
-            )
-
     def has_quorum(self) -> bool:
         """Whether a majority of the voters has answered lately.
 
--- a/harriertide/consensus/messages.py
+++ b/harriertide/consensus/messages.py
@@ -35,6 +35,13 @@
         """Voters and learners."""
         return (*self.voters, *self.learners)
 
+    def majority_value(self, values: list[int]) -> int:
+        """The highest value that a majority of the voters has reached.
+
+        :param values: one for each voter, in any order
+        """
+        return sorted(values, reverse=True)[self.majority - 1] if values else 0
+
     @property
     def majority(self) -> int:
         """How many voters decide."""
@@ -198,23 +205,9 @@
 ReplicaMessage = Proposal | ReadIndexRequest | ReadIndexResponse
 
 _encode = msgspec.msgpack.Encoder()
-_decode = msgspec.msgpack.Decoder(Message)
 _decode_membership = msgspec.msgpack.Decoder(Membership)
 
 
-def encode(message: Message) -> bytes:
-    """Encode a message as it is sent."""
-    return _encode.encode(message)
-
-
-def decode(data: bytes) -> Message:
-    """Decode a message.
-
-    :raises msgspec.DecodeError: (ValidationError) for bytes that are no message
-    """
-    return _decode.decode(data)
-
-
 def encode_membership(members: Membership) -> bytes:
     """Encode a membership as the data of an entry of kind "members"."""
     return _encode.encode(members)
--- a/harriertide/consensus/outbox.py
+++ b/harriertide/consensus/outbox.py
@@ -9,11 +9,9 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.events import LogEvent
 from harriertide.consensus.messages import Entry, Message, Snapshot, VoteResponse
-from harriertide.consensus.state import PendingPersist, RaftState
+from harriertide.consensus.state import PendingPersist, RaftState, moving_average
 
-# Weights of the earlier syncs and of the latest in the smoothed time: about the last three count.
-EARLIER_SYNCS_RATIO = 0.7
-LATEST_SYNC_RATIO = 0.3
+SYNC_TIME_WEIGHT = 0.3  # of the latest sync in the moving average: about the last three count
 
 
 class Outbox:
@@ -91,7 +89,7 @@
             return False
         disk.synced_number = event.number
         if event.took_us:
-            self._smooth_sync_time(event.took_us)
+            disk.sync_us = moving_average(disk.sync_us, event.took_us, SYNC_TIME_WEIGHT)
         while disk.pending and disk.pending[0].number <= event.number:
             state.durable_index = max(state.durable_index, disk.pending.popleft().last_index)
         while disk.waiting and disk.waiting[0][0] <= event.number:
@@ -100,13 +98,6 @@
                 self.emit(ev.SendMessage(message))
         return True
 
-    def _smooth_sync_time(self, took_us: int) -> None:
-        disk = self._state.disk
-        if not disk.sync_us:
-            disk.sync_us = float(took_us)
-        else:
-            disk.sync_us = EARLIER_SYNCS_RATIO * disk.sync_us + LATEST_SYNC_RATIO * took_us
-
     def send(self, message: Message) -> None:
         """Send at once a message that promises nothing."""
         self.emit(ev.SendMessage(message))
--- a/harriertide/consensus/reads.py
+++ b/harriertide/consensus/reads.py
@@ -47,7 +47,7 @@
             leadership.heartbeat_round if voter == state.me else progress_of[voter].last_answered_round
             for voter in state.members.voters
         ]
-        answered_round = sorted(rounds, reverse=True)[state.members.majority - 1] if rounds else 0
+        answered_round = state.members.majority_value(rounds)
         while leadership.pending_reads and leadership.pending_reads[0].heartbeat_round <= answered_round:
             read = leadership.pending_reads.popleft()
             self._outbox.emit(ev.ReadConfirmed(read.number, read.index))
--- a/harriertide/consensus/replication.py
+++ b/harriertide/consensus/replication.py
@@ -184,6 +184,4 @@
             state.durable_index if voter == state.me else state.leadership.progress[voter].match_index
             for voter in state.members.voters
         ]
-        if not synced_indexes:
-            return 0
-        return sorted(synced_indexes, reverse=True)[state.members.majority - 1]
+        return state.members.majority_value(synced_indexes)
--- a/harriertide/consensus/snapshots.py
+++ b/harriertide/consensus/snapshots.py
@@ -4,9 +4,8 @@
 
 from __future__ import annotations
 
-import xxhash
-
 from harriertide.consensus import events as ev
+from harriertide.consensus.append_entries import append_response
 from harriertide.consensus.events import LogEvent
 from harriertide.consensus.log import Log
 from harriertide.consensus.messages import (
@@ -128,18 +127,15 @@
         :returns: the snapshot, once all of it is here and its checksum is right
         """
         key = (message.snapshot_index, message.snapshot_term, message.checksum)
+        if self._state.incoming.key != key:
+            self._state.incoming = IncomingSnapshot(key)
         incoming = self._state.incoming
-        if incoming.key != key:
-            incoming = self._state.incoming = IncomingSnapshot(key)
-        if message.offset == len(incoming.data):
-            incoming.data += message.data
-        if len(incoming.data) < message.total_bytes:
+        if not incoming.add_chunk(message.offset, message.data, message.total_bytes):
             return None
-        data = bytes(incoming.data)
-        if xxhash.xxh3_64_intdigest(data) != message.checksum:
+        data = incoming.take_data(message.checksum)
+        if data is None:
             # A chunk was damaged on its way, nobody knows which: the response asks for all from the start.
             self._outbox.log(LogEvent.SNAPSHOT, "damaged on its way")
-            incoming.data = bytearray()
             return None
         return Snapshot(
             message.snapshot_index, message.snapshot_term, message.members, data, message.checksum
@@ -162,19 +158,8 @@
         self._outbox.emit(ev.InstallSnapshot(snapshot))
 
     def _append_response(self, message: SnapshotChunk, match_index: int) -> AppendResponse:
-        state = self._state
-        return AppendResponse(
-            cluster=state.cluster,
-            sender=state.me,
-            to=message.sender,
-            term=state.term,
-            success=True,
-            prev_index=message.snapshot_index,
-            received_index=message.snapshot_index,
-            match_index=match_index,
-            heartbeat_round=message.heartbeat_round,
-            sync_us=int(state.disk.sync_us),
-        )
+        index = message.snapshot_index
+        return append_response(self._state, message, True, index, index, match_index)
 
     def _chunk_response(self, message: SnapshotChunk) -> SnapshotChunkResponse:
         state = self._state
--- a/harriertide/consensus/state.py
+++ b/harriertide/consensus/state.py
@@ -11,11 +11,18 @@
 from enum import StrEnum
 from random import Random
 
+import xxhash
+
 from harriertide.consensus.events import RestoredState, Tuning
 from harriertide.consensus.log import Log
 from harriertide.consensus.messages import NO_MEMBERS, Member, Membership, Message, Snapshot
 
 
+def moving_average(average: float, sample: float, weight: float) -> float:
+    """The exponentially weighted moving average with a further sample; 0 stands for no sample so far."""
+    return (1 - weight) * average + weight * sample if average else float(sample)
+
+
 class Role(StrEnum):
     """What a node is at present."""
 
@@ -175,14 +182,33 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot that a leader is sending.
+    """A snapshot that arrives in chunks.
 
-    :param key: index, term and checksum, which tell it from another one; None where none is coming
+    :param key: index, checksum and the like, which tell it from another one; None where none is coming
     """
 
-    key: tuple[int, int, int] | None = None
+    key: tuple[int, ...] | None = None
     data: bytearray = field(default_factory=bytearray)
 
+    def add_chunk(self, offset: int, data: bytes, total_bytes: int) -> bool:
+        """Add a chunk if it is the next one.
+
+        :returns: whether the snapshot is complete
+        """
+        if offset == len(self.data):
+            self.data += data
+        return len(self.data) >= total_bytes
+
+    def take_data(self, checksum: int) -> bytes | None:
+        """Take the complete data, so that the next chunk has to be the first one again.
+
+        :param checksum: xxh3 of the snapshot's whole data
+        :returns: None where a chunk was damaged on its way
+        """
+        data = bytes(self.data)
+        self.data = bytearray()
+        return data if xxhash.xxh3_64_intdigest(data) == checksum else None
+
 
 @dataclass(slots=True)
 class RaftState:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,11 +13,10 @@
     Member,
     Membership,
     SnapshotChunk,
-    decode,
-    encode,
     encode_membership,
 )
 from harriertide.consensus.sessions import ANSWER_COUNT, CLIENT_COUNT, FORGOTTEN_ANSWER, Sessions
+from harriertide.control.wire import decode_message, encode_message
 from harriertide.lab.check import SEARCHES, SEEDED_BUG_SEARCHES, search
 from harriertide.lab.cluster import FAULTS, SECOND, Cluster, Host, run_simulation
 from harriertide.lab.history import Operation, is_linearizable
@@ -366,10 +365,10 @@
     a, b = Member("a", "a1"), Member("b", "b1")
     entry = Entry(7, 3, "members", encode_membership(Membership((a, b), ())), "client", 9)
     message = AppendRequest("c", a, b, 3, 6, 2, (entry,), 5, 11, 400_000)
-    assert decode(encode(message)) == message
-    for junk in (b"", b"\xff" * 40, encode(message)[:-3], b"\x81\xa4type\xa3odd"):
+    assert decode_message(encode_message(message)) == message
+    for junk in (b"", b"\xff" * 40, encode_message(message)[:-3], b"\x81\xa4type\xa3odd"):
         with pytest.raises(ValueError):
-            decode(junk)
+            decode_message(junk)
 
 
 def test_sessions_forget_in_order_and_alike() -> None:
