--- a/harriertide/maintenance/agreed_limits.py
+++ b/harriertide/maintenance/agreed_limits.py
@@ -49,8 +49,7 @@
 
 def _check_concurrency(state: MaintenanceState, order: Order) -> str:
     """ONCE."""
-    active_count = sum(step.order == order.id for step in state.active_steps())
-    if active_count >= order.at_once:
+    if state.active_step_count(order.id) >= order.at_once:
         return f"{order.at_once} of {order.id} are under way"
     return ""
 
@@ -68,7 +67,7 @@
 
 def _check_quorum(state: MaintenanceState, machine: str, order: Order) -> str:
     """QUORUM: voters that failed or are gone are out of service as well."""
-    if state.machines[machine].kind != "broker" or not state.machines[machine].voter:
+    if not state.machines[machine].voter:
         return ""
     voters = {each.name for each in state.machines.values() if each.voter}
     active = {step.machine for step in state.active_steps()}
--- a/harriertide/maintenance/capacity.py
+++ b/harriertide/maintenance/capacity.py
@@ -38,11 +38,12 @@
     :param without: a node that is to be left out
     """
     state = context.state
+    step_of = {step.machine: step for step in state.active_steps()}
     total = 0.0
     for machine in state.machines.values():
-        if machine.kind != "box" or machine.name == without or machine.name in state.failed_since_s:
+        if machine.is_broker or machine.name == without or machine.name in state.failed_since_s:
             continue
-        step = state.find_active_step(machine.name)
+        step = step_of.get(machine.name)
         if step is None:
             total += node_units(context, machine)
         elif step.phase == "returning":
--- a/harriertide/maintenance/confirmations.py
+++ b/harriertide/maintenance/confirmations.py
@@ -6,11 +6,10 @@
 
 from __future__ import annotations
 
-from harriertide.consensus.fanout import lease_lapse_us
+from harriertide.consensus.fanout import CLOCK_DRIFT_RATIO, lease_lapse_us
 from harriertide.maintenance.facts import PlanningContext
 from harriertide.maintenance.state import Step
 
-CLOCK_DRIFT_RATIO = 1.02  # of two clocks against each other: 1% each
 IN_FLIGHT_WRITE_US = 1_000_000  # beside the longest attempt: a write on its way when a lease ended
 
 
@@ -61,5 +60,5 @@
     limit_us = context.settings.isolation_limit_us
     if not limit_us:
         return False
-    over_us = int(CLOCK_DRIFT_RATIO * limit_us) + IN_FLIGHT_WRITE_US
+    over_us = int((1 + CLOCK_DRIFT_RATIO) * limit_us) + IN_FLIGHT_WRITE_US
     return _lease_expired_for_us(context, broker_index) >= over_us
--- a/harriertide/maintenance/failures.py
+++ b/harriertide/maintenance/failures.py
@@ -13,8 +13,9 @@
 def propose_failures(context: PlanningContext) -> list[Command]:
     """Return the failures and recoveries to agree on."""
     commands: list[Command] = []
+    active = {step.machine for step in context.state.active_steps()}
     for name, machine in context.state.machines.items():
-        is_active = context.state.find_active_step(name) is not None
+        is_active = name in active
         recorded = name in context.state.failed_since_s
         if is_active or not _is_unreachable(context, machine):
             context.facts.unreachable_since_us.pop(name, None)
@@ -30,7 +31,7 @@
 
 def _is_unreachable(context: PlanningContext, machine: Machine) -> bool:
     state, facts = context.state, context.facts
-    if machine.kind == "broker":
+    if machine.is_broker:
         if machine.name not in state.brokers:
             return False
         return state.brokers.index(machine.name) not in facts.alive_brokers
--- a/harriertide/maintenance/orders.py
+++ b/harriertide/maintenance/orders.py
@@ -11,7 +11,7 @@
 
 from harriertide.decide.settings import SettingsError
 
-MachineKind = Literal["box", "broker"]  # a box is a storage node: the word is stored, and sent
+MachineKind = Literal["box", "broker"]  # "box" is a storage node: the word is stored, and sent
 Work = Literal["restart", "keep", "replace"]
 LABEL_KEYS = ("zone", "rack", "release")
 HOUR_S = 3600.0
@@ -44,6 +44,11 @@
     units: float = 0.0
     voter: bool = False
 
+    @property
+    def is_broker(self) -> bool:
+        """Whether it is a broker; any other machine is a node."""
+        return self.kind == "broker"
+
     def get_label(self, key: str) -> str:
         """Return the value of a label.
 
@@ -139,14 +144,16 @@
     return tuple(named)
 
 
-def _parse_number(raw: dict[str, Any], key: str, least: float, most: float, default: float | None) -> float:
+def _parse_number(
+    raw: dict[str, Any], key: str, minimum: float, maximum: float, default: float | None
+) -> float:
     if key not in raw and default is not None:
         return default
     if key not in raw:
         raise OrderError(f"{key}: is missing")
     value = raw[key]
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
-        raise OrderError(f"{key}: must be a number from {least:g} to {most:g}")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value <= maximum:
+        raise OrderError(f"{key}: must be a number from {minimum:g} to {maximum:g}")
     return float(value)
 
 
--- a/harriertide/maintenance/permits.py
+++ b/harriertide/maintenance/permits.py
@@ -25,16 +25,14 @@
         for name in state.failed_since_s
         if name in state.machines and name != machine.name and state.machines[name].kind == machine.kind
     ]
-    active_count = sum(step.order == order.id for step in state.active_steps())
-    if failed_of_kind and active_count + len(failed_of_kind) >= order.at_once:
+    if failed_of_kind and state.active_step_count(order.id) + len(failed_of_kind) >= order.at_once:
         return f"{failed_of_kind[0]} is away, which uses up what may be away at once"
     return ""
 
 
 def _check_capacity(context: PlanningContext, machine: Machine, order: Order) -> str:
     """The other nodes have to serve what is required; without any known rate nobody can tell."""
-    is_in_service = machine.kind == "box" and machine.name not in context.state.failed_since_s
-    if not is_in_service or not node_units(context, machine):
+    if machine.is_broker or machine.name in context.state.failed_since_s or not node_units(context, machine):
         return ""
     available = available_units(context, without=machine.name)
     required = required_units(context, order.takes_s)
@@ -63,13 +61,11 @@
     def _sort_orders(self, context: PlanningContext) -> list[Order]:
         """Fair: fewest machines out of service first, then least lately served, then as submitted."""
         state = context.state
-        active_counts = dict.fromkeys(state.orders, 0)
-        for step in state.active_steps():
-            active_counts[step.order] += 1
 
         def rank(order: Order) -> tuple[int, int, float, str]:
             last_turn = self._last_turn.get(order.id, 0)
-            return active_counts[order.id], last_turn, state.submitted_at_s[order.id], order.id
+            active_count = state.active_step_count(order.id)
+            return active_count, last_turn, state.submitted_at_s[order.id], order.id
 
         return sorted((order for order in state.orders.values() if state.is_open(order.id)), key=rank)
 
@@ -80,7 +76,7 @@
 
     def rank(name: str) -> tuple[bool, bool, bool, int]:
         machine = machines.get(name)
-        is_broker = machine is not None and machine.kind == "broker"
+        is_broker = machine is not None and machine.is_broker
         has_not_failed = name not in context.state.failed_since_s
         return name not in order.first, has_not_failed, is_broker, order.machines.index(name)
 
--- a/harriertide/maintenance/phase_changes.py
+++ b/harriertide/maintenance/phase_changes.py
@@ -59,7 +59,7 @@
 
 def _leave_out(context: PlanningContext, step: Step) -> ChangePhase | None:
     """A node returns by the operator's word, a broker by its new process."""
-    if context.state.machines[step.machine].kind == "broker" and _has_restarted(context, step):
+    if context.state.machines[step.machine].is_broker and _has_restarted(context, step):
         return _change(context, step, "returning")
     takes_s = context.state.orders[step.order].takes_s
     if not step.overdue and context.facts.phase_age_s(step, context.now_us) > takes_s:
@@ -68,7 +68,7 @@
 
 
 def _leave_returning(context: PlanningContext, step: Step) -> ChangePhase | None:
-    is_broker = context.state.machines[step.machine].kind == "broker"
+    is_broker = context.state.machines[step.machine].is_broker
     if is_broker or context.facts.phase_age_s(step, context.now_us) >= context.settings.warm_up_s:
         return _change(context, step, "back")
     return None
--- a/harriertide/maintenance/planner.py
+++ b/harriertide/maintenance/planner.py
@@ -74,6 +74,6 @@
 
 def _describe_return(context: PlanningContext, step: Step) -> str:
     machine = context.state.machines.get(step.machine)
-    is_broker = machine is not None and machine.kind == "broker"
+    is_broker = machine is not None and machine.is_broker
     awaited = "its new process" if is_broker else f"`maintenance done {step.machine}`"
     return awaited + (", overdue" if step.overdue else "")
--- a/harriertide/maintenance/state.py
+++ b/harriertide/maintenance/state.py
@@ -66,6 +66,10 @@
         """Return the active step of a machine, if there is one."""
         return next((step for step in self.active_steps() if step.machine == machine), None)
 
+    def active_step_count(self, order: str) -> int:
+        """Return how many machines of an order are permitted, draining, out or returning."""
+        return sum(step.phase in ACTIVE_PHASES for step in self.steps.get(order, {}).values())
+
     def is_open(self, order: str) -> bool:
         """Whether something of an order is left to do."""
         return any(step.phase in OPEN_PHASES for step in self.steps.get(order, {}).values())
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -48,9 +48,9 @@
 from harriertide.maintenance.state import MaintenanceState
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 
-BOXES = [Machine(f"x{n}", "box", zone=f"z{n % 2}", group=f"g{n % 3}", units=10.0) for n in range(1, 7)]
+NODES = [Machine(f"x{n}", "box", zone=f"z{n % 2}", group=f"g{n % 3}", units=10.0) for n in range(1, 7)]
 BROKERS = [Machine(f"b{n}", "broker", voter=True) for n in range(1, 6)]
-ALL = {machine.name: machine for machine in (*BOXES, *BROKERS)}
+ALL = {machine.name: machine for machine in (*NODES, *BROKERS)}
 
 
 def declared(*more: Command) -> MaintenanceStateMachine:
@@ -418,7 +418,7 @@
     for seed in range(200):
         random, agreed = Random(seed), declared()
         for number in range(3):
-            names = tuple(random.sample([b.name for b in BOXES], 3))
+            names = tuple(random.sample([b.name for b in NODES], 3))
             submit(agreed, SubmitOrder(order(f"o{number}", names, at_once=random.randint(1, 2)), 2.0))
         planner, known = Planner(agreed, PlannerSettings()), facts(load_units=random.uniform(0, 60))
         for _ in range(40):
@@ -473,7 +473,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Planner, "propose", counted)
-        asked = Order("fw", tuple(box.name for box in BOXES[:4]), "replace", 604_800.0, at_once=1)
+        asked = Order("fw", tuple(node.name for node in NODES[:4]), "replace", 604_800.0, at_once=1)
         found = forecast_order(agreed, asked, PlannerSettings(warm_up_s=3_600.0), facts(), 3.0)
     assert [permit.machine for permit in found] == ["x1", "x2", "x3", "x4"]
     assert found[-1].after_s >= 3 * 604_800.0 and looks[0] <= 60
