--- a/harriertide/consensus/applied_state.py
+++ b/harriertide/consensus/applied_state.py
@@ -37,7 +37,7 @@
     def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
         self.sessions = Sessions()
-        self.applied = 0
+        self.last_applied = 0
         self.digest = 0
 
     def apply(self, entry: Entry) -> tuple[bytes, bool]:
@@ -45,7 +45,7 @@
 
         :returns: the answer, and whether the entry took effect now: False for a repeated command
         """
-        self.applied = entry.index
+        self.last_applied = entry.index
         answer, fresh = b"", False
         if entry.kind == "command":
             answer, fresh = self.sessions.apply_once(
@@ -64,4 +64,4 @@
         self.digest, sessions, state = msgpack.decode(data, type=tuple[int, bytes, bytes])
         self.sessions.load(sessions)
         self.machine.load(state)
-        self.applied = index
+        self.last_applied = index
--- a/harriertide/consensus/election.py
+++ b/harriertide/consensus/election.py
@@ -142,7 +142,7 @@
                 state.voted_for = message.sender
                 self._outbox.persist(term_changed=True)
             state.leader_contact_us = state.now_us
-            state.draw_election_wait()
+            state.reset_election_timeout()
         self._outbox.send_when_durable(self._response(message, state.term, granted))  # ELECTION
 
     def _response(
--- a/harriertide/consensus/follower.py
+++ b/harriertide/consensus/follower.py
@@ -37,11 +37,11 @@
 
     def apply_update(self, update: TreeUpdate) -> list[FollowedEntry]:
         """Apply the entries that come next, or take a chunk of a snapshot."""
-        if update.snapshot_index > self.applied_state.applied:
+        if update.snapshot_index > self.applied_state.last_applied:
             self._add_chunk(update)
         followed = []
         for entry in update.entries:
-            if entry.index == self.applied_state.applied + 1:
+            if entry.index == self.applied_state.last_applied + 1:
                 answer, fresh = self.applied_state.apply(entry)
                 self._entries.append(entry)
                 followed.append(FollowedEntry(entry, answer, fresh, self.applied_state.digest))
@@ -62,7 +62,7 @@
 
     def entries_after(self, index: int, max_count: int) -> tuple[Entry, ...] | None:
         """Entries behind an index, for a child; None where they are not kept any more."""
-        if index >= self.applied_state.applied:
+        if index >= self.applied_state.last_applied:
             return ()
         if not self._entries or self._entries[0].index > index + 1:
             return None
--- a/harriertide/consensus/roster.py
+++ b/harriertide/consensus/membership_reconciler.py
@@ -1,10 +1,10 @@
-"""Which brokers are members: founding on empty disks, and the return of a broker with another disk. Pure.
+"""Reconciles the membership with the voters of the deploy file: bootstrap, disks that were replaced. Pure.
 
-A disk has an identity, made on its first use. A cluster is founded only when every voter of the deploy file
-stands there with an empty disk at once: a broker that comes back with an empty disk to a cluster that exists
-can found no second one, and its old vote, which it has forgotten, does not count any more, since the
-membership names another disk. Its new disk is caught up as a learner, then the old disk is removed and the
-new one promoted, each by a change of membership that is committed.
+A disk has an identity, made on its first use. A cluster is bootstrapped only while every voter of the deploy
+file is there with an empty disk. So a broker that comes back with an empty disk to a cluster that exists
+can't bootstrap a second one; nor does the vote count that it has forgotten, as the membership names another
+disk. Its new disk is caught up as a learner, then the old disk is removed and the new one promoted, each by a
+change of membership that is committed.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from harriertide.consensus.node import Node
 
 HELLO_INTERVAL_US = 300_000
-# A hello older than this (five intervals) tells nothing about now.
+# A hello older than this (five intervals) says nothing about the present.
 HELLO_VALID_US = 1_500_000
-# A learner no further behind than this has caught up: the rest takes it one or two appends.
+# A learner no further behind than this has caught up: one or two appends bring the rest.
 CAUGHT_UP_ENTRY_COUNT = 64
 
 
 class Hello(Struct, frozen=True, tag="hello"):
-    """Who is there, on which disk, and of which cluster ("" for an empty disk)."""
+    """The sender is up, on this disk, as a member of this cluster ("" for an empty disk)."""
 
     sender: Member
     cluster: str
 
 
-class Founding(Struct, frozen=True, tag="found"):
+class BootstrapCluster(Struct, frozen=True, tag="found"):
     """From the first voter of the deploy file to the others: the cluster and its first membership."""
 
     cluster: str
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _HeardHello:
+class _ReceivedHello:
     """The latest hello of a voter's name."""
 
     disk: str
@@ -47,8 +47,8 @@
     received_us: int
 
 
-class Roster:
-    """What this broker hears of other voters, and the changes of membership that follow.
+class MembershipReconciler:
+    """Collects hellos of the other voters, and decides which change of membership comes next.
 
     :param voters: names in the order of the deploy file
     """
@@ -56,40 +56,40 @@
     def __init__(self, me: Member, voters: tuple[str, ...]) -> None:
         self.me = me
         self.voters = voters
-        self.duplicate_names: set[str] = set()  # names under which two disks answer at once
-        self._heard: dict[str, _HeardHello] = {}
+        self.duplicate_names: set[str] = set()  # of brokers under whose name two disks answer at once
+        self._hellos: dict[str, _ReceivedHello] = {}
         self._next_hello_us = 0
 
     def on_hello(self, now_us: int, hello: Hello) -> None:
-        """Another voter is there."""
+        """Take the hello of another voter."""
         if hello.sender.name in self.voters:
-            self._heard[hello.sender.name] = _HeardHello(hello.sender.disk, hello.cluster, now_us)
+            self._hellos[hello.sender.name] = _ReceivedHello(hello.sender.disk, hello.cluster, now_us)
 
     def next_hello(self, now_us: int, node: Node) -> Hello | None:
-        """What to send to all voters now; None while it is not time, or once this disk is a voter."""
+        """The hello to send to all voters; None while none is due, or once this disk is a voter."""
         if now_us < self._next_hello_us or self.me in node.members.voters:
             return None
         self._next_hello_us = now_us + HELLO_INTERVAL_US
         return Hello(self.me, node.cluster)
 
-    # --- founding -------------------------------------------------------------------------------------
+    # --- bootstrap ------------------------------------------------------------------------------------
 
-    def propose_founding(self, now_us: int, cluster: str) -> Founding | None:
-        """As the first voter, on an empty disk: the cluster, once all voters are there on empty disks."""
+    def propose_bootstrap(self, now_us: int, cluster: str) -> BootstrapCluster | None:
+        """As the first voter with an empty disk: the cluster, once all voters are there on empty disks."""
         if self.voters[0] != self.me.name:
             return None
         members = [self.me]
         for name in self.voters[1:]:
-            heard = self._heard.get(name)
-            if heard is None or heard.cluster or now_us - heard.received_us > HELLO_VALID_US:
+            hello = self._hellos.get(name)
+            if hello is None or hello.cluster or now_us - hello.received_us > HELLO_VALID_US:
                 # Guards against a second cluster beside one that a silent voter is a member of.
                 return None
-            members.append(Member(name, heard.disk))
-        return Founding(cluster, Membership(tuple(members)))
+            members.append(Member(name, hello.disk))
+        return BootstrapCluster(cluster, Membership(tuple(members)))
 
-    def accepts_founding(self, founding: Founding, node: Node) -> bool:
-        """Whether this disk is empty and one of the founders."""
-        return not node.cluster and not node.log.last_index and self.me in founding.members.voters
+    def accepts_bootstrap(self, bootstrap: BootstrapCluster, node: Node) -> bool:
+        """Whether this disk is empty and among the first voters."""
+        return not node.cluster and not node.log.last_index and self.me in bootstrap.members.voters
 
     # --- changes of membership ------------------------------------------------------------------------
 
@@ -127,10 +127,10 @@
 
     def _newcomer(self, now_us: int, node: Node, name: str) -> Member | None:
         """The member under this name that is there now, where the membership does not have it."""
-        heard = self._heard.get(name)
-        if heard is None or now_us - heard.received_us >= HELLO_VALID_US or name == self.me.name:
+        hello = self._hellos.get(name)
+        if hello is None or now_us - hello.received_us >= HELLO_VALID_US or name == self.me.name:
             return None
-        member = Member(name, heard.disk)
+        member = Member(name, hello.disk)
         return None if member in node.members.all else member
 
     def _remove_unlisted(self, node: Node) -> ev.ChangeMembership | ev.TransferLeadership | None:
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -185,8 +185,8 @@
         self._dispatch(event)
         return self._outbox.take_effects()
 
-    def found_cluster(self, now_us: int, cluster: str, members: Membership) -> list[ev.Effect]:
-        """On an empty disk: write the first membership, as entry 1 of term 1, identical at all founders.
+    def bootstrap_cluster(self, now_us: int, cluster: str, members: Membership) -> list[ev.Effect]:
+        """On an empty disk: write the first membership, as entry 1 of term 1, identical at all its voters.
 
         :returns: what is to be done, in order
         """
@@ -200,7 +200,7 @@
         state.log.append(entry)
         self._outbox.persist(entries=(entry,))
         state.leader_contact_us = now_us
-        state.draw_election_wait()
+        state.reset_election_timeout()
         return self._outbox.take_effects()
 
     def _dispatch(self, event: ev.Event) -> None:
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -27,7 +27,6 @@
 from harriertide.consensus.node import Node
 from harriertide.consensus.pending_requests import ClientCall, ClientRead, PendingRequests
 from harriertide.consensus.roles import InvariantViolationError
-from harriertide.consensus.sessions import Sessions
 
 # Entries behind the last snapshot before the next one is taken: bounds memory and a start's replay.
 SNAPSHOT_INTERVAL_COUNT = 1024
@@ -110,19 +109,9 @@
         return self.applied_state.machine
 
     @property
-    def sessions(self) -> Sessions:
-        """Answers to commands that were applied."""
-        return self.applied_state.sessions
-
-    @property
-    def applied(self) -> int:
+    def last_applied(self) -> int:
         """Index of the last entry that was applied."""
-        return self.applied_state.applied
-
-    @property
-    def digest(self) -> int:
-        """The state's chain of hashes."""
-        return self.applied_state.digest
+        return self.applied_state.last_applied
 
     @property
     def next_tick_us(self) -> int:
@@ -157,9 +146,9 @@
         :returns: what is to be done, in order
         """
         self._effects = []
-        answer = self.sessions.find(client, serial)
+        answer = self.applied_state.sessions.find(client, serial)
         if answer is not None:
-            return [CallCompleted(number, self.applied, answer)]
+            return [CallCompleted(number, self.last_applied, answer)]
         self._pending.add_call(ClientCall(number, client, serial, data, deadline_us))
         self._send_waiting(now_us)
         return self._effects
@@ -200,7 +189,7 @@
     def _propose(self, now_us: int, client: str, serial: int, data: bytes) -> None:
         """As leader: append a command, unless it is in the log already or was applied."""
         command = (client, serial)
-        is_known = command in self._proposed or self.sessions.find(client, serial) is not None
+        is_known = command in self._proposed or self.applied_state.sessions.find(client, serial) is not None
         if not self.node.is_leader or is_known:
             return
         next_index = self.node.log.last_index + 1
@@ -242,7 +231,7 @@
             self._effects.append(ev.SendMessage(request))
 
     def _complete_reads(self) -> None:
-        for number in self._pending.complete_reads(self.applied):
+        for number in self._pending.complete_reads(self.last_applied):
             self._effects.append(ReadCompleted(number))
 
     # --- effects of the node --------------------------------------------------------------------------
@@ -283,16 +272,16 @@
         if entry.kind == "command":
             for number in self._pending.complete_command(entry.client, entry.serial):
                 self._effects.append(CallCompleted(number, entry.index, answer))
-        self._effects.append(EntryApplied(entry.index, self.digest, fresh))
+        self._effects.append(EntryApplied(entry.index, self.applied_state.digest, fresh))
 
     def _on_install_snapshot(self, effect: ev.InstallSnapshot) -> None:
         self.applied_state.load(effect.snapshot.index, effect.snapshot.data)
-        self._effects.append(EntryApplied(self.applied, self.digest, False))
+        self._effects.append(EntryApplied(self.last_applied, self.applied_state.digest, False))
         for call in self._pending.calls():
-            answer = self.sessions.find(call.client, call.serial)
+            answer = self.applied_state.sessions.find(call.client, call.serial)
             if answer is not None:
                 self._pending.complete_call(call)
-                self._effects.append(CallCompleted(call.number, self.applied, answer))
+                self._effects.append(CallCompleted(call.number, self.last_applied, answer))
         self._complete_reads()
 
     def _on_read_confirmed(self, effect: ev.ReadConfirmed) -> None:
@@ -310,12 +299,14 @@
         """Dump the state machine once the log is long, unless a member lacks entries that would go."""
         log = self.node.log
         interval = self._snapshot_interval
-        log_length = self.applied - log.base_index
+        log_length = self.last_applied - log.base_index
         if log_length < interval:
             return []
         match_indexes = [progress.match_index for progress in self.node.progress.values()]
-        is_member_lagging = bool(match_indexes) and min(match_indexes) < self.applied - interval // 2
+        is_member_lagging = bool(match_indexes) and min(match_indexes) < self.last_applied - interval // 2
         if is_member_lagging and log_length < LAGGING_MEMBER_INTERVALS * interval:
             return []
         data = self.applied_state.dump()
-        return self.node.step(now_us, ev.SnapshotTaken(self.applied, data, xxhash.xxh3_64_intdigest(data)))
+        return self.node.step(
+            now_us, ev.SnapshotTaken(self.last_applied, data, xxhash.xxh3_64_intdigest(data))
+        )
--- a/harriertide/consensus/roles.py
+++ b/harriertide/consensus/roles.py
@@ -38,7 +38,7 @@
             self._outbox.log(LogEvent.FOLLOWS)
             state.leadership.end()
             state.leader_contact_us = state.now_us
-            state.draw_election_wait()
+            state.reset_election_timeout()
         if leader is not None and leader != state.leader:
             self._outbox.log(LogEvent.FOLLOWS_LEADER, leader.name)
         state.leader = leader
@@ -58,7 +58,7 @@
         state.leader_contact_us = state.now_us
         if message.election_timeout_us != state.election_timeout_us:
             state.election_timeout_us = message.election_timeout_us
-            state.draw_election_wait()
+            state.reset_election_timeout()
 
     def become_candidate(self, phase: CampaignPhase) -> None:
         """Campaign, without a leader. A vote (not a pre-vote) begins a new term with the own vote."""
@@ -66,7 +66,7 @@
         state.role = Role.CANDIDATE
         state.leader = None
         state.leader_contact_us = state.now_us
-        state.draw_election_wait()
+        state.reset_election_timeout()
         state.campaign.phase = phase
         state.campaign.votes = {state.me: False}
         state.campaign.term = state.term + 1
--- a/harriertide/consensus/state.py
+++ b/harriertide/consensus/state.py
@@ -219,7 +219,7 @@
     :param leader: from whom appends of this term come; on the leader itself: this member
     :param leader_contact_us: when a leader was last heard, or this node last voted or campaigned
     :param election_timeout_us: as the leader measures it; at the start the least that the settings allow
-    :param election_wait_us: the timeout with its random part: how long until this node campaigns
+    :param randomized_election_timeout_us: between one timeout and two: how long until this node campaigns
     """
 
     me: Member
@@ -235,7 +235,7 @@
     durable_index: int
     leader_contact_us: int
     election_timeout_us: int
-    election_wait_us: int = 0
+    randomized_election_timeout_us: int = 0
     role: Role = Role.FOLLOWER
     leader: Member | None = None
     campaign: Campaign = field(default_factory=Campaign)
@@ -271,7 +271,7 @@
             leader_contact_us=now_us,
             election_timeout_us=tuning.election_timeout_us,
         )
-        state.draw_election_wait()
+        state.reset_election_timeout()
         return state
 
     @property
@@ -300,11 +300,12 @@
     @property
     def campaign_at_us(self) -> int:
         """When this voter campaigns if it hears no leader before."""
-        return self.leader_contact_us + self.election_wait_us
+        return self.leader_contact_us + self.randomized_election_timeout_us
 
-    def draw_election_wait(self) -> None:
-        """Draw when to campaign: between one election timeout and two, so that few do so at once."""
-        self.election_wait_us = self.random.randint(self.election_timeout_us, 2 * self.election_timeout_us)
+    def reset_election_timeout(self) -> None:
+        """Draw the randomized election timeout anew, so that few members campaign at once."""
+        minimum_us, maximum_us = self.election_timeout_us, 2 * self.election_timeout_us
+        self.randomized_election_timeout_us = self.random.randint(minimum_us, maximum_us)
 
     def is_peer_connected(self, member: Member) -> bool:
         """As leader: another member has answered within two election timeouts."""
--- a/harriertide/control/__init__.py
+++ b/harriertide/control/__init__.py
@@ -7,7 +7,7 @@
 pending_calls        calls that wait for their result
 disk_writer          group commit to the member's store
 tree_updates         what a member sends to its children in the tree
-cluster_membership   founding a cluster, and disks that join or leave it
+cluster_membership   bootstrap of the cluster, and changes of its membership
 member_link          what a member's role shares with the member
 voter                the role of a broker with a vote and a disk
 follower_member      the role of a broker that only follows
--- a/harriertide/control/follower_member.py
+++ b/harriertide/control/follower_member.py
@@ -8,9 +8,9 @@
 from harriertide.consensus.fanout import UPDATE_ENTRY_COUNT
 from harriertide.consensus.fanout_messages import TreeUpdate
 from harriertide.consensus.follower import Follower
+from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello
 from harriertide.consensus.messages import Entry, Member, Message, Proposal
 from harriertide.consensus.pending_requests import RETRY_INTERVAL_US
-from harriertide.consensus.roster import Founding, Hello
 from harriertide.control.member_link import ClientCommand, MemberLink
 from harriertide.control.pending_calls import NOT_AGREED
 
@@ -78,17 +78,17 @@
                 call.next_attempt_us = now_us + RETRY_INTERVAL_US
                 self._link.send(self.leader, call.proposal)
 
-    def on_message(self, now_us: int, message: Message | Hello | Founding) -> None:
+    def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
         """Count a message that is for voters only."""
         self._link.counts["not_for_a_follower"] += 1
 
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
         """Apply what the parent sends, complete own calls, and send it on to the children."""
-        applied_before = self.applied_state.applied
+        applied_before = self.applied_state.last_applied
         for entry, result, fresh, digest in self._follower.apply_update(update):
             self._link.events.write("applied", index=entry.index, digest=digest, fresh=fresh)
             self._complete_calls(entry, result)
-        if self.applied_state.applied != applied_before:
+        if self.applied_state.last_applied != applied_before:
             self._link.listener.on_applied()
             self._link.distribute()
 
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -129,7 +129,7 @@
     @property
     def applied_index(self) -> int:
         """The index up to which the log is applied here."""
-        return self._role.applied_state.applied
+        return self._role.applied_state.last_applied
 
     @property
     def lease_end_us(self) -> int:
--- a/harriertide/control/member_link.py
+++ b/harriertide/control/member_link.py
@@ -12,8 +12,8 @@
 from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.fanout import FanoutTree, GrantRound
 from harriertide.consensus.fanout_messages import SubtreeReport, TreeUpdate
+from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello
 from harriertide.consensus.messages import Entry, Message
-from harriertide.consensus.roster import Founding, Hello
 from harriertide.control.environment import Environment
 from harriertide.control.event_log import EventSink
 from harriertide.control.pending_calls import PendingCalls
@@ -100,7 +100,7 @@
     def tick(self, now_us: int) -> None:
         """Do what is due by time alone."""
 
-    def on_message(self, now_us: int, message: Message | Hello | Founding) -> None:
+    def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
         """Take a message of the agreement."""
 
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
--- a/harriertide/control/tree_updates.py
+++ b/harriertide/control/tree_updates.py
@@ -62,7 +62,7 @@
         """
         for name, number, index in self._tree.take_pending_grants(now_us):
             self._send(name, TreeUpdate(self._name, source.leader, number, index, waits=wait_reasons))
-        applied = source.applied_state.applied
+        applied = source.applied_state.last_applied
         for name, child in self._tree.children.items():
             if name in self._voters:
                 continue
@@ -83,9 +83,9 @@
 
     def _send_snapshot(self, name: str, source: UpdateSource) -> None:
         state = source.applied_state
-        if self._snapshot_index < state.applied - UPDATE_ENTRY_COUNT or not self._snapshot_index:
+        if self._snapshot_index < state.last_applied - UPDATE_ENTRY_COUNT or not self._snapshot_index:
             self._snapshot = state.dump()
-            self._snapshot_index = state.applied
+            self._snapshot_index = state.last_applied
             self._snapshot_checksum = xxhash.xxh3_64_intdigest(self._snapshot)
         self._counts["snapshots_out"] += 1
         total = len(self._snapshot)
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -20,6 +20,7 @@
     GrantRound,
 )
 from harriertide.consensus.fanout_messages import TreeUpdate
+from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello
 from harriertide.consensus.messages import Entry, Member, Message, Proposal
 from harriertide.consensus.replica import (
     CallCompleted,
@@ -29,7 +30,6 @@
     ReadCompleted,
     Replica,
 )
-from harriertide.consensus.roster import Founding, Hello
 from harriertide.consensus.store import StoreError, set_aside
 from harriertide.control.cluster_membership import ClusterMembership
 from harriertide.control.disk_writer import DiskWriter
@@ -135,7 +135,7 @@
         if index < node.log.base_index:
             return None
         entries = node.log.entries_after(index, UPDATE_ENTRY_COUNT, UPDATE_BYTES)
-        return tuple(entry for entry in entries if entry.index <= self._replica.applied)
+        return tuple(entry for entry in entries if entry.index <= self._replica.last_applied)
 
     # --- events ---------------------------------------------------------------------------------------
 
@@ -146,13 +146,13 @@
         self._membership.tick(now_us)
         self._link.tree.leader = self.leader
 
-    def on_message(self, now_us: int, message: Message | Hello | Founding) -> None:
+    def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
         """Take a message of the agreement."""
         if isinstance(message, Hello):
             self._membership.on_hello(now_us, message)
             return
-        if isinstance(message, Founding):
-            self._membership.on_founding(now_us, message)
+        if isinstance(message, BootstrapCluster):
+            self._membership.on_bootstrap(now_us, message)
             return
         if isinstance(message, Proposal) and not message.to.name:
             # A follower's, which knows neither disks nor the cluster.
@@ -220,7 +220,7 @@
             else:
                 self._carry_out_one(effect)
         if has_applied:
-            self._link.tree.activate_lease(self.applied_state.applied)
+            self._link.tree.activate_lease(self.applied_state.last_applied)
             self._link.listener.on_applied()
             self._link.distribute()
 
@@ -246,7 +246,7 @@
             self._link.calls.complete(number, b"")
             return
         if self.is_leader:
-            self._link.tree.confirm_round(granted, self.applied_state.applied)
+            self._link.tree.confirm_round(granted, self.applied_state.last_applied)
             self._link.listener.on_leases_granted(granted)
             self._link.distribute()
 
--- a/harriertide/control/wire.py
+++ b/harriertide/control/wire.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from harriertide.consensus.fanout_messages import SubtreeReport, TreeUpdate
+from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello
 from harriertide.consensus.messages import Message
-from harriertide.consensus.roster import Founding, Hello
 
-WireMessage = Message | Hello | Founding | SubtreeReport | TreeUpdate
+WireMessage = Message | Hello | BootstrapCluster | SubtreeReport | TreeUpdate
 
 _decoder = msgspec.msgpack.Decoder(WireMessage)
 _encoder = msgspec.msgpack.Encoder()
--- a/harriertide/lab/cluster.py
+++ b/harriertide/lab/cluster.py
@@ -15,10 +15,10 @@
 
 from harriertide.consensus import events as ev
 from harriertide.consensus.events import Tuning
+from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello, MembershipReconciler
 from harriertide.consensus.messages import Entry, Member, Message, Snapshot
 from harriertide.consensus.node import NEVER_US, Node
 from harriertide.consensus.replica import CallCompleted, CallExpired, EntryApplied, ReadCompleted, Replica
-from harriertide.consensus.roster import Founding, Hello, Roster
 from harriertide.lab.history import Operation, non_linearizable
 
 SECOND = 1_000_000
@@ -90,7 +90,7 @@
         self.disks = 0
         self.disk = self.new_disk()
         self.replica: Replica | None = None
-        self.roster: Roster
+        self.roster: MembershipReconciler
         self.life = 0  # of the process
         self.paused_until = 0
         self.wake_us = NEVER_US
@@ -119,7 +119,7 @@
             me, Registers(), self.sim.tuning, self.disk.restored(), Random(self.sim.random.random()),
             self.now(), snapshot_interval=self.sim.keep, node_class=self.sim.node_class,
         )  # fmt: skip
-        self.roster = Roster(me, tuple(self.sim.names))
+        self.roster = MembershipReconciler(me, tuple(self.sim.names))
         self.wake_us = NEVER_US
         self.do([])
         self.sim.at(self.sim.now, self._beat, self.life)
@@ -147,9 +147,9 @@
                 if name != self.name:
                     self.sim.post(self.name, name, hello)
         if not node.cluster:
-            found = self.roster.propose_founding(now, f"c{self.sim.random.randrange(1 << 30)}")
-            if found is not None and self.roster.accepts_founding(found, node):
-                self.do(node.found_cluster(now, found.cluster, found.members))
+            found = self.roster.propose_bootstrap(now, f"c{self.sim.random.randrange(1 << 30)}")
+            if found is not None and self.roster.accepts_bootstrap(found, node):
+                self.do(node.bootstrap_cluster(now, found.cluster, found.members))
                 self.sim.founded = found
         elif self.sim.founded is not None and node.log.last_index and self.name == self.sim.names[0]:
             for name in self.sim.names[1:]:
@@ -169,9 +169,9 @@
             return
         if isinstance(message, Hello):
             self.roster.on_hello(self.now(), message)
-        elif isinstance(message, Founding):
-            if self.roster.accepts_founding(message, self.replica.node):
-                self.do(self.replica.node.found_cluster(self.now(), message.cluster, message.members))
+        elif isinstance(message, BootstrapCluster):
+            if self.roster.accepts_bootstrap(message, self.replica.node):
+                self.do(self.replica.node.bootstrap_cluster(self.now(), message.cluster, message.members))
         else:
             self.do(self.replica.step(self.now(), ev.MessageReceived(message)))
 
@@ -258,7 +258,7 @@
         self.lost, self.doubled = 0.0, 0.02
         self.late = (300, 8_000)
         self.cut: set[tuple[str, str]] = set()
-        self.founded: Founding | None = None
+        self.founded: BootstrapCluster | None = None
         self.names = [chr(ord("a") + place) for place in range(size)]
         self.hosts: dict[str, Host] = {}
         for name in self.names:
@@ -285,7 +285,7 @@
             act(*args)
         self.now = until
 
-    def post(self, a: str, b: str, message: Message | Hello | Founding) -> None:
+    def post(self, a: str, b: str, message: Message | Hello | BootstrapCluster) -> None:
         """Over the link from a to b."""
         if (a, b) in self.cut or b not in self.hosts or self.random.random() < self.lost:
             return
@@ -498,7 +498,7 @@
             sim.verdict.broken.append("a call is not answered after all was healed")
         behind = [
             h.name for h in sim.hosts.values()
-            if h.replica is None or h.replica.applied < led.replica.node.commit_index
+            if h.replica is None or h.replica.last_applied < led.replica.node.commit_index
         ]  # fmt: skip
         if behind:
             sim.verdict.broken.append(f"{', '.join(behind)} did not catch up")
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -242,7 +242,7 @@
     """
     sim, leader = settled()
     other = others(sim, leader)[0]
-    from harriertide.consensus.roster import Hello
+    from harriertide.consensus.membership_reconciler import Hello
 
     for _ in range(10):
         leader.hear(Hello(Member(other.name, "foreign"), ""))
@@ -275,7 +275,7 @@
     sim.post = watched  # type: ignore[method-assign]
     sim.cut.clear()
     sim.run(sim.now + 5 * SECOND)
-    assert away.replica is not None and away.replica.applied == leader.replica.applied
+    assert away.replica is not None and away.replica.last_applied == leader.replica.last_applied
     size = len(leader.replica.node.snapshot.data)
     assert len(pieces) > 5 and max(pieces) > size // 2
     assert len(pieces) < 3 + 2 * (
@@ -306,7 +306,7 @@
     sim.cut.clear()
     sim.run(sim.now + 5 * SECOND)
     assert spoilt and away.replica is not None and leader.replica is not None
-    assert away.replica.applied == leader.replica.applied and not sim.check_history().broken
+    assert away.replica.last_applied == leader.replica.last_applied and not sim.check_history().broken
 
 
 def test_a_proposal_repeated_after_a_change_of_leader_has_its_effect_once() -> None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -234,7 +234,7 @@
                     snapshots.append(effect.snapshot)
                 carry_out(replica.step(now_us, Synced(effect.number, 1)))
 
-    carry_out(replica.node.found_cluster(0, "cluster-1", Membership((me,))))
+    carry_out(replica.node.bootstrap_cluster(0, "cluster-1", Membership((me,))))
     carry_out(replica.step(now_us, Tick()))
     for number in range(1, 21):
         command = encode_command(RecordPeakLoad(number, 10.0 + number, 2.0))
--- a/tests/test_raft_parts.py
+++ b/tests/test_raft_parts.py
@@ -37,12 +37,12 @@
 
 A, B, C = Member("a", "a1"), Member("b", "b1"), Member("c", "c1")
 ALL = Membership((A, B, C))
-FOUNDING = Entry(1, 1, "members", encode_membership(ALL))
+BOOTSTRAP_ENTRY = Entry(1, 1, "members", encode_membership(ALL))
 
 
 def restored(*entries: Entry, term: int = 1, voted_for: Member | None = None) -> RaftState:
     """A follower of three that starts on its disk."""
-    found = ev.RestoredState("c", term, voted_for, None, (FOUNDING, *entries))
+    found = ev.RestoredState("c", term, voted_for, None, (BOOTSTRAP_ENTRY, *entries))
     return RaftState.restore(A, Tuning(), found, Random(0), 0)
 
 
@@ -141,7 +141,7 @@
 
 def test_a_member_that_halts_after_a_broken_invariant_names_the_invariant() -> None:
     """An operator reads why a member is out of the agreement: its disk is not to blame for this."""
-    disk = ev.RestoredState("c", 1, None, None, (FOUNDING, command(2)))
+    disk = ev.RestoredState("c", 1, None, None, (BOOTSTRAP_ENTRY, command(2)))
     replica = Replica(A, Unchanged(), Tuning(), disk, Random(0), 0)
     replica.step(0, ev.MessageReceived(AppendRequest("c", B, A, 1, 2, 1, (), 2, 1, 400_000)))
     changed = AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000)
@@ -155,7 +155,7 @@
 def test_a_truncated_membership_falls_back_to_the_one_before() -> None:
     """A change of membership was in the log of a leader that lost its term before it was committed."""
     smaller = Membership((A, B))
-    log = Log(entries=(FOUNDING, Entry(2, 1, "members", encode_membership(smaller)), command(3)))
+    log = Log(entries=(BOOTSTRAP_ENTRY, Entry(2, 1, "members", encode_membership(smaller)), command(3)))
     assert log.members == smaller and log.membership_index == 2 and log.members_at(1) == ALL
     kept = log.copy()
     kept.compact(2)
