--- a/harriertide/consensus/fanout.py
+++ b/harriertide/consensus/fanout.py
@@ -3,7 +3,7 @@
 
 A report goes to the parent each REPORT_INTERVAL_US. It carries the totals of the sender's subtree, so the
 leader receives as many messages as it has children, whatever the fleet's size. A parent passes on entries and
-grants. Pure: the caller sends what `build_report`, `take_pending_grants` and the follower's entries give.
+grants. Pure: the caller sends what `build_report`, `take_pending_grants` and the observer's entries give.
 
 LEASE  A broker's lease runs from when it sent a report, by its own clock, until lease_us later. It is
 granted only by a leader that a majority has confirmed after the report arrived (ReadIndex), and holds only
@@ -45,13 +45,13 @@
     """What the leader grants once a majority has confirmed it: the reports that it had as it asked.
 
     :param report_numbers: of the latest report of each child
-    :param alive: who may hold a lease by this round. Not as seen at the confirmation: a broker that fell
-        silent in between has its grant all the same.
+    :param alive_brokers: those that may hold a lease by this round. Not as seen at the confirmation: a
+        broker that fell silent in between has its grant all the same.
     """
 
     started_us: int
     report_numbers: dict[str, int]
-    alive: set[int]
+    alive_brokers: set[int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,18 +66,18 @@
 class Child:
     """A broker that reports to this one.
 
-    :param granted: number of its latest report that is granted
+    :param granted_report: number of its latest report that is granted
     :param grant_index: must be applied before that grant holds
-    :param sent_grant: the latest grant that was passed on
+    :param sent_granted_report: number of the latest report whose grant was passed on
     :param sent_index: of the last entry that was sent to it
     :param sent_us: when that was
     """
 
     report: SubtreeReport
     reported_us: int
-    granted: int = 0
+    granted_report: int = 0
     grant_index: int = 0
-    sent_grant: int = 0
+    sent_granted_report: int = 0
     sent_index: int = 0
     sent_us: int = 0
 
@@ -125,34 +125,34 @@
         self.leader = ""
         self.children: dict[str, Child] = {}
         self.lease_end_us = 0  # 0: never had one
-        self._followers = [name for name in brokers if name not in voters]
-        self._follower_indexes = {name: index for index, name in enumerate(self._followers)}
+        self._observers = [name for name in brokers if name not in voters]
+        self._observer_indexes = {name: index for index, name in enumerate(self._observers)}
         self._grant = Grant(0, 0)
         self._report_number = first_number
         self._sent_reports: dict[int, SentReport] = {}
         self._next_report_us = now_us
-        self._parent_heard_us = now_us
-        self._passed_over_count = 0  # silent parents: each moves this broker to the next possible parent
+        self._parent_contact_us = now_us
+        self._skipped_parent_count = 0  # silent parents: each moves this broker to the next possible parent
 
     # --- the tree -------------------------------------------------------------------------------------
 
     def parent(self) -> str:
         """Name of the broker to report to; "" where it is not known.
 
-        A voter reports to the leader. The followers form a heap of TREE_WIDTH: the first of them report to
+        A voter reports to the leader. The observers form a heap of TREE_WIDTH: the first of them report to
         the voters, each other one to its parent in the heap.
         """
         if self.me in self.voters:
             return self.leader if self.leader != self.me else ""
-        position = self._follower_indexes[self.me]
+        position = self._observer_indexes[self.me]
         voters_children_count = len(self.voters) * TREE_WIDTH
         # Every third try goes to a voter: guards against a parent and its neighbour that are both gone.
-        if position < voters_children_count or self._passed_over_count % 3 == 2:
-            return self.voters[(position + self._passed_over_count) % len(self.voters)]
+        if position < voters_children_count or self._skipped_parent_count % 3 == 2:
+            return self.voters[(position + self._skipped_parent_count) % len(self.voters)]
         parent_position = (position - voters_children_count) // TREE_WIDTH
-        # Only followers before this one come into question: a circle would never reach the leader.
-        candidates_count = max(1, min(position, len(self._followers)))
-        return self._followers[(parent_position + self._passed_over_count) % candidates_count]
+        # Only observers before this one are candidates: reports in a cycle would never reach the leader.
+        candidates_count = max(1, min(position, len(self._observers)))
+        return self._observers[(parent_position + self._skipped_parent_count) % candidates_count]
 
     # --- reports --------------------------------------------------------------------------------------
 
@@ -166,14 +166,15 @@
         elif report.number <= child.report.number and now_us - child.reported_us < PEER_LOST_AFTER_US:
             return  # late, or doubled
         elif report.number < child.report.number:  # its process has started anew
-            child.granted = 0
-            child.sent_grant = 0
-        if report.known != child.report.known or report.clear != child.report.clear:
+            child.granted_report = 0
+            child.sent_granted_report = 0
+        informed, drained = report.informed_brokers, report.drained_brokers
+        if informed != child.report.informed_brokers or drained != child.report.drained_brokers:
             self.report_soon()
         child.report = report
         child.reported_us = now_us
-        if report.applied < child.sent_index and now_us - child.sent_us > 2 * REPORT_INTERVAL_US:
-            child.sent_index = report.applied  # what was sent since is lost
+        if report.last_applied < child.sent_index and now_us - child.sent_us > 2 * REPORT_INTERVAL_US:
+            child.sent_index = report.last_applied  # what was sent since is lost
 
     def _live_children(self, now_us: int) -> dict[str, Child]:
         """The children, after those were dropped that have been silent for long."""
@@ -209,9 +210,9 @@
 
         :param own: what this broker reports of itself
         """
-        if now_us - self._parent_heard_us > PEER_LOST_AFTER_US and self.me not in self.voters:
-            self._passed_over_count += 1
-            self._parent_heard_us = now_us
+        if now_us - self._parent_contact_us > PEER_LOST_AFTER_US and self.me not in self.voters:
+            self._skipped_parent_count += 1
+            self._parent_contact_us = now_us
         parent = self.parent()
         if not parent:
             return None
@@ -222,14 +223,14 @@
         report = SubtreeReport(
             sender=self.me,
             number=self._report_number,
-            applied=own.applied,
-            alive=encode_broker_set(totals.alive),
+            last_applied=own.last_applied,
+            alive_brokers=encode_broker_set(totals.alive_brokers),
             incarnations=totals.incarnations,
-            known={fence: encode_broker_set(indexes) for fence, indexes in totals.known.items()},
-            clear={fence: encode_broker_set(indexes) for fence, indexes in totals.clear.items()},
-            load=totals.load,
-            units=totals.units,
-            failed=totals.failed,
+            informed_brokers=_encode_broker_sets(totals.informed_brokers),
+            drained_brokers=_encode_broker_sets(totals.drained_brokers),
+            load_units=totals.load_units,
+            learned_units=totals.learned_units,
+            unreachable_counts=totals.unreachable_counts,
         )
         return parent, report
 
@@ -242,7 +243,7 @@
         """As leader: what the read index that is asked for now will grant."""
         alive = {self.broker_indexes[self.me]}
         for child in self._live_children(now_us).values():
-            alive |= decode_broker_set(child.report.alive)
+            alive |= decode_broker_set(child.report.alive_brokers)
         return GrantRound(now_us, self._child_report_numbers(), alive)
 
     def confirm_round(self, grant_round: GrantRound, index: int) -> None:
@@ -257,13 +258,13 @@
         """Take the grant of an update of the parent."""
         if update.sender != self.parent():
             return
-        self._parent_heard_us = now_us
+        self._parent_contact_us = now_us
         if self.me not in self.voters:
             self.leader = update.leader
-        sent = self._sent_reports.get(update.granted)
+        sent = self._sent_reports.get(update.granted_report)
         if sent is not None:
-            self._take_grant(sent.sent_us, update.index)
-            self._grant_children(sent.child_report_numbers, update.index)
+            self._take_grant(sent.sent_us, update.grant_index)
+            self._grant_children(sent.child_report_numbers, update.grant_index)
 
     def _take_grant(self, sent_us: int, index: int) -> None:
         end_us = sent_us + self.lease_us
@@ -273,8 +274,8 @@
     def _grant_children(self, report_numbers: dict[str, int], index: int) -> None:
         for name, number in report_numbers.items():
             child = self.children.get(name)
-            if child is not None and number > child.granted:
-                child.granted = number
+            if child is not None and number > child.granted_report:
+                child.granted_report = number
                 child.grant_index = index
 
     def activate_lease(self, applied: int) -> None:
@@ -286,12 +287,16 @@
         """Grants that children do not know of yet; they count as passed on with this."""
         pending = []
         for name, child in self._live_children(now_us).items():
-            if child.granted > child.sent_grant:
-                child.sent_grant = child.granted
-                pending.append(ChildGrant(name, child.granted, child.grant_index))
+            if child.granted_report > child.sent_granted_report:
+                child.sent_granted_report = child.granted_report
+                pending.append(ChildGrant(name, child.granted_report, child.grant_index))
         return pending
 
 
+def _encode_broker_sets(sets: dict[int, set[int]]) -> dict[int, bytes]:
+    return {fence: encode_broker_set(indexes) for fence, indexes in sets.items()}
+
+
 def lease_lapse_us(lease_us: int) -> int:
     """How long after its grant, by the leader's clock, a lease is over by any clock."""
     return int(lease_us * (1 + CLOCK_DRIFT_RATIO)) + 1
--- a/harriertide/consensus/follower.py
+++ b/harriertide/consensus/observer.py
@@ -1,4 +1,4 @@
-"""A broker that applies what the voters commit, and has no disk and no vote. Pure."""
+"""An observer: a broker that applies what the voters commit, and has no disk and no vote. Pure."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 KEPT_ENTRY_COUNT = 1024
 
 
-class FollowedEntry(NamedTuple):
+class AppliedEntry(NamedTuple):
     """An entry that was applied.
 
     :param fresh: False for a repeated command, which had no effect
@@ -27,7 +27,7 @@
     digest: int
 
 
-class Follower:
+class Observer:
     """Applies updates of the parent in order, and keeps entries for its own children."""
 
     def __init__(self, applied_state: AppliedState) -> None:
@@ -35,17 +35,17 @@
         self._entries: deque[Entry] = deque(maxlen=KEPT_ENTRY_COUNT)
         self._incoming = IncomingSnapshot()
 
-    def apply_update(self, update: TreeUpdate) -> list[FollowedEntry]:
+    def apply_update(self, update: TreeUpdate) -> list[AppliedEntry]:
         """Apply the entries that come next, or take a chunk of a snapshot."""
         if update.snapshot_index > self.applied_state.last_applied:
             self._add_chunk(update)
-        followed = []
+        applied = []
         for entry in update.entries:
             if entry.index == self.applied_state.last_applied + 1:
                 answer, fresh = self.applied_state.apply(entry)
                 self._entries.append(entry)
-                followed.append(FollowedEntry(entry, answer, fresh, self.applied_state.digest))
-        return followed
+                applied.append(AppliedEntry(entry, answer, fresh, self.applied_state.digest))
+        return applied
 
     def _add_chunk(self, update: TreeUpdate) -> None:
         """Add a chunk that comes next, and load the snapshot once all of it is here."""
--- a/harriertide/control/__init__.py
+++ b/harriertide/control/__init__.py
@@ -10,7 +10,7 @@
 cluster_membership   bootstrap of the cluster, and changes of its membership
 member_link          what a member's role shares with the member
 voter                the role of a broker with a vote and a disk
-follower_member      the role of a broker that only follows
+observer_member      the role of a broker without a vote or a disk
 member               one broker among those that agree
 ports                what maintenance asks of the reducer and the object front
 node_barrier         which nodes this broker may not send to
--- a/harriertide/control/broker_report.py
+++ b/harriertide/control/broker_report.py
@@ -68,14 +68,14 @@
         return SubtreeReport(
             sender=self._member.name,
             number=0,
-            applied=self._member.applied_index,
-            alive=me,
+            last_applied=self._member.applied_index,
+            alive_brokers=me,
             incarnations=self._announced_incarnation(now_us),
-            known={step.fence: me for step in steps},
-            clear={step.fence: me for step in steps if self._has_drained(step, closed)},
-            load=self._load.add(now_us, self._core.offered_units),
-            units={name: round(units, 2) for name, units in learned.items() if units},
-            failed=self._unreachable_nodes(now_us),
+            informed_brokers={step.fence: me for step in steps},
+            drained_brokers={step.fence: me for step in steps if self._has_drained(step, closed)},
+            load_units=self._load.add(now_us, self._core.offered_units),
+            learned_units={name: round(units, 2) for name, units in learned.items() if units},
+            unreachable_counts=self._unreachable_nodes(now_us),
         )
 
     def _has_drained(self, step: Step, closed: frozenset[str] | None) -> bool:
--- a/harriertide/control/leader_facts.py
+++ b/harriertide/control/leader_facts.py
@@ -23,16 +23,16 @@
     :param active_fences: fences of the active steps
     :param operator_state: grades, volumes and nodes, as in force here
     """
-    for broker_index in granted.alive:
+    for broker_index in granted.alive_brokers:
         facts.last_grant_us[broker_index] = now_us
-    facts.alive_brokers = totals.alive
-    facts.load_units = totals.load
-    facts.learned_units = totals.units
-    facts.unreachable_counts = totals.failed
+    facts.alive_brokers = totals.alive_brokers
+    facts.load_units = totals.load_units
+    facts.learned_units = totals.learned_units
+    facts.unreachable_counts = totals.unreachable_counts
     facts.incarnations.update(totals.incarnations)
-    for fence, brokers in totals.known.items():
+    for fence, brokers in totals.informed_brokers.items():
         facts.informed_brokers.setdefault(fence, set()).update(brokers)
-    for fence, brokers in totals.clear.items():
+    for fence, brokers in totals.drained_brokers.items():
         facts.drained_brokers.setdefault(fence, set()).update(brokers)
     facts.forget_fences(active_fences)
     facts.reserved_units = total_reserved_units(operator_state)
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -15,8 +15,8 @@
 from harriertide.consensus.fanout_messages import SubtreeReport, SubtreeTotals, TreeUpdate
 from harriertide.control.environment import Environment
 from harriertide.control.event_log import EventSink
-from harriertide.control.follower_member import FollowerMember
 from harriertide.control.member_link import ClientCommand, MemberLink, MemberListener, Role
+from harriertide.control.observer_member import ObserverMember
 from harriertide.control.pending_calls import NOT_AGREED, CallError, PendingCalls
 from harriertide.control.tree_updates import TreeUpdates
 from harriertide.control.voter import Voter
@@ -29,7 +29,7 @@
 
 
 class AgreementMember:
-    """A broker with its role: a voter with a disk, or a follower without.
+    """A broker with its role: a voter with a disk, or an observer without.
 
     :param name: of this broker
     :param addresses: where each broker listens for the others, by name, in the order of the operator's file
@@ -83,7 +83,7 @@
             distribute=self._distribute,
         )
         self._voter = Voter(link, machine, folder, tuning or Tuning()) if name in voters else None
-        self._role: Role = self._voter or FollowerMember(link, machine)
+        self._role: Role = self._voter or ObserverMember(link, machine)
 
     # --- questions ------------------------------------------------------------------------------------
 
@@ -238,8 +238,8 @@
 
     def _on_update(self, now_us: int, update: TreeUpdate) -> None:
         self._tree.on_update(now_us, update)
-        if update.granted and not self.is_leader:
-            self.wait_reasons = update.waits
+        if update.granted_report and not self.is_leader:
+            self.wait_reasons = update.wait_reasons
         self._role.on_update(now_us, update)
         self._tree.activate_lease(self.applied_index)
 
--- a/harriertide/control/member_link.py
+++ b/harriertide/control/member_link.py
@@ -1,6 +1,4 @@
-"""What a member's role (voter or follower) shares with the member: its name, its tree, its calls, its way
-out.
-"""
+"""What a member's role (voter or observer) shares with the member: name, tree, calls, counters, sending."""
 
 from __future__ import annotations
 
@@ -68,7 +66,7 @@
 
 
 class Role(Protocol):
-    """What a voter and a follower have in common."""
+    """What a voter and an observer have in common."""
 
     @property
     def leader(self) -> str:
--- a/harriertide/control/follower_member.py
+++ b/harriertide/control/observer_member.py
@@ -1,4 +1,4 @@
-"""The role of a broker that only follows: it has no vote and no disk, and hears of all by the tree."""
+"""The role of an observer: a broker without a vote or a disk, which receives the log by the tree."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from harriertide.consensus.applied_state import AppliedState, StateMachine
 from harriertide.consensus.fanout import UPDATE_ENTRY_COUNT
 from harriertide.consensus.fanout_messages import TreeUpdate
-from harriertide.consensus.follower import Follower
 from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello
 from harriertide.consensus.messages import Entry, Member, Message, Proposal
+from harriertide.consensus.observer import Observer
 from harriertide.consensus.pending_requests import RETRY_INTERVAL_US
 from harriertide.control.member_link import ClientCommand, MemberLink
 from harriertide.control.pending_calls import NOT_AGREED
@@ -22,12 +22,12 @@
     deadline_us: int
 
 
-class FollowerMember:
+class ObserverMember:
     """Takes updates of its parent, and sends proposals to the leader."""
 
     def __init__(self, link: MemberLink, machine: StateMachine) -> None:
         self._link = link
-        self._follower = Follower(AppliedState(machine))
+        self._observer = Observer(AppliedState(machine))
         self._calls: dict[int, _ProposedCall] = {}
 
     # --- questions ------------------------------------------------------------------------------------
@@ -49,7 +49,7 @@
 
     @property
     def voter_names(self) -> list[str]:
-        """The voters of the operator's file: a follower hears of no membership."""
+        """The voters of the operator's file: the tree carries no membership."""
         return list(self._link.voters)
 
     @property
@@ -60,11 +60,11 @@
     @property
     def applied_state(self) -> AppliedState:
         """The state machine, with the index up to which it is applied."""
-        return self._follower.applied_state
+        return self._observer.applied_state
 
     def entries_after(self, index: int) -> tuple[Entry, ...] | None:
         """Return applied entries after an index for a child; None where they are not kept any more."""
-        return self._follower.entries_after(index, UPDATE_ENTRY_COUNT)
+        return self._observer.entries_after(index, UPDATE_ENTRY_COUNT)
 
     # --- events ---------------------------------------------------------------------------------------
 
@@ -85,7 +85,7 @@
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
         """Apply what the parent sends, complete own calls, and send it on to the children."""
         applied_before = self.applied_state.last_applied
-        for entry, result, fresh, digest in self._follower.apply_update(update):
+        for entry, result, fresh, digest in self._observer.apply_update(update):
             self._link.events.write("applied", index=entry.index, digest=digest, fresh=fresh)
             self._complete_calls(entry, result)
         if self.applied_state.last_applied != applied_before:
--- a/harriertide/control/tree_updates.py
+++ b/harriertide/control/tree_updates.py
@@ -61,19 +61,19 @@
         :param wait_reasons: what machines wait for, as the leader sees it
         """
         for name, number, index in self._tree.take_pending_grants(now_us):
-            self._send(name, TreeUpdate(self._name, source.leader, number, index, waits=wait_reasons))
+            self._send(name, TreeUpdate(self._name, source.leader, number, index, wait_reasons=wait_reasons))
         applied = source.applied_state.last_applied
         for name, child in self._tree.children.items():
             if name in self._voters:
                 continue
-            child.sent_index = max(child.sent_index, child.report.applied)
+            child.sent_index = max(child.sent_index, child.report.last_applied)
             while child.sent_index < applied:
                 entries = source.entries_after(child.sent_index)
                 if entries is None:
                     self._send_snapshot(name, source)
                     child.sent_index = max(self._snapshot_index, child.sent_index + 1)
                 elif entries:
-                    grant = child.sent_grant, child.grant_index
+                    grant = child.sent_granted_report, child.grant_index
                     update = TreeUpdate(self._name, source.leader, *grant, child.sent_index, entries)
                     self._send(name, update)
                     child.sent_index = entries[-1].index
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -155,7 +155,7 @@
             self._membership.on_bootstrap(now_us, message)
             return
         if isinstance(message, Proposal) and not message.to.name:
-            # A follower's, which knows neither disks nor the cluster.
+            # An observer's, which knows neither disks nor the cluster.
             node = self._replica.node
             message = msgspec.structs.replace(message, to=node.me, cluster=node.cluster)
         self._carry_out(self._replica.step(now_us, ev.MessageReceived(message)))
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -193,17 +193,17 @@
     broker is open there it must not be given; a permit that does not drain yet is known, and no more."""
     reports, _, core = reporter(agreed(*draining("x1", 1), GrantPermit("x2", "fw", 1.0)))
     core.open_at["x1"] = 1
-    assert set(reports.build().known) == {1, 2} and not reports.build().clear
+    assert set(reports.build().informed_brokers) == {1, 2} and not reports.build().drained_brokers
     core.open_at["x1"] = 0
-    assert set(reports.build().clear) == {1}
+    assert set(reports.build().drained_brokers) == {1}
 
 
 def test_a_broker_confirms_its_own_drain_only_when_every_request_has_its_answer() -> None:
     reports, _, core = reporter(agreed(*draining("b1", 1)))
     core.open_requests = 1
-    assert not reports.build().clear
+    assert not reports.build().drained_brokers
     core.open_requests = 0
-    assert set(reports.build().clear) == {1}
+    assert set(reports.build().drained_brokers) == {1}
 
 
 def test_a_report_has_learned_rates_and_nodes_that_do_not_respond_for_a_while() -> None:
@@ -211,12 +211,12 @@
     more the figure stands, and says nothing about now: after 10 s the node is reported no more."""
     reports, member, core = reporter(agreed())
     core.consecutive_unresponsive["x2"] = 1
-    assert not reports.build().failed
+    assert not reports.build().unreachable_counts
     core.consecutive_unresponsive["x2"] = 2
     report = reports.build()
-    assert report.failed == {"x2": 1} and report.units == {"x1": 12.34}
+    assert report.unreachable_counts == {"x2": 1} and report.learned_units == {"x1": 12.34}
     member.time_us += 10_000_000
-    assert not reports.build().failed
+    assert not reports.build().unreachable_counts
 
 
 def test_a_process_says_which_one_it_is_for_a_minute_and_while_it_is_taken_out() -> None:
@@ -240,7 +240,9 @@
     """A broker reports and falls silent before a majority has confirmed the round that its report was in. Its
     grant is on its way all the same: the leader has to count its lease from now on."""
     facts = LeaderFacts(informed_brokers={9: {0}}, seen_since_us={(9, "out"): 1, (2, "out"): 3})
-    totals = SubtreeTotals(alive={0}, known={2: {0}}, clear={2: {0}}, load=3.0)
+    totals = SubtreeTotals(
+        alive_brokers={0}, informed_brokers={2: {0}}, drained_brokers={2: {0}}, load_units=3.0
+    )
     granted = GrantRound(0, {}, {0, 1})
     update_facts(facts, 500, granted, totals, {2}, StandInNodes().state)
     assert facts.last_grant_us == {0: 500, 1: 500} and facts.alive_brokers == {0}
--- a/tests/test_fanout.py
+++ b/tests/test_fanout.py
@@ -87,10 +87,10 @@
     later = child.build_report(
         1_000_000 + PEER_LOST_AFTER_US, own(child)
     )  # n1 has not been heard for long by then
-    assert later is not None and leader.broker_indexes["n1"] not in decode_broker_set(later[1].alive)
+    assert later is not None and leader.broker_indexes["n1"] not in decode_broker_set(later[1].alive_brokers)
     leader.on_report(1_010_000 + PEER_LOST_AFTER_US, later[1])
     leader.confirm_round(asked, 5)
-    assert leader.broker_indexes["n1"] in asked.alive
+    assert leader.broker_indexes["n1"] in asked.alive_brokers
     child.on_update(2_000_000, TreeUpdate("a", "a", leader.take_pending_grants(2_000_000)[0][1], 5))
     below.on_update(2_010_000, TreeUpdate("b", "a", said[1].number, 5))  # on its way since before
     below.activate_lease(5)
