--- a/harriertide/control/step_observer.py
+++ b/harriertide/control/step_observer.py
@@ -30,10 +30,14 @@
 
     def notice_changes(self) -> bool:
         """Look at all steps; return whether one has another phase or fence than before."""
+        present = [step for steps in self._machine.state.steps.values() for step in steps.values()]
         has_changed = False
-        for steps in self._machine.state.steps.values():
-            for step in steps.values():
-                has_changed = self._notice(step) or has_changed
+        for step in present:
+            has_changed = self._notice(step) or has_changed
+        if len(self._seen) > len(present):  # steps of orders that the agreed state has dropped
+            self._seen = {
+                (step.order, step.machine): self._seen[step.order, step.machine] for step in present
+            }
         return has_changed
 
     def _notice(self, step: Step) -> bool:
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -177,6 +177,24 @@
     assert made.is_barred("x3") and nodes.closed[-1] is None
 
 
+# --- steps ------------------------------------------------------------------------------------------------
+
+
+def test_steps_of_orders_that_were_dropped_are_not_kept() -> None:
+    """A broker runs for years. The agreed state keeps the last hundred orders; so does what it has seen."""
+    machine = agreed(GrantPermit("x1", "fw", 1.0))
+    member: Any = StandInMember(machine)
+    observer = StepObserver(machine, member, Rows())
+    assert observer.notice_changes() and not observer.notice_changes()
+    step = machine.state.steps["fw"]["x1"]
+    member.time_us += 2_000_000
+    assert observer.phase_age_s(step, member.time_us) == 2.0
+    del machine.state.steps["fw"]["x1"]
+    assert not observer.notice_changes()
+    assert observer.phase_age_s(step, member.time_us) == 0.0  # as one that was never seen
+    assert observer.phase_age_s(machine.state.steps["fw"]["x2"], member.time_us) == 2.0
+
+
 # --- reports and facts --------------------------------------------------------------------------------------
 
 
