--- a/harriertide/consensus/pending_requests.py
+++ b/harriertide/consensus/pending_requests.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from harriertide.consensus.messages import Member
@@ -50,10 +51,13 @@
         """Have a read wait."""
         self._reads[read.number] = read
 
+    def _requests(self) -> Iterator[ClientCall | ClientRead]:
+        yield from self._calls.values()
+        yield from self._reads.values()
+
     def earliest_us(self, until_us: int) -> int:
         """When the first of them is due for another attempt or has expired; until_us if none is before."""
-        waiting: list[ClientCall | ClientRead] = [*self._calls.values(), *self._reads.values()]
-        for request in waiting:
+        for request in self._requests():
             until_us = min(until_us, request.deadline_us, request.retry_at_us)
         return until_us
 
@@ -62,8 +66,7 @@
 
         :returns: their numbers
         """
-        waiting: dict[int, ClientCall | ClientRead] = {**self._calls, **self._reads}
-        expired = [number for number, request in waiting.items() if request.deadline_us <= now_us]
+        expired = [request.number for request in self._requests() if request.deadline_us <= now_us]
         for number in expired:
             self._calls.pop(number, None)
             self._reads.pop(number, None)
--- a/harriertide/control/broker_report.py
+++ b/harriertide/control/broker_report.py
@@ -14,9 +14,9 @@
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 
 LOAD_WINDOW_US = 2_000_000  # over which the load is taken: ten reports
-ANNOUNCE_US = 60_000_000  # a process says so long which one it is: until any leader has heard it
-UNRESPONSIVE_MEMORY_US = 10_000_000  # a node to which nothing was sent for so long may be back
-UNRESPONSIVE_COUNT = 2  # attempts in a row without a sign of life, or one failed connection
+INCARNATION_ANNOUNCEMENT_US = 60_000_000  # from a start on: until any leader has heard of this process
+UNRESPONSIVE_EXPIRY_US = 10_000_000  # a node to which nothing was sent for so long may be back
+MIN_UNRESPONSIVE_COUNT = 2  # attempts in a row without a sign of life, or one failed connection
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
         return self._core.open_attempt_count_at(step.machine) == 0
 
     def _announced_incarnation(self, now_us: int) -> dict[str, int]:
-        is_young = now_us - self._started_us < ANNOUNCE_US
+        is_young = now_us - self._started_us < INCARNATION_ANNOUNCEMENT_US
         if is_young or self._machine.state.find_active_step(self._member.name) is not None:
             return {self._member.name: self._member.incarnation}
         return {}
@@ -104,6 +104,6 @@
             known = self._unresponsive.get(name)
             if known is None or known.count != count:
                 known = self._unresponsive[name] = _Unresponsive(count, now_us)
-            if count >= UNRESPONSIVE_COUNT and now_us - known.since_us < UNRESPONSIVE_MEMORY_US:
+            if count >= MIN_UNRESPONSIVE_COUNT and now_us - known.since_us < UNRESPONSIVE_EXPIRY_US:
                 unreachable[name] = 1
         return unreachable
--- a/harriertide/control/disk_writer.py
+++ b/harriertide/control/disk_writer.py
@@ -15,7 +15,7 @@
     """Writes to a store, one batch after the other.
 
     :param write_to_disk: carries out a write, off the event loop
-    :param on_synced: called with the number of the last work of a batch and how long it took, in microseconds
+    :param on_synced: called with the number of the last write of a batch, and how many microseconds it took
     :param on_failed: called once; nothing is written after that
     """
 
@@ -31,20 +31,20 @@
         self._on_synced = on_synced
         self._on_failed = on_failed
         self._queue: list[ev.Persist] = []
-        self._has_work = asyncio.Event()
+        self._has_writes = asyncio.Event()
         self.busy = asyncio.Lock()  # held during a write: guards against a file that is closed under it
 
-    def submit(self, work: ev.Persist) -> None:
+    def submit(self, write: ev.Persist) -> None:
         """Write this with the next batch."""
-        self._queue.append(work)
-        self._has_work.set()
+        self._queue.append(write)
+        self._has_writes.set()
 
     async def run(self) -> None:
         """Write batches until the disk refuses one, or the task is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await self._has_work.wait()
-            self._has_work.clear()
+            await self._has_writes.wait()
+            self._has_writes.clear()
             batch, self._queue = self._queue, []
             if not batch:
                 continue
@@ -52,8 +52,8 @@
             try:
                 async with self.busy:
                     await self._write_to_disk(partial(self._store.write, batch))
-            except StoreError as fault:
-                self._on_failed(fault)
+            except StoreError as error:
+                self._on_failed(error)
                 return
             took_us = max(1, round((loop.time() - began_s) * 1_000_000))
             self._on_synced(batch[-1].number, took_us)
--- a/harriertide/control/environment.py
+++ b/harriertide/control/environment.py
@@ -22,7 +22,7 @@
     disk: str
     restored: ev.RestoredState
 
-    def write(self, works: list[ev.Persist]) -> None:
+    def write(self, writes: list[ev.Persist]) -> None:
         """Write and sync all of these, with one sync.
 
         :raises StoreError: it is final for this process
@@ -32,7 +32,7 @@
         """Close its files."""
 
 
-class Carrier(Protocol):
+class MemberTransport(Protocol):
     """What carries payloads to other members: a transport, or what stands for one."""
 
     counts: Counter[str]
@@ -52,7 +52,7 @@
     """What a member stands on. write_to_disk: carries out a store's write, off the event loop."""
 
     disk: Callable[[Path], Disk] = Store.open
-    carrier: Callable[[Callable[[bytes], bool]], Carrier] = Transport
+    transport: Callable[[Callable[[bytes], bool]], MemberTransport] = Transport
     write_to_disk: Callable[[Callable[[], None]], Awaitable[None]] = asyncio.to_thread
     random: Random = field(default_factory=SystemRandom)
     event_log: Callable[[str], EventSink] = EventLog
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -24,7 +24,7 @@
 from harriertide.engine.clock import until
 
 TICK_S = 0.025  # a quarter of a heartbeat: timers are late by no more
-TRANSFER_S = 0.1  # time that a stopping leader allows for handing over leadership
+TRANSFER_WAIT_S = 0.1  # time that a stopping leader allows for handing over leadership
 CALL_MARGIN_S = 0.5  # beyond a call's time, within which it is failed by its role
 
 
@@ -65,7 +65,7 @@
         self._client = f"{name}-{random.getrandbits(48):x}"
         self._serial = 0
         self._tasks: list[asyncio.Task[None]] = []
-        self._carrier = environment.carrier(self._on_payload)
+        self._transport = environment.transport(self._on_payload)
         first_report = random.getrandbits(48)
         self._tree = FanoutTree(name, tuple(addresses), voters, lease_us, self.now_us(), first_report)
         self._updates = TreeUpdates(name, voters, self._tree, self._send, self._counts)
@@ -153,7 +153,7 @@
 
     async def start(self) -> None:
         """Listen, and take part."""
-        await self._carrier.listen(self._addresses[self.name])
+        await self._transport.listen(self._addresses[self.name])
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._run_ticks())]
         disk = cluster = ""
@@ -176,12 +176,12 @@
         """Hand over, and close the network and the store."""
         if self.is_leader:
             self.transfer_leadership()
-            await until(asyncio.get_running_loop().time() + TRANSFER_S)
+            await until(asyncio.get_running_loop().time() + TRANSFER_WAIT_S)
         no_write = nullcontext() if self._voter is None else self._voter.writer.busy
         async with no_write:
             self.cancel_tasks()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._carrier.close()
+        await self._transport.close()
         self._calls.fail_all("this broker ends")
         if self._voter is not None:
             self._voter.close()
@@ -219,10 +219,10 @@
     def _send(self, name: str, message: WireMessage) -> None:
         address = self._addresses.get(name)
         if address is not None:
-            self._carrier.send(name, address, encode_message(message))
+            self._transport.send(name, address, encode_message(message))
 
     def _on_payload(self, payload: bytes) -> bool:
-        """Take a payload of the carrier; return whether it was a message."""
+        """Take a payload of the transport; return whether it was a message."""
         try:
             message = decode_message(payload)
         except msgspec.MsgspecError:
@@ -272,4 +272,4 @@
 
     def counters(self) -> dict[str, Counter[str]]:
         """Return the counters, by part."""
-        return {"agreement": self._counts, "agreement_wire": self._carrier.counts}
+        return {"agreement": self._counts, "agreement_wire": self._transport.counts}
--- a/harriertide/control/operator_api.py
+++ b/harriertide/control/operator_api.py
@@ -13,7 +13,7 @@
 from harriertide.control.member import AgreementMember
 from harriertide.control.order_preview import OrderPreview
 from harriertide.control.pending_calls import CallError
-from harriertide.control.proposals import CALL_S
+from harriertide.control.proposals import CALL_TIMEOUT_S
 from harriertide.control.step_observer import StepObserver
 from harriertide.engine.log import log
 from harriertide.maintenance.commands import (
@@ -31,7 +31,7 @@
 from harriertide.maintenance.state import Step
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 
-READ_S = 1.0  # that a call waits to know how things stand; after that it says that it does not
+READ_TIMEOUT_S = 1.0  # for the state to be known as of now; after that `knows` is false
 
 
 class RejectedError(Exception):
@@ -91,16 +91,16 @@
             if action == "plan":
                 return web.json_response(await self._plan(body))
             return web.json_response(await self._command(action, body))
-        except OrderError as fault:
-            return _refuse(400, str(fault))
+        except OrderError as error:
+            return _refuse(400, str(error))
         except UnknownRouteError:
             return _refuse(404, "no such route")
-        except RejectedError as fault:
-            return _refuse(409, str(fault))
-        except CallError as fault:
-            return _refuse(503, str(fault))
-        except (ValueError, KeyError, TypeError) as fault:
-            return _refuse(400, f"can't be used: {fault}")
+        except RejectedError as error:
+            return _refuse(409, str(error))
+        except CallError as error:
+            return _refuse(503, str(error))
+        except (ValueError, KeyError, TypeError) as error:
+            return _refuse(400, f"can't be used: {error}")
 
     # --- commands -------------------------------------------------------------------------------------
 
@@ -112,7 +112,7 @@
             command = self._actions[action](body, now_s)
         else:
             raise UnknownRouteError
-        result = decode_result(await self._member.call(encode_command(command), CALL_S))
+        result = decode_result(await self._member.call(encode_command(command), CALL_TIMEOUT_S))
         self._events.write("told", what=action, refused=result.refusal)
         if result.refusal:
             log("operator's maintenance call refused", call=action, reason=result.refusal)
@@ -141,7 +141,7 @@
         return self._preview.preview(order, self._leader_view.facts, now_s)
 
     async def _agreed_machines(self) -> dict[str, Machine]:
-        await self._member.read(READ_S)
+        await self._member.read(READ_TIMEOUT_S)
         if not self._machine.state.machines:
             raise CallError("which machines there are is not agreed on yet; ask again")
         return self._machine.state.machines
@@ -151,7 +151,7 @@
     async def _status(self) -> dict[str, Any]:
         """For people and scripts; `knows` says whether this broker can tell how things stand."""
         now_us = self._member.now_us()
-        knows = await self._member.read(READ_S)
+        knows = await self._member.read(READ_TIMEOUT_S)
         state, member = self._machine.state, self._member
         return {
             "name": member.name,
@@ -196,6 +196,6 @@
     if "text" in body:
         try:
             return tomllib.loads(str(body["text"]))
-        except tomllib.TOMLDecodeError as fault:
-            raise OrderError(f"not TOML: {fault}") from None
+        except tomllib.TOMLDecodeError as error:
+            raise OrderError(f"not TOML: {error}") from None
     return {key: value for key, value in body.items() if key != "from"}
--- a/harriertide/control/proposals.py
+++ b/harriertide/control/proposals.py
@@ -17,8 +17,8 @@
     encode_command,
 )
 
-CALL_S = 5.0  # within which a command is agreed on: several elections
-REPEAT_US = 1_000_000  # a command that has no result after that may be proposed once more
+CALL_TIMEOUT_S = 5.0  # for a command to be agreed on: several elections
+RETRY_INTERVAL_US = 1_000_000  # a command that has no result after that may be proposed once more
 
 
 class Proposals:
@@ -40,14 +40,14 @@
         }
         if key in self._open_until_us:
             return
-        self._open_until_us[key] = now_us + REPEAT_US
+        self._open_until_us[key] = now_us + RETRY_INTERVAL_US
         task = asyncio.get_running_loop().create_task(self._call(key, command))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _call(self, key: bytes, command: Command) -> None:
         try:
-            result = decode_result(await self._member.call(encode_command(command), CALL_S))
+            result = decode_result(await self._member.call(encode_command(command), CALL_TIMEOUT_S))
             self._events.write("planned", what=command_name(command), refused=result.refusal)
         except CallError:
             self._counts["unsettled"] += 1
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -38,8 +38,8 @@
 from harriertide.control.pending_calls import NOT_AGREED, CallError
 from harriertide.engine.log import log
 
-GRANT_ROUND_COUNT = 32  # that wait for a majority at once; older ones grant nothing that counts any more
-GRANT_ROUND_US = 10 * REPORT_INTERVAL_US  # after that a round is given up: newer ones are under way
+MAX_OPEN_GRANT_ROUND_COUNT = 32  # that wait for a majority; what older ones grant has expired
+GRANT_ROUND_TIMEOUT_US = 10 * REPORT_INTERVAL_US  # newer rounds are under way by then
 
 # What an operator reads of an event of the agreement, and which ones.
 _LOG_LINES = {
@@ -75,10 +75,10 @@
     def _open_store(self, folder: Path) -> Disk:
         try:
             return self._link.environment.disk(folder)
-        except DamagedError as fault:
+        except DamagedError as error:
             aside = set_aside(folder)
-            log("store damaged, kept aside; joins as a new member", reason=str(fault), aside=str(aside))
-            self._link.events.write("damaged", reason=str(fault))
+            log("store damaged, kept aside; joins as a new member", reason=str(error), aside=str(aside))
+            self._link.events.write("damaged", reason=str(error))
             return self._link.environment.disk(folder)
 
     # --- questions ------------------------------------------------------------------------------------
@@ -168,10 +168,10 @@
         if not self.is_leader:
             return False
         number = self._link.calls.next_number()
-        oldest = number - GRANT_ROUND_COUNT
+        oldest = number - MAX_OPEN_GRANT_ROUND_COUNT
         self._grant_rounds = {n: granted for n, granted in self._grant_rounds.items() if n > oldest}
         self._grant_rounds[number] = self._link.tree.start_grant_round(now_us)
-        self._carry_out(self._replica.query(now_us, number, now_us + GRANT_ROUND_US))
+        self._carry_out(self._replica.query(now_us, number, now_us + GRANT_ROUND_TIMEOUT_US))
         return True
 
     def submit(self, now_us: int, command: ClientCommand) -> None:
@@ -233,14 +233,14 @@
             case CallCompleted():
                 self._link.calls.complete(effect.number, effect.answer)
             case ReadCompleted():
-                self._on_readable(effect.number)
+                self._on_read_completed(effect.number)
             case CallExpired():
                 self._grant_rounds.pop(effect.number, None)
                 self._link.calls.fail(effect.number, NOT_AGREED)
             case ev.LogLine():
-                self._on_noted(effect)
+                self._on_log_line(effect)
 
-    def _on_readable(self, number: int) -> None:
+    def _on_read_completed(self, number: int) -> None:
         granted = self._grant_rounds.pop(number, None)
         if granted is None:
             self._link.calls.complete(number, b"")
@@ -250,7 +250,7 @@
             self._link.listener.on_leases_granted(granted)
             self._link.distribute()
 
-    def _on_noted(self, effect: ev.LogLine) -> None:
+    def _on_log_line(self, effect: ev.LogLine) -> None:
         self._link.counts[effect.event.replace(" ", "_")] += 1
         self._link.events.write("noted", what=effect.event, term=effect.term, detail=effect.detail)
         if effect.event in _LOG_LINES:
@@ -263,10 +263,10 @@
     def _on_synced(self, number: int, took_us: int) -> None:
         self._carry_out(self._replica.step(self._link.now_us(), ev.Synced(number, took_us)))
 
-    def _on_disk_failure(self, fault: StoreError) -> None:
+    def _on_disk_failure(self, error: StoreError) -> None:
         log(
             "the disk refused; this broker is out of the agreement until it is started again",
-            reason=str(fault),
+            reason=str(error),
         )
-        self._link.events.write("sync failed", reason=str(fault))
+        self._link.events.write("sync failed", reason=str(error))
         self._carry_out(self._replica.step(self._link.now_us(), ev.SyncFailed()))
--- a/harriertide/control/wire.py
+++ b/harriertide/control/wire.py
@@ -15,7 +15,7 @@
 
 
 def encode_message(message: WireMessage) -> bytes:
-    """Encode a message for the carrier."""
+    """Encode a message for the transport."""
     return _encoder.encode(message)
 
 
