--- a/harriertide/config/maintenance_section.py
+++ b/harriertide/config/maintenance_section.py
@@ -28,7 +28,7 @@
 SECTION_KEYS: dict[str, Key] = {
     "name": NAME,
     "folder": TextKey(r".+", "the path of this broker's folder"),
-    "events": TextKey(r".*", "the path of a log for judges", ""),
+    "events": TextKey(r".*", "the path of a log for the lab's checkers", ""),
     "lease_ms": NumberKey(500, 60_000, 3_000),
     "blind_s": NumberKey(0, 1_000_000, 0),
     "cold_s": NumberKey(0, 100_000, 10),
--- a/harriertide/consensus/disk_format.py
+++ b/harriertide/consensus/disk_format.py
@@ -1,7 +1,7 @@
-"""The format of a member's disk: frames with a checksum, the records in them, and what the records add up to.
+"""The format of a member's disk: frames with a checksum, the records in them, and the state that they give.
 
-A frame is the length and the xxh3 of its payload, then the payload. A log file is a row of frames with one
-record each; the identity and a snapshot are files of one frame.
+A frame is the length and the xxh3 of its payload, then the payload. A log file is a sequence of frames with
+one record each; the identity and a snapshot are files of one frame.
 """
 
 from __future__ import annotations
@@ -117,7 +117,7 @@
     start = 0
     while start < len(data):
         if not any(data[start:]):
-            break  # room that the file system made and nobody has written
+            break  # space that the file system has allocated and nobody has written
         if len(data) - start < _FRAME_HEAD.size:
             break
         size, checksum = _FRAME_HEAD.unpack_from(data, start)
@@ -151,7 +151,7 @@
 
 @dataclass(slots=True)
 class LogImage:
-    """What the records of a log file add up to."""
+    """The state that the records of a log file give together."""
 
     cluster: str = ""
     term: int = 0
@@ -172,7 +172,7 @@
             self.entries = [entry for entry in self.entries if entry.index > record.snapshot_index]
 
     def to_record(self) -> Record:
-        """One record that stands for all of them."""
+        """One record that gives the same state."""
         return Record(
             version=VERSION,
             cluster=self.cluster,
--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -192,12 +192,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log of the process and the lab's checkers.
+    """A line for the log of the process and the lab's checkers."""
 
-    :param event: the value of a LogEvent
-    """
-
-    event: str
+    event: LogEvent
     term: int = 0
     detail: str = ""
 
--- a/harriertide/consensus/fanout.py
+++ b/harriertide/consensus/fanout.py
@@ -103,8 +103,8 @@
 
     :param brokers: names of all brokers in the order of the deploy file
     :param voters: those of them that vote
-    :param first_number: of the reports. Any will do that another process of this broker is unlikely to use:
-        guards against a grant for a report of the last process, still on its way, that is taken for one of a
+    :param first_number: of the reports: one that no other process of this broker is likely to use. Guards
+        against a grant for a report of the previous process, still on its way, being taken for a grant of a
         report of this process.
     """
 
--- a/harriertide/consensus/heartbeat.py
+++ b/harriertide/consensus/heartbeat.py
@@ -64,7 +64,7 @@
         self._replication.replicate(member, heartbeat=True)
 
     def record_response(self, member: Member, heartbeat_round: int) -> PeerProgress | None:
-        """Take note that a member has answered, and confirm the reads that waited for this.
+        """Record that a member has answered, and confirm the reads that waited for this.
 
         :param heartbeat_round: that the response repeats
         :returns: None where this node does not lead, or the sender is no member
--- a/harriertide/consensus/log.py
+++ b/harriertide/consensus/log.py
@@ -32,7 +32,7 @@
             self.append(entry)
 
     def copy(self) -> Log:
-        """A log that changes on its own."""
+        """An independent copy."""
         new = Log(self.base_index, self.base_term, self.base_members)
         new.entries = list(self.entries)
         new._memberships = list(self._memberships)
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -56,9 +56,9 @@
 
 
 class Node:
-    """A member. step is the only way to change it.
+    """A member, which changes by its events only.
 
-    All that it knows is in its RaftState, so a node on a copy of that goes on as this one would.
+    All that it knows is in its RaftState, so a node on a copy of that behaves as this one would.
     """
 
     # Replaced by the lab's seeded bugs (harriertide/lab/seeded_bugs.py).
--- a/harriertide/consensus/outbox.py
+++ b/harriertide/consensus/outbox.py
@@ -15,7 +15,7 @@
 
 
 class Outbox:
-    """What a node wants done. What waits for the disk is part of the RaftState."""
+    """The effects of the present step. Messages that wait for the disk are part of the RaftState."""
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
@@ -36,7 +36,7 @@
 
     def log(self, event: LogEvent, detail: str = "") -> None:
         """Add a log line of the present term."""
-        self.emit(ev.LogLine(event.value, self._state.term, detail))
+        self.emit(ev.LogLine(event, self._state.term, detail))
 
     def commit(self, index: int) -> None:
         """Commit the log up to an index."""
@@ -80,7 +80,7 @@
             persist.last_index = min(persist.last_index, index - 1)
 
     def on_synced(self, event: ev.Synced) -> bool:
-        """Take note of a sync, and send what waited for it.
+        """Record a sync, and send the messages that waited for it.
 
         :returns: whether anything is durable that was not before
         """
--- a/harriertide/consensus/pending_requests.py
+++ b/harriertide/consensus/pending_requests.py
@@ -1,4 +1,4 @@
-"""Calls and reads of a replica's own clients that wait: to whom each was sent, when again, and until when."""
+"""Pending calls and reads of a replica's clients: where each was sent, its next attempt and its deadline."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
         self._reads: dict[int, ClientRead] = {}
 
     def add_call(self, call: ClientCall) -> None:
-        """Have a call wait."""
+        """Add a call."""
         self._calls[call.number] = call
 
     def add_read(self, read: ClientRead) -> None:
-        """Have a read wait."""
+        """Add a read."""
         self._reads[read.number] = read
 
     def _requests(self) -> Iterator[ClientCall | ClientRead]:
@@ -56,7 +56,7 @@
         yield from self._reads.values()
 
     def earliest_us(self, until_us: int) -> int:
-        """When the first of them is due for another attempt or has expired; until_us if none is before."""
+        """The earliest next attempt or deadline of all requests; until_us where none is before that."""
         for request in self._requests():
             until_us = min(until_us, request.deadline_us, request.retry_at_us)
         return until_us
@@ -106,13 +106,13 @@
         return list(self._calls.values())
 
     def complete_call(self, call: ClientCall) -> None:
-        """A call is answered."""
+        """Remove a call that is answered."""
         del self._calls[call.number]
 
     def complete_command(self, client: str, serial: int) -> list[int]:
-        """A command was applied.
+        """Remove the calls of a command that was applied.
 
-        :returns: numbers of the calls that waited for it
+        :returns: their numbers
         """
         completed = [
             call.number for call in self._calls.values() if (call.client, call.serial) == (client, serial)
@@ -122,7 +122,7 @@
         return completed
 
     def set_read_index(self, number: int, index: int) -> None:
-        """The index of a read is known; one that is not waiting any more is ignored."""
+        """Set the index of a read; ignored where the read is not pending any more."""
         read = self._reads.get(number)
         if read is not None:
             read.index = index
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -167,7 +167,7 @@
     def _halt(self, now_us: int, reason: str) -> None:
         """Halt the node after a broken invariant: it answers and writes nothing from now on."""
         self._step_node(now_us, ev.InvariantViolated(reason))
-        self._effects.append(ev.LogLine(LogEvent.BROKEN.value, self.node.term, reason))
+        self._effects.append(ev.LogLine(LogEvent.BROKEN, self.node.term, reason))
 
     # --- messages of other replicas -------------------------------------------------------------------
 
@@ -256,7 +256,7 @@
                     self._effects.append(effect)
 
     def _forget_proposals_of_other_terms(self, effect: ev.Effect) -> None:
-        """With the leader the log changes: what was proposed to the last one may be in no log any more."""
+        """Forget proposals once the leader changes: what the last one appended may be in no log any more."""
         if isinstance(effect, ev.LogLine) and effect.event in (LogEvent.LEADS, LogEvent.FOLLOWS):
             self._proposed.clear()
 
--- a/harriertide/consensus/roles.py
+++ b/harriertide/consensus/roles.py
@@ -44,7 +44,7 @@
         state.leader = leader
 
     def step_down(self, reason: str) -> None:
-        """Lead no more, without having heard of a newer term."""
+        """Stop leading, without having heard of a newer term."""
         self._outbox.log(LogEvent.STEPPED_DOWN, reason)
         self.become_follower(self._state.term, None)
 
@@ -87,7 +87,7 @@
         self._outbox.log(LogEvent.LEADS)
 
     def halt(self, reason: str) -> None:
-        """Take no part any more."""
+        """Take no part in the protocol until the process is started again."""
         self._outbox.log(LogEvent.HALTED, reason)
         self._abort_reads()
         self._state.role = Role.HALTED
--- a/harriertide/consensus/snapshots.py
+++ b/harriertide/consensus/snapshots.py
@@ -1,5 +1,5 @@
-"""Snapshots: taking the state machine's place of the log, and sending it in chunks to a member whose log is
-too far behind (InstallSnapshot; Ongaro 2014, chapter 5).
+"""Snapshots: replacing the log by a dump of the state machine, and sending it in chunks to a member whose log
+is too far behind (InstallSnapshot; Ongaro 2014, chapter 5).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def compact_log(state: RaftState, outbox: Outbox, event: ev.SnapshotTaken) -> None:
-    """Let a dump of the state machine take the place of the log up to its index.
+    """Replace the log up to an index by a dump of the state machine.
 
     Ignored where the index is not committed, or covered by a snapshot already.
     """
@@ -142,7 +142,7 @@
         )
 
     def _install(self, snapshot: Snapshot) -> None:
-        """Let a leader's snapshot take the place of the log up to it, or of all of a log that differs."""
+        """Replace the log up to the leader's snapshot by it; the whole log where that differs."""
         state = self._state
         truncate_from = 0
         if state.log.term_at(snapshot.index) == snapshot.term:
--- a/harriertide/consensus/state.py
+++ b/harriertide/consensus/state.py
@@ -1,7 +1,7 @@
 """All that a Raft node knows, as plain data.
 
-The modules of the protocol share one RaftState and own no other state, so a node on a copy of it goes on as
-the first one would: the search of the lab through states relies on that.
+The modules of the protocol share one RaftState and own no other state, so a node on a copy of it behaves as
+the original would. The state search of the lab relies on that.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
     by_transfer: bool = False
 
     def end(self) -> None:
-        """Campaign no more."""
+        """End the campaign."""
         self.phase = CampaignPhase.NONE
         self.by_transfer = False
 
@@ -127,12 +127,12 @@
         self.transfer_target = None
 
     def end(self) -> None:
-        """Lead no more."""
+        """End the leadership."""
         self.progress = {}
         self.transfer_target = None
 
     def copy(self) -> Leadership:
-        """Data that changes on its own."""
+        """An independent copy."""
         return replace(
             self,
             progress={
@@ -175,7 +175,7 @@
         return self.synced_number >= self.term_number
 
     def copy(self) -> DiskProgress:
-        """Data that changes on its own."""
+        """An independent copy."""
         pending = deque(replace(persist) for persist in self.pending)
         return replace(self, pending=pending, waiting=deque(self.waiting))
 
@@ -315,7 +315,7 @@
         return self.now_us - progress.last_contact_us <= 2 * self.election_timeout_us
 
     def copy(self) -> RaftState:
-        """State that changes on its own; the random generator is shared."""
+        """An independent copy, except that the random generator is shared."""
         return replace(
             self,
             log=self.log.copy(),
--- a/harriertide/consensus/store.py
+++ b/harriertide/consensus/store.py
@@ -45,7 +45,7 @@
 class StoreError(SettingsError):
     """The disk can't be used: the folder, its rights, another process, or another release's files.
 
-    The text says what failed, in one line. Mend the cause and start again.
+    The text says what failed, in one line. Remove the cause and start again.
     """
 
 
--- a/harriertide/consensus/transfer.py
+++ b/harriertide/consensus/transfer.py
@@ -58,7 +58,7 @@
             self._send_timeout_now(member)
 
     def expire(self) -> None:
-        """End a transfer whose target has not taken over in time, and lead on."""
+        """End a transfer whose target has not taken over in time, and keep leading."""
         leadership = self._state.leadership
         if leadership.transfer_target is not None and self._state.now_us >= leadership.transfer_deadline_us:
             leadership.transfer_target = None
--- a/harriertide/control/__init__.py
+++ b/harriertide/control/__init__.py
@@ -2,7 +2,7 @@
 
 ===================  ===========================================================================
 event_log            a log for the laboratory's checkers
-environment          the disk, the network and the random numbers that a member stands on
+environment          the disk, the network and the random numbers that a member runs on
 wire                 the messages between members, as bytes
 pending_calls        calls that wait for their result
 disk_writer          group commit to the member's store
--- a/harriertide/control/cluster_membership.py
+++ b/harriertide/control/cluster_membership.py
@@ -7,6 +7,7 @@
 from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello, MembershipReconciler
 from harriertide.consensus.messages import Member
 from harriertide.consensus.replica import Effect, Replica
+from harriertide.consensus.state import Role
 from harriertide.control.member_link import MemberLink
 
 BOOTSTRAP_RETRY_INTERVAL_US = 300_000  # between two sendings to voters that may have missed it
@@ -38,7 +39,7 @@
         hello = self._reconciler.next_hello(now_us, node)
         if hello is not None:
             self._send_to_voters(hello)
-        if not node.cluster and node.role != "halted":
+        if not node.cluster and node.role != Role.HALTED:
             self._try_bootstrap(now_us)
         elif self._bootstrap is not None and not node.is_leader and not node.leader:
             self._resend_bootstrap(now_us, self._bootstrap)
--- a/harriertide/control/environment.py
+++ b/harriertide/control/environment.py
@@ -1,4 +1,4 @@
-"""What a member stands on: a disk, a network, random numbers and a log of events, or a laboratory's."""
+"""What a member runs on: disk, network, random numbers and log of events, or a laboratory's stand-ins."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Disk(Protocol):
-    """A store, or what stands for one. disk: its identity; restored: what a start found on it."""
+    """A store or a stand-in. disk: its identity; restored: what a start found on it."""
 
     disk: str
     restored: ev.RestoredState
@@ -33,7 +33,7 @@
 
 
 class MemberTransport(Protocol):
-    """What carries payloads to other members: a transport, or what stands for one."""
+    """Carries payloads to other members: a transport or a stand-in."""
 
     counts: Counter[str]
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a member stands on. write_to_disk: carries out a store's write, off the event loop."""
+    """What a member runs on. write_to_disk: carries out a store's write, off the event loop."""
 
     disk: Callable[[Path], Disk] = Store.open
     transport: Callable[[Callable[[bytes], bool]], MemberTransport] = Transport
--- a/harriertide/control/event_log.py
+++ b/harriertide/control/event_log.py
@@ -13,7 +13,7 @@
 
 
 class EventSink(Protocol):
-    """Where events go: a file, or what stands for one."""
+    """Where events go: a file or a stand-in."""
 
     def write(self, event: str, **fields: Any) -> None:
         """Write one event."""
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -48,7 +48,7 @@
     :param unix_us: the reducer's clock
     :param leave: ends this process in order
     :param set_ready: whether this process takes requests
-    :param environment: what the member stands on; a laboratory's in simulations
+    :param environment: what the member runs on; a laboratory's in simulations
     :param wall_s: the wall clock, in Unix seconds
     """
 
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -12,7 +12,7 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.applied_state import AppliedState, StateMachine
 from harriertide.consensus.disk_format import DamagedError
-from harriertide.consensus.events import Tuning
+from harriertide.consensus.events import LogEvent, Tuning
 from harriertide.consensus.fanout import (
     REPORT_INTERVAL_US,
     UPDATE_BYTES,
@@ -43,12 +43,12 @@
 
 # What an operator reads of an event of the agreement, and which ones.
 _LOG_LINES = {
-    "leads": "elected leader of the agreement",
-    "hands over": "transfers leadership of the agreement",
-    "stepped down": "stepped down as leader of the agreement",
-    "members": "membership of the agreement changes",
-    "halted": "out of the agreement until this broker is started again",
-    "broken": "out of the agreement, an invariant does not hold",
+    LogEvent.LEADS: "elected leader of the agreement",
+    LogEvent.TRANSFERS: "transfers leadership of the agreement",
+    LogEvent.STEPPED_DOWN: "stepped down as leader of the agreement",
+    LogEvent.MEMBERSHIP: "membership of the agreement changes",
+    LogEvent.HALTED: "out of the agreement until this broker is started again",
+    LogEvent.BROKEN: "out of the agreement, an invariant does not hold",
 }
 
 
@@ -255,7 +255,7 @@
         self._link.events.write("noted", what=effect.event, term=effect.term, detail=effect.detail)
         if effect.event in _LOG_LINES:
             log(_LOG_LINES[effect.event], term=effect.term, reason=effect.detail)
-        if effect.event in ("halted", "broken"):
+        if effect.event in (LogEvent.HALTED, LogEvent.BROKEN):
             self._halted = effect.detail
 
     # --- the disk -------------------------------------------------------------------------------------
--- a/harriertide/maintenance/forecast.py
+++ b/harriertide/maintenance/forecast.py
@@ -1,4 +1,4 @@
-"""What would come of an order: the planner's proposals played ahead on a copy of the state."""
+"""What would come of an order: the planner's proposals simulated on a copy of the state."""
 
 from __future__ import annotations
 
@@ -69,8 +69,8 @@
     def run(self) -> list[ForecastPermit]:
         """Go from event to event until the order is over, or nothing can go.
 
-        No more rounds than all machines have steps: guards the broker that is asked, which serves requests on
-        the same loop, against orders that take days.
+        The rounds are bounded by the steps of all machines: guards the broker that is asked, which serves
+        requests on the same loop, against orders that take days.
         """
         permits: list[ForecastPermit] = []
         state = self._copy.state
@@ -141,7 +141,7 @@
     facts: LeaderFacts,
     now_s: float,
 ) -> list[ForecastPermit]:
-    """Play an order ahead on a copy of the state.
+    """Simulate an order on a copy of the state.
 
     :param facts: a copy of the leader's, which this changes
     :param now_s: the wall clock now, in Unix seconds
--- a/harriertide/maintenance/planner.py
+++ b/harriertide/maintenance/planner.py
@@ -1,11 +1,10 @@
 """What the leader proposes next, and what each machine waits for.
 
-How it is known that nothing stands still: `describe_waits` names, for each machine that is not done, the one
-thing it waits for, and each of these is an event that comes by itself (work that takes its time, a lease that
-runs out, load that falls, attempts that end) or one that it names a person for (`done`, `gone`, `resume`, an
-order that is overdue). A machine for which it names nothing is proposed in the same round. So as long as any
-phase change is possible, one is proposed in each round, by whoever leads; a proposal that is lost is made
-again at the next.
+Liveness: for each machine that is not done `describe_waits` names what it waits for. That is an event that
+comes by itself (work that takes its time, a lease that expires, load that falls, attempts that end) or one
+that needs a person (`done`, `gone`, `resume`, an order that is overdue). A machine for which it names nothing
+is proposed in the same round. So as long as any phase change is possible, each round of any leader proposes
+one; a proposal that is lost is made again in the next round.
 """
 
 from __future__ import annotations
