--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -5,8 +5,10 @@
 from random import Random
 
 import pytest
+from msgspec.structs import replace
 
 from harriertide.consensus import events as ev
+from harriertide.consensus.membership_reconciler import Hello
 from harriertide.consensus.messages import (
     AppendRequest,
     Entry,
@@ -48,6 +50,7 @@
 
 @pytest.mark.parametrize("size", [1, 3, 7])
 def test_simulated_runs_of_other_sizes(size: int) -> None:
+    """Clusters of one, three and seven under drawn faults keep the same promises."""
     faults = FAULTS if size > 1 else ("kill", "pause", "slow-disk")
     for seed in range(6):
         verdict = run_simulation(seed, size=size, seconds=6.0, faults=faults)
@@ -68,8 +71,8 @@
 # --- situations ---------------------------------------------------------------------------------------
 
 
-def settled(seed: int = 1, size: int = 3, keep: int = 40) -> tuple[Cluster, Host]:
-    """A cluster that has founded itself, and its leader."""
+def running_cluster(seed: int = 1, size: int = 3, keep: int = 40) -> tuple[Cluster, Host]:
+    """A cluster that was bootstrapped, and its leader."""
     sim = Cluster(seed, size, keep=keep)
     for host in sim.hosts.values():
         host.start()
@@ -80,7 +83,7 @@
 
 
 def put(sim: Cluster, host: Host, value: str, key: str = "k") -> list[int]:
-    """Calls from a host; filled with the moment of the answer."""
+    """Call from a host; the list is filled with the time of the answer."""
     done: list[int] = []
     sim.values += 1
     assert host.replica is not None
@@ -101,18 +104,18 @@
 
 
 def links(sim: Cluster, host: Host) -> set[tuple[str, str]]:
-    """All of a host, both ways."""
+    """All links of a host, in both directions."""
     return {(host.name, name) for name in sim.names} | {(name, host.name) for name in sim.names}
 
 
-def behind(sim: Cluster, leader: Host, away: Host) -> set[tuple[str, str]]:
-    """Cut one off until the others have let go of what it lacks; its links."""
-    ways = links(sim, away)
-    sim.cut |= ways
+def let_fall_behind(sim: Cluster, leader: Host, lagging: Host) -> set[tuple[str, str]]:
+    """Cut a member off until the others have compacted what it lacks; return its links."""
+    cut_links = links(sim, lagging)
+    sim.cut |= cut_links
     for number in range(300):
         put(sim, leader, "x" * 4_000, key=f"k{number}")
     sim.run(sim.now + 2 * SECOND)
-    return ways
+    return cut_links
 
 
 @pytest.mark.parametrize("size", [3, 5])
@@ -122,7 +125,7 @@
         for b in range(size):
             if a == b:
                 continue
-            sim, _ = settled(seed=size, size=size)
+            sim, _ = running_cluster(seed=size, size=size)
             names = sim.names
             sim.cut.add((names[a], names[b]))
             sim.run(sim.now + 2 * SECOND)
@@ -140,24 +143,24 @@
     """A member is cut off five times and campaigns meanwhile. As it comes back the others still hear their
     leader: it keeps its term.
     """
-    sim, leader = settled(size=5)
-    away = others(sim, leader)[0]
+    sim, leader = running_cluster(size=5)
+    lagging = others(sim, leader)[0]
     term = leader.replica.node.term  # type: ignore[union-attr]
     for _ in range(5):
-        sim.cut |= links(sim, away)
+        sim.cut |= links(sim, lagging)
         sim.run(sim.now + 3 * SECOND)
         sim.cut.clear()
         sim.run(sim.now + SECOND)
     assert sim.leader() is leader and leader.replica is not None
     assert leader.replica.node.term == term
-    assert away.replica is not None and away.replica.node.leader == leader.replica.node.me
+    assert lagging.replica is not None and lagging.replica.node.leader == leader.replica.node.me
 
 
-def test_a_leader_whose_disk_takes_500_ms_hands_over_by_itself() -> None:
+def test_a_leader_whose_disk_takes_500_ms_transfers_leadership() -> None:
     """The leader's disk becomes slow, so each commit waits for it. It transfers leadership by itself, without
     a series of elections.
     """
-    sim, leader = settled(size=5)
+    sim, leader = running_cluster(size=5)
     leader.disk.late_us = 500_000
     for number in range(30):
         put(sim, leader, f"v{number}")
@@ -177,7 +180,7 @@
     """The process of a leader is stopped, another one is elected and commits. The old one goes on and takes
     itself for the leader: a read that it is asked for must not show the old state.
     """
-    sim, leader = settled(size=5)
+    sim, leader = running_cluster(size=5)
     leader.paused_until = sim.now + 8 * SECOND
     sim.run(sim.now + 3 * SECOND)
     second = sim.leader()
@@ -199,7 +202,7 @@
     """A sync fails once on the leader. What the system holds in memory may be lost, so that process never
     takes part again, even with a disk that works.
     """
-    sim, leader = settled()
+    sim, leader = running_cluster()
     leader.disk.fails = True
     lost = put(sim, leader, "lost?")
     sim.run(sim.now + 3 * SECOND)
@@ -218,7 +221,7 @@
     """A broker loses its disk. It has forgotten its votes, so it counts for nothing until it was caught up
     and took the place of the old disk.
     """
-    sim, leader = settled()
+    sim, leader = running_cluster()
     for number in range(200):
         put(sim, leader, f"v{number}")
     sim.run(sim.now + SECOND)
@@ -236,14 +239,12 @@
     assert value(back) == "v199" and not sim.check_history().broken
 
 
-def test_two_processes_under_one_name_throw_nobody_out() -> None:
+def test_two_processes_under_one_name_remove_no_member() -> None:
     """A second process is started under a member's name by mistake. Its disk is not taken in while the first
     one answers.
     """
-    sim, leader = settled()
+    sim, leader = running_cluster()
     other = others(sim, leader)[0]
-    from harriertide.consensus.membership_reconciler import Hello
-
     for _ in range(10):
         leader.hear(Hello(Member(other.name, "foreign"), ""))
         sim.run(sim.now + SECOND // 5)
@@ -252,68 +253,66 @@
     assert other.name in leader.roster.duplicate_names
 
 
-def test_a_member_that_was_away_long_gets_the_snapshot_in_pieces_and_goes_on_where_it_broke() -> None:
+def test_a_member_that_lags_gets_the_snapshot_in_chunks_and_resumes_after_a_cut() -> None:
     """A member was away until the log no longer holds what it lacks. It is sent the snapshot, the link breaks
     in between, and the chunks go on where they stopped.
     """
-    sim, leader = settled(keep=40)
-    away = others(sim, leader)[0]
-    ways = behind(sim, leader, away)
+    sim, leader = running_cluster(keep=40)
+    lagging = others(sim, leader)[0]
+    cut_links = let_fall_behind(sim, leader, lagging)
     assert leader.replica is not None and leader.replica.node.snapshot is not None
     assert leader.replica.node.log.base_index > 100
-    pieces: list[int] = []
+    offsets: list[int] = []
     post = sim.post
 
     def watched(a: str, b: str, message: object) -> None:
         if isinstance(message, SnapshotChunk) and message.data:
-            pieces.append(message.offset)
-            if len(pieces) == 4:  # the way breaks in the midst
-                sim.cut.update(ways)
-                sim.at(sim.now + SECOND, sim.cut.difference_update, ways)
+            offsets.append(message.offset)
+            if len(offsets) == 4:  # the link breaks in between
+                sim.cut.update(cut_links)
+                sim.at(sim.now + SECOND, sim.cut.difference_update, cut_links)
         post(a, b, message)  # type: ignore[arg-type]
 
     sim.post = watched  # type: ignore[method-assign]
     sim.cut.clear()
     sim.run(sim.now + 5 * SECOND)
-    assert away.replica is not None and away.replica.last_applied == leader.replica.last_applied
+    assert lagging.replica is not None and lagging.replica.last_applied == leader.replica.last_applied
     size = len(leader.replica.node.snapshot.data)
-    assert len(pieces) > 5 and max(pieces) > size // 2
-    assert len(pieces) < 3 + 2 * (
+    assert len(offsets) > 5 and max(offsets) > size // 2
+    assert len(offsets) < 3 + 2 * (
         size // sim.tuning.snapshot_chunk_bytes + 1
     )  # not from the beginning each time
     assert not sim.check_history().broken
 
 
-def test_a_piece_that_was_damaged_on_its_way_is_sent_again() -> None:
+def test_a_chunk_that_was_damaged_is_sent_again() -> None:
     """A chunk is damaged in a way that its frame does not show. The checksum of the whole finds it, and all
     is sent again.
     """
-    sim, leader = settled(keep=40)
-    away = others(sim, leader)[0]
-    behind(sim, leader, away)
-    post, spoilt = sim.post, []
+    sim, leader = running_cluster(keep=40)
+    lagging = others(sim, leader)[0]
+    let_fall_behind(sim, leader, lagging)
+    post, damaged_offsets = sim.post, []
 
     def watched(a: str, b: str, message: object) -> None:
-        if isinstance(message, SnapshotChunk) and message.data and not spoilt:
-            spoilt.append(message.offset)
+        if isinstance(message, SnapshotChunk) and message.data and not damaged_offsets:
+            damaged_offsets.append(message.offset)
             flipped = bytes([message.data[0] ^ 1]) + message.data[1:]
-            from msgspec.structs import replace
-
             message = replace(message, data=flipped)
         post(a, b, message)  # type: ignore[arg-type]
 
     sim.post = watched  # type: ignore[method-assign]
     sim.cut.clear()
     sim.run(sim.now + 5 * SECOND)
-    assert spoilt and away.replica is not None and leader.replica is not None
-    assert away.replica.last_applied == leader.replica.last_applied and not sim.check_history().broken
+    assert damaged_offsets and lagging.replica is not None and leader.replica is not None
+    assert lagging.replica.last_applied == leader.replica.last_applied and not sim.check_history().broken
 
 
-def test_a_proposal_repeated_after_a_change_of_leader_has_its_effect_once() -> None:
+def test_a_proposal_repeated_after_a_change_of_leader_takes_effect_once() -> None:
     """A client repeats a command because the leader died before it answered. The command may be in the log
     twice, and takes effect once.
     """
-    sim, leader = settled(size=5)
+    sim, leader = running_cluster(size=5)
     host = others(sim, leader)[0]
     assert host.replica is not None
     done: list[int] = []
@@ -334,9 +333,9 @@
     assert {value(each, "n") for each in sim.hosts.values()} == {"first"}
 
 
-def test_leadership_goes_over_when_it_is_asked_for() -> None:
+def test_leadership_is_transferred_on_request() -> None:
     """An operator moves leadership to a certain member: it leads within 200 ms."""
-    sim, leader = settled(size=5)
+    sim, leader = running_cluster(size=5)
     target = others(sim, leader)[2]
     assert leader.replica is not None
     before = sim.now
@@ -345,9 +344,9 @@
     assert sim.leader() is target and sim.now - before <= SECOND // 5
 
 
-def test_a_second_cluster_is_not_founded_beside_one_that_exists() -> None:
+def test_a_second_cluster_is_not_bootstrapped_beside_one_that_exists() -> None:
     """All but one voter come back with empty disks at once: nobody may decide, least of all they."""
-    sim, _ = settled()
+    sim, _ = running_cluster()
     a, b, c = sim.hosts.values()
     for host in (a, b):
         host.kill(Random(1))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -26,13 +26,13 @@
 Body = Callable[[Rig], Awaitable[None]]
 
 
-def played(
-    folder: Path, body: Body, brokers: int = 3, boxes: int = 4, at_once: int = 1, **keys: Any
+def run_on_rig(
+    folder: Path, body: Body, brokers: int = 3, nodes: int = 4, at_once: int = 1, **keys: Any
 ) -> maintenance_checker.Verdict:
-    """A body on a rig that stands and has a leader; what the judge says of it then."""
+    """Run a body on a rig that has a leader; return the verdict of the checker."""
 
     async def main() -> None:
-        rig = Rig(folder, brokers, boxes, 1, **keys)
+        rig = Rig(folder, brokers, nodes, 1, **keys)
         try:
             await rig.start()
             await leader(rig)
@@ -54,7 +54,7 @@
         if found:
             return found
         await asyncio.sleep(0.03)
-    raise AssertionError("it did not come to that")
+    raise AssertionError("it has not happened in time")
 
 
 async def status(rig: Rig, place: int = 0) -> dict[str, Any]:
@@ -63,7 +63,7 @@
 
 
 async def leader(rig: Rig, beside: tuple[int, ...] = ()) -> int:
-    """The place of one that leads, and has the machines agreed on."""
+    """Wait for a leader with an agreed inventory; return its place."""
 
     async def look() -> int:
         for place in range(rig.number):
@@ -102,7 +102,7 @@
 
 
 async def finish(rig: Rig, beside: tuple[int, ...] = ()) -> None:
-    """An operator who says done, until all orders are over."""
+    """Report finished work as an operator does, until all orders are over."""
     places = [place for place in range(rig.number) if place not in beside]
 
     async def look() -> bool:
@@ -122,7 +122,7 @@
 
 
 async def writes(rig: Rig, places: list[int]) -> None:
-    """Clients, until cancelled."""
+    """Write as clients do, until cancelled."""
     number = 0
     while True:
         number += 1
@@ -154,7 +154,7 @@
         await finish(rig)
         load.cancel()
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
 def test_a_broker_that_is_paused_for_8_s_does_not_send_when_it_is_back(tmp_path: Path) -> None:
@@ -175,7 +175,7 @@
         await finish(rig)
         load.cancel()
 
-    found = played(tmp_path, body)
+    found = run_on_rig(tmp_path, body)
     assert found.finished == 1 and found.written > 20
 
 
@@ -199,7 +199,7 @@
         await finish(rig)
         load.cancel()
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
 def test_two_orders_for_the_same_machines_at_two_sides_of_a_split(tmp_path: Path) -> None:
@@ -224,7 +224,7 @@
         await late
         await finish(rig)
 
-    assert played(tmp_path, body).finished == 2
+    assert run_on_rig(tmp_path, body).finished == 2
 
 
 def test_all_brokers_are_killed_at_once_amid_work_and_started_again(tmp_path: Path) -> None:
@@ -247,7 +247,7 @@
         await finish(rig)
         load.cancel()
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
 def test_a_permitted_machine_that_dies_and_never_comes_back_is_overdue_and_can_be_done_later(
@@ -272,10 +272,10 @@
         await eventually(overdue)
         await finish(rig)
 
-    assert played(tmp_path, body, at_once=2).finished == 1
+    assert run_on_rig(tmp_path, body, at_once=2).finished == 1
 
 
-def test_a_box_that_is_away_unplanned_uses_up_what_may_be_away(tmp_path: Path) -> None:
+def test_a_node_that_fails_counts_as_out_of_service(tmp_path: Path) -> None:
     """A node fails that no order names. It counts as out of service: an order of one at once waits and
     says for what, until the node is back.
     """
@@ -298,11 +298,11 @@
         await finish(rig)
         load.cancel()
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
-def test_a_box_that_comes_back_cold_counts_as_what_it_bears(tmp_path: Path) -> None:
-    """Four boxes of 0.42 units a second, 1.1 due: while the first is cold the second waits."""
+def test_a_node_that_warms_up_counts_as_what_it_can_serve(tmp_path: Path) -> None:
+    """Four nodes of 0.42 units a second, 1.1 due: while the first is cold the second waits."""
     labels = {f"x{n}": "units = 0.42" for n in range(1, 5)}
 
     async def body(rig: Rig) -> None:
@@ -317,7 +317,7 @@
         assert time.monotonic() - begun > 0.5
         await finish(rig)
 
-    assert played(tmp_path, body, at_once=2, labels=labels, cold_s=3).finished == 1
+    assert run_on_rig(tmp_path, body, at_once=2, labels=labels, cold_s=3).finished == 1
 
 
 def test_a_rolling_restart_of_all_brokers_by_their_own_order_under_load(tmp_path: Path) -> None:
@@ -333,7 +333,7 @@
         assert all(rig.processes[place].pid != pid for place, pid in before.items())
         load.cancel()
 
-    found = played(tmp_path, body, brokers=5)
+    found = run_on_rig(tmp_path, body, brokers=5)
     assert found.finished == 1 and found.written > 0.6 * found.writes
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["code"] for row in rows if row["event"] == "ended"][:5] == [0] * 5  # each ended in order
@@ -363,7 +363,7 @@
         await finish(rig)
         assert (await status(rig, away))["knows"]
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
 @pytest.mark.parametrize("verb", ["disk-full", "sync-fails"])
@@ -384,7 +384,7 @@
         await finish(rig)
         assert "the disk refused" in (tmp_path / f"{rig.names[led]}.err").read_text()
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
 def test_a_bit_that_flips_in_the_log_stops_the_member_and_the_others_catch_it_up(tmp_path: Path) -> None:
@@ -412,7 +412,7 @@
         assert "store damaged" in (tmp_path / f"{rig.names[away]}.err").read_text()
         assert (tmp_path / f"{rig.names[away]}-damaged-1" / "log-1").exists()
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
 def test_junk_on_the_wire_ends_its_connection_and_nothing_else(tmp_path: Path) -> None:
@@ -444,7 +444,7 @@
 
         await eventually(counted)
 
-    assert played(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, body).finished == 1
 
 
 def test_a_short_drawn_run_keeps_every_bound(tmp_path: Path) -> None:
@@ -498,7 +498,7 @@
         code, said = await run("status", "--json")
         assert json.loads(said)["orders"][0]["over"] is True
 
-    assert played(tmp_path / "rig", body).finished == 1
+    assert run_on_rig(tmp_path / "rig", body).finished == 1
 
 
 def test_what_cannot_be_used_of_an_order_file_is_one_line(
@@ -519,16 +519,16 @@
     assert command(["maintenance", "request", str(file)]) == 2
 
 
-# --- the judge ----------------------------------------------------------------------------------------
+# --- the checker --------------------------------------------------------------------------------------
 
 
 def step(machine: str, phase_: str, fence: int, at: float, order: str = "o") -> dict[str, Any]:
     return {"event": "step", "order": order, "machine": machine, "phase": phase_, "fence": fence, "at": at}
 
 
-def logs(folder: Path, events: list[Any], boxes: list[Any] = []) -> maintenance_checker.Verdict:  # noqa: B006
+def logs(folder: Path, events: list[Any], nodes: list[Any] = []) -> maintenance_checker.Verdict:  # noqa: B006
     agreed = [{"event": "agreed", "order": "o", "machines": ["x1", "x2"], "at": 0.0}]
-    for name, rows in (("b1.events", events), ("boxes.log", boxes), ("clients.log", agreed)):
+    for name, rows in (("b1.events", events), ("boxes.log", nodes), ("clients.log", agreed)):
         (folder / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
     return maintenance_checker.judge(folder, {"x1": "g", "x2": "g"}, {"o": 1})
 
@@ -539,7 +539,7 @@
 ]
 
 
-def test_the_judge_finds_each_planted_fault(tmp_path: Path) -> None:
+def test_the_checker_finds_each_broken_rule(tmp_path: Path) -> None:
     came = [{"event": "came", "box": "x1", "at": at} for at in (1.0, 2.9, 4.1)]
     good = logs(tmp_path, GOOD, came)
     assert not good.broken and good.finished == 1 and good.standstill_s == pytest.approx(6.0)
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -60,14 +60,14 @@
         self.voter_names = ["b1", "b2", "b3"]
         self.wait_reasons: dict[str, list[str]] = {}
         self.fault: CallError | None = None
-        self.hurried = 0
+        self.requested_reports = 0
         self.called: list[Command] = []
 
     def now_us(self) -> int:
         return self.time_us
 
     def report_soon(self) -> None:
-        self.hurried += 1
+        self.requested_reports += 1
 
     async def call(self, data: bytes, within_s: float) -> bytes:
         if self.fault is not None:
@@ -168,6 +168,7 @@
 
 
 def test_a_broker_that_is_cut_off_for_the_operators_limit_sends_to_no_node() -> None:
+    """A broker is cut off for longer than blind_s: others may have taken any node out by now."""
     made, member, nodes = barrier(agreed(), isolation_limit_us=5_000_000)
     member.lease_end_us = LEASE_END_US
     made.refresh_when_due(member.now_us())
@@ -217,6 +218,7 @@
 
 
 def test_a_broker_confirms_its_own_drain_only_when_every_request_has_its_answer() -> None:
+    """A broker is taken out itself: its process may end only once no client waits for an answer."""
     reports, _, core = reporter(agreed(*draining("b1", 1)))
     core.open_requests = 1
     assert not reports.build().drained_brokers
@@ -322,10 +324,10 @@
         self.batches: list[list[int]] = []
         self.fault: StoreError | None = None
 
-    def write(self, works: list[ev.Persist]) -> None:
+    def write(self, writes: list[ev.Persist]) -> None:
         if self.fault is not None:
             raise self.fault
-        self.batches.append([work.number for work in works])
+        self.batches.append([write.number for write in writes])
 
     def close(self) -> None:
         pass
@@ -335,9 +337,9 @@
     return ev.Persist(number, "cluster-1", 1, None)
 
 
-def test_works_that_come_during_a_sync_go_with_the_next_one_and_a_refusal_is_final() -> None:
-    """A disk is slow: works pile up during one sync, and cost one more together. Then it refuses; what a sync
-    did not do may be half on the disk, so nothing is written after it."""
+def test_writes_that_come_during_a_sync_share_the_next_one_and_a_failure_is_final() -> None:
+    """A disk is slow: writes queue up during one sync, and share the next. Then it fails: what a failed sync
+    has written may be half on the disk, so nothing is written after it."""
 
     async def main() -> None:
         store, synced, failed = ScriptedStore(), [], []
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -128,22 +128,29 @@
 # --- what is agreed on --------------------------------------------------------------------------------
 
 
-def walk(agreed: MaintenanceStateMachine, machine: str, order_name: str, *phases: Phase) -> str:
-    """A permit and moves; the last refusal."""
-    refused = submit(agreed, GrantPermit(machine, order_name, 3.0))
+def change_phases(agreed: MaintenanceStateMachine, machine: str, *phases: Phase) -> str:
+    """Take the active step of a machine through phases; the last refusal."""
+    refused = ""
     for phase in phases:
         step = agreed.state.find_active_step(machine)
-        refused = submit(agreed, ChangePhase(machine, step.fence if step else 0, phase, 3.0))
+        assert step is not None
+        refused = submit(agreed, ChangePhase(machine, step.fence, phase, 3.0))
     return refused
 
 
+def permit_and_change(agreed: MaintenanceStateMachine, machine: str, order_name: str, *phases: Phase) -> str:
+    """Permit a machine, then take it through phases; the last refusal."""
+    refused = submit(agreed, GrantPermit(machine, order_name, 3.0))
+    return change_phases(agreed, machine, *phases) if phases else refused
+
+
 def test_a_fence_never_goes_back_and_an_old_one_moves_nothing() -> None:
     """A leader that was paused proposes a change under a fence of a turn that is over, or of another
     machine's: nothing changes.
     """
     agreed = declared(SubmitOrder(order(), 2.0))
-    assert not walk(agreed, "x1", "fw", "draining", "out", "returning", "back")
-    assert not walk(agreed, "x2", "fw")
+    assert not permit_and_change(agreed, "x1", "fw", "draining", "out", "returning", "back")
+    assert not permit_and_change(agreed, "x2", "fw")
     step = agreed.state.find_active_step("x2")
     assert step is not None and step.fence == 2
     assert submit(agreed, ChangePhase("x2", 1, "draining", 3.0)) and step.phase == "permitted"
@@ -158,11 +165,11 @@
         SubmitOrder(order("fw", ("x1", "x2", "x4"), at_once=2), 2.0),
         SubmitOrder(order("b", ("b1", "b2"), at_once=2), 2.0),
     )
-    assert not walk(agreed, "x1", "fw")
+    assert not permit_and_change(agreed, "x1", "fw")
     assert "group g1" in submit(agreed, GrantPermit("x4", "fw", 3.0))  # x1 and x4 are of one group
-    assert not walk(agreed, "x2", "fw")
+    assert not permit_and_change(agreed, "x2", "fw")
     assert "under way" in submit(agreed, GrantPermit("x4", "fw", 3.0))
-    assert not walk(agreed, "b1", "b")
+    assert not permit_and_change(agreed, "b1", "b")
     assert "voters would be left" in submit(agreed, GrantPermit("b2", "b", 3.0))
     submit(agreed, ReportFailure("b5", True, 3.0))
     assert "voters" in submit(agreed, GrantPermit("b2", "b", 3.0))
@@ -176,30 +183,21 @@
     submit(agreed, PausePermits(True, 3.0))
     assert submit(agreed, GrantPermit("x1", "a", 3.0)) == "held"
     submit(agreed, PausePermits(False, 3.0))
-    assert not walk(agreed, "x1", "a", "draining")
+    assert not permit_and_change(agreed, "x1", "a", "draining")
     submit(agreed, CancelOrder("a", 3.0))
     assert agreed.state.find_active_step("x1") is not None  # it drains; it has to come back in order
-    assert not walk_on(agreed, "x1", "cancelled") and agreed.state.find_active_step("x1") is None
+    assert not change_phases(agreed, "x1", "cancelled") and agreed.state.find_active_step("x1") is None
     assert not submit(agreed, GrantPermit("x2", "b", 3.0))
 
 
-def walk_on(agreed: MaintenanceStateMachine, machine: str, *phases: Phase) -> str:
-    refused = ""
-    for phase in phases:
-        step = agreed.state.find_active_step(machine)
-        assert step is not None
-        refused = submit(agreed, ChangePhase(machine, step.fence, phase, 3.0))
-    return refused
-
-
 def test_a_snapshot_is_the_state_and_equal_states_are_equal_bytes() -> None:
     one = declared(SubmitOrder(order(), 2.0), ReportFailure("x5", True, 2.0), MarkBrokerGone("b4", True, 2.0))
-    walk(one, "x1", "fw", "draining")
+    permit_and_change(one, "x1", "fw", "draining")
     two = MaintenanceStateMachine()
     two.load(one.dump())
     assert two.dump() == one.dump()
     for each in (one, two):
-        walk_on(each, "x1", "out")
+        change_phases(each, "x1", "out")
     assert two.dump() == one.dump()
 
 
@@ -275,7 +273,7 @@
     agreed = declared()
     for number in range(130):
         submit(agreed, SubmitOrder(order(f"o{number}", ("x1",)), 2.0))
-        walk(agreed, "x1", f"o{number}", "draining", "out", "returning", "back")
+        permit_and_change(agreed, "x1", f"o{number}", "draining", "out", "returning", "back")
     assert len(agreed.state.orders) <= 101
 
 
@@ -295,17 +293,17 @@
     return [command.machine for command in found if isinstance(command, GrantPermit)]
 
 
-def test_what_is_due_decides_how_many_may_be_away() -> None:
+def test_required_units_decide_how_many_nodes_may_be_out() -> None:
     agreed = declared(SubmitOrder(order("fw", ("x1", "x2", "x3"), at_once=3), 2.0))
     planner = Planner(agreed, PlannerSettings())
     assert permits(planner.propose(facts(load_units=40.0), 10_000_000, 3.0)) == ["x1"]  # 50 left of 44 due
-    walk(agreed, "x1", "fw", "draining", "out")
+    permit_and_change(agreed, "x1", "fw", "draining", "out")
     assert not permits(planner.propose(facts(load_units=40.0), 10_000_000, 3.0))  # 40 would be left
     assert permits(planner.propose(facts(load_units=30.0), 10_000_000, 3.0)) == ["x2"]
     assert not permits(planner.propose(facts(reserved_units=40.0), 10_000_000, 3.0))
 
 
-def test_the_hours_to_come_count_as_they_were() -> None:
+def test_recorded_peaks_of_the_hours_of_the_work_count() -> None:
     agreed = declared(SubmitOrder(Order("fw", ("x1",), "replace", 7200.0), 2.0))
     agreed.state.peak_load_by_hour[9] = 55.0
     planner = Planner(agreed, PlannerSettings())
@@ -313,17 +311,18 @@
     assert permits(planner.propose(facts(), 10_000_000, 10 * 3600.0)) == ["x1"]
 
 
-def test_a_machine_that_comes_back_cold_into_a_surge_counts_as_what_it_bears() -> None:
+def test_a_node_that_warms_up_counts_as_what_it_can_serve() -> None:
+    """A node returns while load is near what all can serve: the next one waits until it is warm enough."""
     agreed = declared(SubmitOrder(order("fw", ("x1", "x2"), at_once=2), 2.0))
     planner, known = Planner(agreed, PlannerSettings(warm_up_s=10.0)), facts(load_units=41.0)
-    walk(agreed, "x1", "fw", "draining", "out", "returning")
+    permit_and_change(agreed, "x1", "fw", "draining", "out", "returning")
     assert not permits(planner.propose(known, 10_000_000, 3.0))  # 40 and 3 of the cold one are under 45
     assert available_units(planner.context(known, 10_000_000, 3.0)) == pytest.approx(53.0)
     assert available_units(planner.context(known, 15_000_000, 3.0)) == pytest.approx(56.5)
     assert permits(planner.propose(known, 18_000_000, 3.0)) == ["x2"]
 
 
-def test_a_failure_that_nobody_planned_uses_the_same_budget_and_calls_back_what_still_drains() -> None:
+def test_a_failure_that_nobody_planned_uses_the_same_budget_and_recalls_a_draining_node() -> None:
     """A node fails while an order is open: no permit is granted until it is back. When one fails while
     another still drains, and the rest can't serve the load, the draining one goes back to waiting.
     """
@@ -339,7 +338,7 @@
     known.unreachable_counts = {}
     submit(agreed, *planner.propose(known, 10_000_000, 6.0))
     assert permits(planner.propose(known, 10_000_000, 6.0)) == ["x1"]
-    walk(agreed, "x1", "fw", "draining")
+    permit_and_change(agreed, "x1", "fw", "draining")
     known.unreachable_counts, known.load_units = {"x2": 4}, 45.0
     planner.propose(known, 10_000_000, 7.0)
     submit(agreed, *planner.propose(known, 12_500_000, 9.0))
@@ -360,7 +359,7 @@
                 gone.append(command.machine)
                 submit(agreed, command)
         for step in agreed.state.active_steps():
-            walk_on(agreed, step.machine, "draining", "out", "returning", "back")
+            change_phases(agreed, step.machine, "draining", "out", "returning", "back")
     assert gone == ["x3", "x5", "x1", "x6", "x2"]
 
 
@@ -373,7 +372,7 @@
     agreed = declared(SubmitOrder(order(), 2.0))
     rules = PlannerSettings(lease_us=1_000_000, longest_attempt_us=500_000)
     planner, known = Planner(agreed, rules), facts()
-    walk(agreed, "x1", "fw")
+    permit_and_change(agreed, "x1", "fw")
     step = agreed.state.find_active_step("x1")
     assert step is not None
     known.informed_brokers = {step.fence: {0, 1, 2, 3}}
@@ -387,7 +386,7 @@
     )
     known.informed_brokers[step.fence].add(4)
     assert not confirmations.brokers_not_informed(planner.context(known, 10_000_000, 3.0), step)
-    walk_on(agreed, "x1", "draining")
+    change_phases(agreed, "x1", "draining")
     known.drained_brokers = {step.fence: {0, 1, 2, 3}}
     over = (
         10_000_000 + 1_020_001 + 500_000 + 1_000_000
@@ -401,9 +400,10 @@
 
 
 def test_a_machine_that_never_comes_back_is_overdue_and_holds_up_nobody_else() -> None:
+    """A node is taken out and nobody says that its work is done: the next one of its order goes on."""
     agreed = declared(SubmitOrder(order("fw", ("x1", "x2", "x3"), at_once=2), 2.0))
     planner, known = Planner(agreed, PlannerSettings()), facts()
-    walk(agreed, "x1", "fw", "draining", "out")
+    permit_and_change(agreed, "x1", "fw", "draining", "out")
     found = planner.propose(known, 10_000_000, 3.0)
     assert permits(found) == ["x2"]
     submit(agreed, *found)
@@ -464,7 +464,7 @@
     """Guards against a broker that stands still for its clients while an operator looks ahead."""
     agreed = declared(SubmitOrder(Order("other", ("x5",), "replace", 604_800.0), 2.0))
     looks = [0]
-    walk(agreed, "x5", "other", "draining", "out")  # and nobody says done
+    permit_and_change(agreed, "x5", "other", "draining", "out")  # and nobody says done
     propose = Planner.propose
 
     def counted(self: Planner, *words: Any) -> list[Command]:
@@ -484,8 +484,8 @@
 
 def test_what_a_broker_may_send_by_its_lease() -> None:
     agreed = declared(SubmitOrder(order("fw", ("x1", "x2"), at_once=2), 2.0))
-    walk(agreed, "x1", "fw", "draining")
-    walk(agreed, "x2", "fw")
+    permit_and_change(agreed, "x1", "fw", "draining")
+    permit_and_change(agreed, "x2", "fw")
     assert send_gate.closed_machines(agreed.state, 5, 0, 0) is None  # never had one: it knows nothing
     assert send_gate.closed_machines(agreed.state, 5, 10, 0) == {"x1"}
     assert send_gate.closed_machines(agreed.state, 10, 10, 0) == {
@@ -504,25 +504,29 @@
 
 
 @pytest.mark.parametrize("first", range(0, 40, 10))
-def test_drawn_courses_of_whole_fleets(first: int) -> None:
+def test_simulated_runs_of_whole_fleets(first: int) -> None:
+    """Brokers are killed, paused and cut off while two orders are carried out: no node gets a request while
+    it is out, and both orders end.
+    """
     for seed in range(first, first + 10):
         verdict = play(seed)
         assert not verdict.broken, f"seed {seed}: {verdict.broken[:3]}"
         assert verdict.finished == verdict.orders == 2 and verdict.tried > 1_000
 
 
-def test_courses_with_brokers_that_only_follow() -> None:
+def test_simulated_runs_with_observers() -> None:
+    """The same faults with nine brokers of twelve that have no vote and hear of permits by the tree."""
     for seed in range(8):
         verdict = play(seed, brokers=12, voters=3, nodes=6, seconds=6.0)
         assert not verdict.broken, f"seed {seed}: {verdict.broken[:3]}"
 
 
-def found_late(seeds: int = 25) -> bool:
+def has_late_sends(seeds: int = 25) -> bool:
     return any("out from" in row for seed in range(seeds) for row in play(seed).broken)
 
 
-def test_planted_faults_of_leases_and_confirmations_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two bugs are planted: a lease that is over changes nothing, and a drain needs no confirmation. The
+def test_seeded_bugs_of_leases_and_confirmations_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two bugs are seeded: a lease that is over changes nothing, and a drain needs no confirmation. The
     simulated fleets show each.
     """
 
@@ -532,16 +536,18 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(send_gate, "closed_machines", blind)
-        assert found_late()
+        assert has_late_sends()
     with monkeypatch.context() as patch:
         patch.setattr(confirmations, "brokers_not_drained", lambda *words: [])
-        assert found_late()
+        assert has_late_sends()
 
 
 async def split(known: bool) -> Verdict:
-    """Two of five brokers are cut off; an order is asked for at both sides, and what is out at one is
-    served by
-    the other all the same. known: as it is; else out is said without knowing that all know."""
+    """Two of five brokers are cut off; an order is submitted on both sides, and each side serves the nodes
+    that the other takes out.
+
+    :param known: whether a machine drains only after all brokers know of its permit
+    """
     fleet = Fleet(3, 5, 5, 6)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
@@ -610,6 +616,9 @@
 
 
 def test_200_brokers_with_a_zone_away_for_5_s() -> None:
+    """A zone of 50 brokers is cut off while an order is under way: no bound is broken, the order ends, and no
+    broker sends as many messages a second as there are brokers.
+    """
     verdict, rates, leased = virtual_time.run(many())
     assert not verdict.broken, verdict.broken[:3]
     assert verdict.finished == 1 and leased == 200
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 import pytest
+import xxhash
 
 from harriertide.consensus import disk_format
 from harriertide.consensus import events as ev
@@ -23,39 +24,37 @@
     return tuple(Entry(i, term, "command", b"x" * size, "c", i) for i in range(first, last + 1))
 
 
-def written(folder: Path, *works: ev.Persist) -> Path:
+def written(folder: Path, *writes: ev.Persist) -> Path:
     store = Store.open(folder)
-    for work in works:
-        store.write([work])
+    for write in writes:
+        store.write([write])
     store.close()
     return store.path
 
 
-def look(folder: Path) -> ev.RestoredState:
-    """What a start finds."""
+def reopen(folder: Path) -> ev.RestoredState:
+    """What the next start finds."""
     store = Store.open(folder)
     store.close()
     return store.restored
 
 
 def snapshot(index: int, data: bytes = b"state") -> Snapshot:
-    import xxhash
-
     return Snapshot(index, 1, Membership((ME,)), data, xxhash.xxh3_64_intdigest(data))
 
 
 def test_what_was_written_is_there_again_with_the_same_identity(tmp_path: Path) -> None:
     store = Store.open(tmp_path / "d")
     assert store.restored == ev.RestoredState()
-    works = [ev.Persist(1, "c", 2, ME, 0, entries(1, 5)), ev.Persist(2, "c", 3, None, 4, entries(4, 6, 3))]
-    store.write(works)
+    writes = [ev.Persist(1, "c", 2, ME, 0, entries(1, 5)), ev.Persist(2, "c", 3, None, 4, entries(4, 6, 3))]
+    store.write(writes)
     store.close()
     again = Store.open(tmp_path / "d")
     assert again.disk == store.disk and len(again.disk) == 12
     assert again.restored == ev.RestoredState("c", 3, None, None, entries(1, 3) + entries(4, 6, 3))
     again.write([ev.Persist(3, "c", 3, ME, 0, (), snapshot(5))])
     again.close()
-    last = look(tmp_path / "d")
+    last = reopen(tmp_path / "d")
     assert last.snapshot == snapshot(5) and last.entries == entries(6, 6, 3) and last.voted_for == ME
     assert Store.open(tmp_path / "other").disk != store.disk
 
@@ -70,24 +69,24 @@
     data = path.read_bytes()
     for length in range(whole, len(data)):
         path.write_bytes(data[:length])
-        found = look(tmp_path / "d")
+        found = reopen(tmp_path / "d")
         assert [e.index for e in found.entries] == [1, 2]
         assert path.stat().st_size == whole
     path.write_bytes(data + b"\x00" * 300)  # room that the file system made, and nothing in it
-    assert len(look(tmp_path / "d").entries) == 3
+    assert len(reopen(tmp_path / "d").entries) == 3
 
 
 def test_a_flipped_bit_anywhere_in_what_was_promised_stops_the_member(tmp_path: Path) -> None:
     """The disk changes a bit. A member that went on would answer with less than it promised, so it stops and
     says where.
     """
-    works = [ev.Persist(i, "c", 1, None, 0, entries(i, i)) for i in range(1, 6)]
-    path = written(tmp_path / "d", *works)
+    writes = [ev.Persist(i, "c", 1, None, 0, entries(i, i)) for i in range(1, 6)]
+    path = written(tmp_path / "d", *writes)
     data = path.read_bytes()
     for at in range(len(data)):
         path.write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :])
         try:
-            found = look(tmp_path / "d")
+            found = reopen(tmp_path / "d")
         except DamagedError as fault:
             assert str(path) in str(fault) and "\n" not in str(fault)
         else:
@@ -99,8 +98,8 @@
 
 def test_a_snapshot_that_is_damaged_or_missing_stops_the_member(tmp_path: Path) -> None:
     """The log begins behind a snapshot that is unreadable: the state before it is gone."""
-    works = [ev.Persist(1, "c", 1, None, 0, entries(1, 9)), ev.Persist(2, "c", 1, None, 0, (), snapshot(7))]
-    written(tmp_path / "d", *works)
+    writes = [ev.Persist(1, "c", 1, None, 0, entries(1, 9)), ev.Persist(2, "c", 1, None, 0, (), snapshot(7))]
+    written(tmp_path / "d", *writes)
     at = tmp_path / "d" / "snapshot-7"
     good = at.read_bytes()
     at.write_bytes(good[:20] + bytes([good[20] ^ 1]) + good[21:])
@@ -120,7 +119,7 @@
     with pytest.raises(DamagedError, match="identity"):
         Store.open(tmp_path / "d")
     aside = set_aside(tmp_path / "d")
-    assert look(tmp_path / "d") == ev.RestoredState() and (aside / "log-1").exists()
+    assert reopen(tmp_path / "d") == ev.RestoredState() and (aside / "log-1").exists()
 
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC])
@@ -163,7 +162,7 @@
     syncs.clear()
     store.write([ev.Persist(i, "c", 1, None, 0, entries(i, i)) for i in range(1, 65)])
     store.close()
-    assert len(syncs) == 1 and len(look(tmp_path / "d").entries) == 64
+    assert len(syncs) == 1 and len(reopen(tmp_path / "d").entries) == 64
 
 
 def test_the_log_is_rewritten_once_a_snapshot_covers_it(
@@ -181,7 +180,7 @@
     names = sorted(path.name for path in (tmp_path / "d").iterdir())
     assert len([n for n in names if n.startswith("log-")]) == 1 and "log-1" not in names
     assert len([n for n in names if n.startswith("snapshot-")]) <= 2
-    found = look(tmp_path / "d")
+    found = reopen(tmp_path / "d")
     assert found.snapshot is not None and found.snapshot.index == 196 and found.voted_for == ME
     assert [e.index for e in found.entries] == [197, 198, 199, 200]
 
@@ -248,6 +247,6 @@
     for most in range(steps):
         folder = tmp_path / f"d{most}"
         _, promised = course(folder, most)
-        found = look(folder)
+        found = reopen(folder)
         last = found.entries[-1].index if found.entries else (found.snapshot.index if found.snapshot else 0)
         assert last >= promised, f"killed at step {most}"
