--- a/harriertide/consensus/replication.py
+++ b/harriertide/consensus/replication.py
@@ -48,7 +48,8 @@
         entry = Entry(state.log.last_index + 1, state.term, kind, data, client, serial)
         state.log.append(entry)  # APPEND
         self.outbox.persist(entries=(entry,))
-        self._track_members()
+        if kind == "members":
+            self._track_members()
         for member in state.leadership.progress:
             self.replicate(member)
 
--- a/harriertide/control/operator_api.py
+++ b/harriertide/control/operator_api.py
@@ -27,7 +27,7 @@
     encode_command,
 )
 from harriertide.maintenance.facts import LeaderFacts
-from harriertide.maintenance.orders import Machine, OrderError, parse_order
+from harriertide.maintenance.orders import Order, OrderError, parse_order
 from harriertide.maintenance.state import Step
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 
@@ -124,8 +124,7 @@
         """`from` is the digest of the state that a plan was made for."""
         if "from" in body and body["from"] != self._preview.state_digest():
             raise RejectedError("the state has moved since the plan was made")
-        order = parse_order(_read_order(body), await self._agreed_machines(), now_s)
-        return SubmitOrder(order, now_s)
+        return SubmitOrder(await self._parse_order(body, now_s), now_s)
 
     def _work_done(self, body: dict[str, Any], now_s: float) -> ChangePhase:
         machine = body["machine"]
@@ -135,16 +134,18 @@
         return ChangePhase(step.machine, step.fence, "returning", now_s, "done")
 
     async def _plan(self, body: dict[str, Any]) -> dict[str, Any]:
-        raw = _read_order(body)
         now_s = self._leader_view.wall_s()
-        order = parse_order(raw, await self._agreed_machines(), now_s)
+        order = await self._parse_order(body, now_s)
         return self._preview.preview(order, self._leader_view.facts, now_s)
 
-    async def _agreed_machines(self) -> dict[str, Machine]:
+    async def _parse_order(self, body: dict[str, Any], now_s: float) -> Order:
+        """Check an order against the inventory, after all that was agreed on by now."""
+        raw = _read_order(body)
         await self._member.read(READ_TIMEOUT_S)
-        if not self._machine.state.machines:
+        machines = self._machine.state.machines
+        if not machines:
             raise CallError("which machines there are is not agreed on yet; ask again")
-        return self._machine.state.machines
+        return parse_order(raw, machines, now_s)
 
     # --- status ---------------------------------------------------------------------------------------
 
