--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time that Node.next_tick_us named has come. It may come late, and more often than needed."""
+    """The time that RaftNode.next_tick_us named has come. It may come late, and more often than needed."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/consensus/membership_reconciler.py
+++ b/harriertide/consensus/membership_reconciler.py
@@ -15,7 +15,7 @@
 
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import Member, Membership
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 
 HELLO_INTERVAL_US = 300_000
 # A hello older than this (five intervals) says nothing about the present.
@@ -65,7 +65,7 @@
         if hello.sender.name in self.voters:
             self._hellos[hello.sender.name] = _ReceivedHello(hello.sender.disk, hello.cluster, now_us)
 
-    def next_hello(self, now_us: int, node: Node) -> Hello | None:
+    def next_hello(self, now_us: int, node: RaftNode) -> Hello | None:
         """The hello to send to all voters; None while none is due, or once this disk is a voter."""
         if now_us < self._next_hello_us or self.me in node.members.voters:
             return None
@@ -87,13 +87,13 @@
             members.append(Member(name, hello.disk))
         return BootstrapCluster(cluster, Membership(tuple(members)))
 
-    def accepts_bootstrap(self, bootstrap: BootstrapCluster, node: Node) -> bool:
+    def accepts_bootstrap(self, bootstrap: BootstrapCluster, node: RaftNode) -> bool:
         """Whether this disk is empty and among the first voters."""
         return not node.cluster and not node.log.last_index and self.me in bootstrap.members.voters
 
     # --- changes of membership ------------------------------------------------------------------------
 
-    def next_change(self, now_us: int, node: Node) -> ev.ChangeMembership | ev.TransferLeadership | None:
+    def next_change(self, now_us: int, node: RaftNode) -> ev.ChangeMembership | ev.TransferLeadership | None:
         """As leader: the next step towards exactly one member for each voter's name of the deploy file."""
         if not node.has_committed_own_term:
             return None
@@ -104,7 +104,7 @@
                 return change
         return self._remove_unlisted(node)
 
-    def _replace_disk(self, now_us: int, node: Node, name: str) -> ev.ChangeMembership | None:
+    def _replace_disk(self, now_us: int, node: RaftNode, name: str) -> ev.ChangeMembership | None:
         """The next step for a voter's name whose broker has come back with another disk."""
         voters = [member for member in node.members.voters if member.name == name]
         learners = [member for member in node.members.learners if member.name == name]
@@ -125,7 +125,7 @@
             return ev.ChangeMembership("promote", learner)
         return None
 
-    def _newcomer(self, now_us: int, node: Node, name: str) -> Member | None:
+    def _newcomer(self, now_us: int, node: RaftNode, name: str) -> Member | None:
         """The member under this name that is there now, where the membership does not have it."""
         hello = self._hellos.get(name)
         if hello is None or now_us - hello.received_us >= HELLO_VALID_US or name == self.me.name:
@@ -133,7 +133,7 @@
         member = Member(name, hello.disk)
         return None if member in node.members.all else member
 
-    def _remove_unlisted(self, node: Node) -> ev.ChangeMembership | ev.TransferLeadership | None:
+    def _remove_unlisted(self, node: RaftNode) -> ev.ChangeMembership | ev.TransferLeadership | None:
         """Remove a member whose name the deploy file does not list as a voter any more."""
         for member in node.members.all:
             if member.name not in self.voters:
@@ -141,7 +141,7 @@
         return None
 
 
-def _is_answering(now_us: int, node: Node, member: Member) -> bool:
+def _is_answering(now_us: int, node: RaftNode, member: Member) -> bool:
     """As leader: whether a member has answered within two election timeouts."""
     progress = node.progress.get(member)
     return progress is not None and now_us - progress.last_contact_us < 2 * node.election_timeout_us
--- a/harriertide/consensus/messages.py
+++ b/harriertide/consensus/messages.py
@@ -201,7 +201,7 @@
     | ReadIndexResponse
 )
 
-# Messages between replicas, beside the Raft protocol: a Node takes none of them.
+# Messages between replicas, beside the Raft protocol: a RaftNode takes none of them.
 ReplicaMessage = Proposal | ReadIndexRequest | ReadIndexResponse
 
 _encode = msgspec.msgpack.Encoder()
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -55,7 +55,7 @@
 NEVER_US = 1 << 62
 
 
-class Node:
+class RaftNode:
     """A member, which changes by its events only.
 
     All that it knows is in its RaftState, so a node on a copy of that behaves as this one would.
@@ -86,7 +86,7 @@
     @classmethod
     def restore(
         cls, me: Member, tuning: Tuning, restored: ev.RestoredState, random: Random, now_us: int
-    ) -> Node:
+    ) -> RaftNode:
         """A node that starts as a follower, on what its disk holds.
 
         :param random: for election timeouts
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -24,7 +24,7 @@
     ReadIndexResponse,
     ReplicaMessage,
 )
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 from harriertide.consensus.pending_requests import ClientCall, ClientRead, PendingRequests
 from harriertide.consensus.roles import InvariantViolationError
 
@@ -73,7 +73,7 @@
 
 
 class Replica:
-    """Node, sessions and state machine of one member.
+    """Raft node, sessions and state machine of one member.
 
     :param snapshot_interval: entries behind the last snapshot before the next one is taken
     :param node_class: another one for the lab's seeded bugs
@@ -88,7 +88,7 @@
         random: Random,
         now_us: int,
         snapshot_interval: int = SNAPSHOT_INTERVAL_COUNT,
-        node_class: type[Node] = Node,
+        node_class: type[RaftNode] = RaftNode,
     ) -> None:
         self.node = node_class.restore(me, tuning, restored, random, now_us)
         self.applied_state = AppliedState(machine)
--- a/harriertide/lab/check.py
+++ b/harriertide/lab/check.py
@@ -42,7 +42,7 @@
     Message,
     encode_membership,
 )
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 from harriertide.consensus.roles import InvariantViolationError
 from harriertide.consensus.state import RaftState
 from harriertide.decide.settings import SettingsError
@@ -119,7 +119,7 @@
     """Breadth first, from one state."""
 
     def __init__(self, same_disk: bool = False) -> None:
-        self.node_class, self._same_disk = Node, same_disk
+        self.node_class, self._same_disk = RaftNode, same_disk
         self.states = self.depth = 0
 
     # --- making states --------------------------------------------------------------------------------
@@ -211,7 +211,7 @@
             new.nodes[name] = self._boot(new.disks[name], name)
         return new, broken or self._wrong(state, new)
 
-    def _step(self, state: State, node: Node, event: ev.Event, sync: bool) -> list[str]:
+    def _step(self, state: State, node: RaftNode, event: ev.Event, sync: bool) -> list[str]:
         todo: deque[ev.Event] = deque([event])
         while todo:
             try:
@@ -373,7 +373,7 @@
     made = Search(same_disk=seeded_bug == "empty-disk-votes")
     start = made.follow(made.first(LOTS), *rows)
     start.budget = budget
-    made.node_class = SEEDED_BUGS.get(seeded_bug, Node)
+    made.node_class = SEEDED_BUGS.get(seeded_bug, RaftNode)
     return made, made.run(start, most, depth)
 
 
@@ -384,7 +384,7 @@
 
 
 def _simulate(seeded_bug: str, seed: int) -> tuple[int, Verdict]:
-    return seed, run_simulation(seed, node_class=SEEDED_BUGS.get(seeded_bug, Node), seeded_bug=seeded_bug)
+    return seed, run_simulation(seed, node_class=SEEDED_BUGS.get(seeded_bug, RaftNode), seeded_bug=seeded_bug)
 
 
 def run_simulations(first: int, number: int, processes: int) -> tuple[Counter[str], list[str]]:
--- a/harriertide/lab/cluster.py
+++ b/harriertide/lab/cluster.py
@@ -17,7 +17,7 @@
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello, MembershipReconciler
 from harriertide.consensus.messages import Entry, Member, Message, Snapshot
-from harriertide.consensus.node import NEVER_US, Node
+from harriertide.consensus.node import NEVER_US, RaftNode
 from harriertide.consensus.replica import CallCompleted, CallExpired, EntryApplied, ReadCompleted, Replica
 from harriertide.lab.history import Operation, non_linearizable
 
@@ -245,7 +245,7 @@
         seed: int,
         size: int = 5,
         tuning: Tuning | None = None,
-        node_class: type[Node] = Node,
+        node_class: type[RaftNode] = RaftNode,
         seeded_bug: str = "",
         keep: int = 40,
     ) -> None:
@@ -457,7 +457,7 @@
     seed: int,
     size: int = 5,
     seconds: float = 12.0,
-    node_class: type[Node] = Node,
+    node_class: type[RaftNode] = RaftNode,
     seeded_bug: str = "",
     faults: tuple[str, ...] = FAULTS,
 ) -> Verdict:
--- a/harriertide/lab/seeded_bugs.py
+++ b/harriertide/lab/seeded_bugs.py
@@ -13,7 +13,7 @@
     VoteResponse,
     encode_membership,
 )
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 from harriertide.consensus.outbox import Outbox
 from harriertide.consensus.replication import Replication
 
@@ -29,7 +29,7 @@
             super().send_when_durable(message)
 
 
-class VotesBeforeSync(Node):
+class VotesBeforeSync(RaftNode):
     """Breaks ELECTION."""
 
     outbox_class = UnsyncedVotes
@@ -46,7 +46,7 @@
                 self.outbox.commit(index)
 
 
-class CommitsEarlierTerms(Node):
+class CommitsEarlierTerms(RaftNode):
     """Breaks COMMIT."""
 
     replication_class = CommitOfAnyTerm
@@ -65,15 +65,15 @@
                 self.replication.advance_commit()
 
 
-class ChangesAtOnce(Node):
+class ChangesAtOnce(RaftNode):
     """Breaks CHANGE."""
 
     membership_class = ConcurrentChanges
 
 
-SEEDED_BUGS: dict[str, type[Node]] = {
+SEEDED_BUGS: dict[str, type[RaftNode]] = {
     "vote-not-synced": VotesBeforeSync,
     "earlier-term-by-count": CommitsEarlierTerms,
     "two-majorities": ChangesAtOnce,
-    "empty-disk-votes": Node,  # as it is; the disk has the name of the one that was lost
+    "empty-disk-votes": RaftNode,  # as it is; the disk has the name of the one that was lost
 }
--- a/tests/test_raft_parts.py
+++ b/tests/test_raft_parts.py
@@ -23,7 +23,7 @@
     VoteResponse,
     encode_membership,
 )
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 from harriertide.consensus.outbox import Outbox
 from harriertide.consensus.pending_requests import (
     RETRY_INTERVAL_US,
@@ -54,9 +54,9 @@
     return [effect.message for effect in effects if isinstance(effect, ev.SendMessage)]
 
 
-def leading() -> Node:
+def leading() -> RaftNode:
     """A leader of three that has committed an entry of its own term."""
-    node = Node(restored())
+    node = RaftNode(restored())
     node.step(0, ev.ElectionTimedOut())
     node.step(0, ev.MessageReceived(VoteResponse("c", B, A, 2, True, True)))
     node.step(0, ev.Synced(1))
@@ -164,7 +164,7 @@
     assert log.members == ALL and log.last_index == 1
 
 
-def commit_own_term(node: Node) -> list[ev.Effect]:
+def commit_own_term(node: RaftNode) -> list[ev.Effect]:
     """The leader's first entry is synced here and at another member."""
     node.step(0, ev.Synced(9))
     return node.step(0, ev.MessageReceived(AppendResponse("c", B, A, 2, True, 1, 2, 2, 0, 0)))
@@ -172,7 +172,7 @@
 
 def test_reads_wait_for_the_first_commit_of_a_term_and_for_a_majority() -> None:
     """A new leader does not know what is committed; an old one does not know that it is none any more."""
-    follower = Node(restored())
+    follower = RaftNode(restored())
     assert follower.step(0, ev.ReadRequested(1)) == [ev.ReadAborted(1)]
     node = leading()
     assert not node.step(0, ev.ReadRequested(7))  # deferred
