--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time that Node.next_tick_us named has come. It may come late, and more often than needed."""
+    """The time that RaftNode.next_tick_us named has come. It may come late, and more often than needed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,6 +48,13 @@
     """A write or sync failed. The node halts until its process is started again."""
 
 
+@dataclass(frozen=True, slots=True)
+class InvariantViolated:
+    """An invariant does not hold. The node halts until its process is started again."""
+
+    reason: str
+
+
 @dataclass(frozen=True, slots=True)
 class Proposed:
     """Append a command, if this node leads. client and serial make its repetition recognizable."""
@@ -101,6 +108,7 @@
     | ElectionTimedOut
     | Synced
     | SyncFailed
+    | InvariantViolated
     | Proposed
     | ReadRequested
     | TransferLeadership
@@ -184,12 +192,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log of the process and the lab's checkers.
-
-    :param event: the value of a LogEvent
-    """
+    """A line for the log of the process and the lab's checkers."""
 
-    event: str
+    event: LogEvent
     term: int = 0
     detail: str = ""
 
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -55,10 +55,10 @@
 NEVER_US = 1 << 62
 
 
-class Node:
-    """A member. step is the only way to change it.
+class RaftNode:
+    """A member, which changes by its events only.
 
-    All that it knows is in its RaftState, so a node on a copy of that goes on as this one would.
+    All that it knows is in its RaftState, so a node on a copy of that behaves as this one would.
     """
 
     # Replaced by the lab's seeded bugs (harriertide/lab/seeded_bugs.py).
@@ -86,7 +86,7 @@
     @classmethod
     def restore(
         cls, me: Member, tuning: Tuning, restored: ev.RestoredState, random: Random, now_us: int
-    ) -> Node:
+    ) -> RaftNode:
         """A node that starts as a follower, on what its disk holds.
 
         :param random: for election timeouts
@@ -185,8 +185,8 @@
         self._dispatch(event)
         return self._outbox.take_effects()
 
-    def found_cluster(self, now_us: int, cluster: str, members: Membership) -> list[ev.Effect]:
-        """On an empty disk: write the first membership, as entry 1 of term 1, identical at all founders.
+    def bootstrap_cluster(self, now_us: int, cluster: str, members: Membership) -> list[ev.Effect]:
+        """On an empty disk: write the first membership, as entry 1 of term 1, identical at all its voters.
 
         :returns: what is to be done, in order
         """
@@ -200,7 +200,7 @@
         state.log.append(entry)
         self._outbox.persist(entries=(entry,))
         state.leader_contact_us = now_us
-        state.draw_election_wait()
+        state.reset_election_timeout()
         return self._outbox.take_effects()
 
     def _dispatch(self, event: ev.Event) -> None:
@@ -215,6 +215,8 @@
                 self._on_synced(event)
             case ev.SyncFailed():
                 self._roles.halt("the disk refused")
+            case ev.InvariantViolated():
+                self._roles.halt(event.reason)
             case _:
                 self._dispatch_request(event)
 
--- a/harriertide/consensus/outbox.py
+++ b/harriertide/consensus/outbox.py
@@ -9,15 +9,13 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.events import LogEvent
 from harriertide.consensus.messages import Entry, Message, Snapshot, VoteResponse
-from harriertide.consensus.state import PendingPersist, RaftState
+from harriertide.consensus.state import PendingPersist, RaftState, moving_average
 
-# Weights of the earlier syncs and of the latest in the smoothed time: about the last three count.
-EARLIER_SYNCS_RATIO = 0.7
-LATEST_SYNC_RATIO = 0.3
+SYNC_TIME_WEIGHT = 0.3  # of the latest sync in the moving average: about the last three count
 
 
 class Outbox:
-    """What a node wants done. What waits for the disk is part of the RaftState."""
+    """The effects of the present step. Messages that wait for the disk are part of the RaftState."""
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
@@ -38,7 +36,7 @@
 
     def log(self, event: LogEvent, detail: str = "") -> None:
         """Add a log line of the present term."""
-        self.emit(ev.LogLine(event.value, self._state.term, detail))
+        self.emit(ev.LogLine(event, self._state.term, detail))
 
     def commit(self, index: int) -> None:
         """Commit the log up to an index."""
@@ -82,7 +80,7 @@
             persist.last_index = min(persist.last_index, index - 1)
 
     def on_synced(self, event: ev.Synced) -> bool:
-        """Take note of a sync, and send what waited for it.
+        """Record a sync, and send the messages that waited for it.
 
         :returns: whether anything is durable that was not before
         """
@@ -91,7 +89,7 @@
             return False
         disk.synced_number = event.number
         if event.took_us:
-            self._smooth_sync_time(event.took_us)
+            disk.sync_us = moving_average(disk.sync_us, event.took_us, SYNC_TIME_WEIGHT)
         while disk.pending and disk.pending[0].number <= event.number:
             state.durable_index = max(state.durable_index, disk.pending.popleft().last_index)
         while disk.waiting and disk.waiting[0][0] <= event.number:
@@ -100,13 +98,6 @@
                 self.emit(ev.SendMessage(message))
         return True
 
-    def _smooth_sync_time(self, took_us: int) -> None:
-        disk = self._state.disk
-        if not disk.sync_us:
-            disk.sync_us = float(took_us)
-        else:
-            disk.sync_us = EARLIER_SYNCS_RATIO * disk.sync_us + LATEST_SYNC_RATIO * took_us
-
     def send(self, message: Message) -> None:
         """Send at once a message that promises nothing."""
         self.emit(ev.SendMessage(message))
--- a/harriertide/consensus/replication.py
+++ b/harriertide/consensus/replication.py
@@ -48,7 +48,8 @@
         entry = Entry(state.log.last_index + 1, state.term, kind, data, client, serial)
         state.log.append(entry)  # APPEND
         self.outbox.persist(entries=(entry,))
-        self._track_members()
+        if kind == "members":
+            self._track_members()
         for member in state.leadership.progress:
             self.replicate(member)
 
@@ -184,6 +185,4 @@
             state.durable_index if voter == state.me else state.leadership.progress[voter].match_index
             for voter in state.members.voters
         ]
-        if not synced_indexes:
-            return 0
-        return sorted(synced_indexes, reverse=True)[state.members.majority - 1]
+        return state.members.majority_value(synced_indexes)
--- a/harriertide/consensus/roles.py
+++ b/harriertide/consensus/roles.py
@@ -38,13 +38,13 @@
             self._outbox.log(LogEvent.FOLLOWS)
             state.leadership.end()
             state.leader_contact_us = state.now_us
-            state.draw_election_wait()
+            state.reset_election_timeout()
         if leader is not None and leader != state.leader:
             self._outbox.log(LogEvent.FOLLOWS_LEADER, leader.name)
         state.leader = leader
 
     def step_down(self, reason: str) -> None:
-        """Lead no more, without having heard of a newer term."""
+        """Stop leading, without having heard of a newer term."""
         self._outbox.log(LogEvent.STEPPED_DOWN, reason)
         self.become_follower(self._state.term, None)
 
@@ -58,7 +58,7 @@
         state.leader_contact_us = state.now_us
         if message.election_timeout_us != state.election_timeout_us:
             state.election_timeout_us = message.election_timeout_us
-            state.draw_election_wait()
+            state.reset_election_timeout()
 
     def become_candidate(self, phase: CampaignPhase) -> None:
         """Campaign, without a leader. A vote (not a pre-vote) begins a new term with the own vote."""
@@ -66,7 +66,7 @@
         state.role = Role.CANDIDATE
         state.leader = None
         state.leader_contact_us = state.now_us
-        state.draw_election_wait()
+        state.reset_election_timeout()
         state.campaign.phase = phase
         state.campaign.votes = {state.me: False}
         state.campaign.term = state.term + 1
@@ -87,7 +87,7 @@
         self._outbox.log(LogEvent.LEADS)
 
     def halt(self, reason: str) -> None:
-        """Take no part any more."""
+        """Take no part in the protocol until the process is started again."""
         self._outbox.log(LogEvent.HALTED, reason)
         self._abort_reads()
         self._state.role = Role.HALTED
--- a/harriertide/consensus/state.py
+++ b/harriertide/consensus/state.py
@@ -1,7 +1,7 @@
 """All that a Raft node knows, as plain data.
 
-The modules of the protocol share one RaftState and own no other state, so a node on a copy of it goes on as
-the first one would: the search of the lab through states relies on that.
+The modules of the protocol share one RaftState and own no other state, so a node on a copy of it behaves as
+the original would. The state search of the lab relies on that.
 """
 
 from __future__ import annotations
@@ -11,11 +11,18 @@
 from enum import StrEnum
 from random import Random
 
+import xxhash
+
 from harriertide.consensus.events import RestoredState, Tuning
 from harriertide.consensus.log import Log
 from harriertide.consensus.messages import NO_MEMBERS, Member, Membership, Message, Snapshot
 
 
+def moving_average(average: float, sample: float, weight: float) -> float:
+    """The exponentially weighted moving average with a further sample; 0 stands for no sample so far."""
+    return (1 - weight) * average + weight * sample if average else float(sample)
+
+
 class Role(StrEnum):
     """What a node is at present."""
 
@@ -48,7 +55,7 @@
     by_transfer: bool = False
 
     def end(self) -> None:
-        """Campaign no more."""
+        """End the campaign."""
         self.phase = CampaignPhase.NONE
         self.by_transfer = False
 
@@ -120,12 +127,12 @@
         self.transfer_target = None
 
     def end(self) -> None:
-        """Lead no more."""
+        """End the leadership."""
         self.progress = {}
         self.transfer_target = None
 
     def copy(self) -> Leadership:
-        """Data that changes on its own."""
+        """An independent copy."""
         return replace(
             self,
             progress={
@@ -168,21 +175,40 @@
         return self.synced_number >= self.term_number
 
     def copy(self) -> DiskProgress:
-        """Data that changes on its own."""
+        """An independent copy."""
         pending = deque(replace(persist) for persist in self.pending)
         return replace(self, pending=pending, waiting=deque(self.waiting))
 
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot that a leader is sending.
+    """A snapshot that arrives in chunks.
 
-    :param key: index, term and checksum, which tell it from another one; None where none is coming
+    :param key: index, checksum and the like, which tell it from another one; None where none is coming
     """
 
-    key: tuple[int, int, int] | None = None
+    key: tuple[int, ...] | None = None
     data: bytearray = field(default_factory=bytearray)
 
+    def add_chunk(self, offset: int, data: bytes, total_bytes: int) -> bool:
+        """Add a chunk if it is the next one.
+
+        :returns: whether the snapshot is complete
+        """
+        if offset == len(self.data):
+            self.data += data
+        return len(self.data) >= total_bytes
+
+    def take_data(self, checksum: int) -> bytes | None:
+        """Take the complete data, so that the next chunk has to be the first one again.
+
+        :param checksum: xxh3 of the snapshot's whole data
+        :returns: None where a chunk was damaged on its way
+        """
+        data = bytes(self.data)
+        self.data = bytearray()
+        return data if xxhash.xxh3_64_intdigest(data) == checksum else None
+
 
 @dataclass(slots=True)
 class RaftState:
@@ -193,7 +219,7 @@
     :param leader: from whom appends of this term come; on the leader itself: this member
     :param leader_contact_us: when a leader was last heard, or this node last voted or campaigned
     :param election_timeout_us: as the leader measures it; at the start the least that the settings allow
-    :param election_wait_us: the timeout with its random part: how long until this node campaigns
+    :param randomized_election_timeout_us: between one timeout and two: how long until this node campaigns
     """
 
     me: Member
@@ -209,7 +235,7 @@
     durable_index: int
     leader_contact_us: int
     election_timeout_us: int
-    election_wait_us: int = 0
+    randomized_election_timeout_us: int = 0
     role: Role = Role.FOLLOWER
     leader: Member | None = None
     campaign: Campaign = field(default_factory=Campaign)
@@ -245,7 +271,7 @@
             leader_contact_us=now_us,
             election_timeout_us=tuning.election_timeout_us,
         )
-        state.draw_election_wait()
+        state.reset_election_timeout()
         return state
 
     @property
@@ -274,11 +300,12 @@
     @property
     def campaign_at_us(self) -> int:
         """When this voter campaigns if it hears no leader before."""
-        return self.leader_contact_us + self.election_wait_us
+        return self.leader_contact_us + self.randomized_election_timeout_us
 
-    def draw_election_wait(self) -> None:
-        """Draw when to campaign: between one election timeout and two, so that few do so at once."""
-        self.election_wait_us = self.random.randint(self.election_timeout_us, 2 * self.election_timeout_us)
+    def reset_election_timeout(self) -> None:
+        """Draw the randomized election timeout anew, so that few members campaign at once."""
+        minimum_us, maximum_us = self.election_timeout_us, 2 * self.election_timeout_us
+        self.randomized_election_timeout_us = self.random.randint(minimum_us, maximum_us)
 
     def is_peer_connected(self, member: Member) -> bool:
         """As leader: another member has answered within two election timeouts."""
@@ -288,7 +315,7 @@
         return self.now_us - progress.last_contact_us <= 2 * self.election_timeout_us
 
     def copy(self) -> RaftState:
-        """State that changes on its own; the random generator is shared."""
+        """An independent copy, except that the random generator is shared."""
         return replace(
             self,
             log=self.log.copy(),
--- a/harriertide/control/environment.py
+++ b/harriertide/control/environment.py
@@ -1,4 +1,4 @@
-"""What a member stands on: a disk, a network, random numbers and a log of events, or a laboratory's."""
+"""What a member runs on: disk, network, random numbers and log of events, or a laboratory's stand-ins."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Disk(Protocol):
-    """A store, or what stands for one. disk: its identity; restored: what a start found on it."""
+    """A store or a stand-in. disk: its identity; restored: what a start found on it."""
 
     disk: str
     restored: ev.RestoredState
 
-    def write(self, works: list[ev.Persist]) -> None:
+    def write(self, writes: list[ev.Persist]) -> None:
         """Write and sync all of these, with one sync.
 
         :raises StoreError: it is final for this process
@@ -32,8 +32,8 @@
         """Close its files."""
 
 
-class Carrier(Protocol):
-    """What carries payloads to other members: a transport, or what stands for one."""
+class MemberTransport(Protocol):
+    """Carries payloads to other members: a transport or a stand-in."""
 
     counts: Counter[str]
 
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a member stands on. write_to_disk: carries out a store's write, off the event loop."""
+    """What a member runs on. write_to_disk: carries out a store's write, off the event loop."""
 
     disk: Callable[[Path], Disk] = Store.open
-    carrier: Callable[[Callable[[bytes], bool]], Carrier] = Transport
+    transport: Callable[[Callable[[bytes], bool]], MemberTransport] = Transport
     write_to_disk: Callable[[Callable[[], None]], Awaitable[None]] = asyncio.to_thread
     random: Random = field(default_factory=SystemRandom)
     event_log: Callable[[str], EventSink] = EventLog
--- a/harriertide/control/member_link.py
+++ b/harriertide/control/member_link.py
@@ -1,6 +1,4 @@
-"""What a member's role (voter or follower) shares with the member: its name, its tree, its calls, its way
-out.
-"""
+"""What a member's role (voter or observer) shares with the member: name, tree, calls, counters, sending."""
 
 from __future__ import annotations
 
@@ -12,8 +10,8 @@
 from harriertide.consensus.applied_state import AppliedState
 from harriertide.consensus.fanout import FanoutTree, GrantRound
 from harriertide.consensus.fanout_messages import SubtreeReport, TreeUpdate
+from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello
 from harriertide.consensus.messages import Entry, Message
-from harriertide.consensus.roster import Founding, Hello
 from harriertide.control.environment import Environment
 from harriertide.control.event_log import EventSink
 from harriertide.control.pending_calls import PendingCalls
@@ -68,7 +66,7 @@
 
 
 class Role(Protocol):
-    """What a voter and a follower have in common."""
+    """What a voter and an observer have in common."""
 
     @property
     def leader(self) -> str:
@@ -100,7 +98,7 @@
     def tick(self, now_us: int) -> None:
         """Do what is due by time alone."""
 
-    def on_message(self, now_us: int, message: Message | Hello | Founding) -> None:
+    def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
         """Take a message of the agreement."""
 
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -12,7 +12,7 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.applied_state import AppliedState, StateMachine
 from harriertide.consensus.disk_format import DamagedError
-from harriertide.consensus.events import Tuning
+from harriertide.consensus.events import LogEvent, Tuning
 from harriertide.consensus.fanout import (
     REPORT_INTERVAL_US,
     UPDATE_BYTES,
@@ -20,6 +20,7 @@
     GrantRound,
 )
 from harriertide.consensus.fanout_messages import TreeUpdate
+from harriertide.consensus.membership_reconciler import BootstrapCluster, Hello
 from harriertide.consensus.messages import Entry, Member, Message, Proposal
 from harriertide.consensus.replica import (
     CallCompleted,
@@ -29,7 +30,6 @@
     ReadCompleted,
     Replica,
 )
-from harriertide.consensus.roster import Founding, Hello
 from harriertide.consensus.store import StoreError, set_aside
 from harriertide.control.cluster_membership import ClusterMembership
 from harriertide.control.disk_writer import DiskWriter
@@ -38,17 +38,17 @@
 from harriertide.control.pending_calls import NOT_AGREED, CallError
 from harriertide.engine.log import log
 
-GRANT_ROUND_COUNT = 32  # that wait for a majority at once; older ones grant nothing that counts any more
-GRANT_ROUND_US = 10 * REPORT_INTERVAL_US  # after that a round is given up: newer ones are under way
+MAX_OPEN_GRANT_ROUND_COUNT = 32  # that wait for a majority; what older ones grant has expired
+GRANT_ROUND_TIMEOUT_US = 10 * REPORT_INTERVAL_US  # newer rounds are under way by then
 
 # What an operator reads of an event of the agreement, and which ones.
 _LOG_LINES = {
-    "leads": "elected leader of the agreement",
-    "hands over": "transfers leadership of the agreement",
-    "stepped down": "stepped down as leader of the agreement",
-    "members": "membership of the agreement changes",
-    "halted": "out of the agreement until this broker is started again",
-    "broken": "out of the agreement, an invariant does not hold",
+    LogEvent.LEADS: "elected leader of the agreement",
+    LogEvent.TRANSFERS: "transfers leadership of the agreement",
+    LogEvent.STEPPED_DOWN: "stepped down as leader of the agreement",
+    LogEvent.MEMBERSHIP: "membership of the agreement changes",
+    LogEvent.HALTED: "out of the agreement until this broker is started again",
+    LogEvent.BROKEN: "out of the agreement, an invariant does not hold",
 }
 
 
@@ -75,10 +75,10 @@
     def _open_store(self, folder: Path) -> Disk:
         try:
             return self._link.environment.disk(folder)
-        except DamagedError as fault:
+        except DamagedError as error:
             aside = set_aside(folder)
-            log("store damaged, kept aside; joins as a new member", reason=str(fault), aside=str(aside))
-            self._link.events.write("damaged", reason=str(fault))
+            log("store damaged, kept aside; joins as a new member", reason=str(error), aside=str(aside))
+            self._link.events.write("damaged", reason=str(error))
             return self._link.environment.disk(folder)
 
     # --- questions ------------------------------------------------------------------------------------
@@ -135,7 +135,7 @@
         if index < node.log.base_index:
             return None
         entries = node.log.entries_after(index, UPDATE_ENTRY_COUNT, UPDATE_BYTES)
-        return tuple(entry for entry in entries if entry.index <= self._replica.applied)
+        return tuple(entry for entry in entries if entry.index <= self._replica.last_applied)
 
     # --- events ---------------------------------------------------------------------------------------
 
@@ -146,16 +146,16 @@
         self._membership.tick(now_us)
         self._link.tree.leader = self.leader
 
-    def on_message(self, now_us: int, message: Message | Hello | Founding) -> None:
+    def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
         """Take a message of the agreement."""
         if isinstance(message, Hello):
             self._membership.on_hello(now_us, message)
             return
-        if isinstance(message, Founding):
-            self._membership.on_founding(now_us, message)
+        if isinstance(message, BootstrapCluster):
+            self._membership.on_bootstrap(now_us, message)
             return
         if isinstance(message, Proposal) and not message.to.name:
-            # A follower's, which knows neither disks nor the cluster.
+            # An observer's, which knows neither disks nor the cluster.
             node = self._replica.node
             message = msgspec.structs.replace(message, to=node.me, cluster=node.cluster)
         self._carry_out(self._replica.step(now_us, ev.MessageReceived(message)))
@@ -168,10 +168,10 @@
         if not self.is_leader:
             return False
         number = self._link.calls.next_number()
-        oldest = number - GRANT_ROUND_COUNT
+        oldest = number - MAX_OPEN_GRANT_ROUND_COUNT
         self._grant_rounds = {n: granted for n, granted in self._grant_rounds.items() if n > oldest}
         self._grant_rounds[number] = self._link.tree.start_grant_round(now_us)
-        self._carry_out(self._replica.query(now_us, number, now_us + GRANT_ROUND_US))
+        self._carry_out(self._replica.query(now_us, number, now_us + GRANT_ROUND_TIMEOUT_US))
         return True
 
     def submit(self, now_us: int, command: ClientCommand) -> None:
@@ -220,7 +220,7 @@
             else:
                 self._carry_out_one(effect)
         if has_applied:
-            self._link.tree.activate_lease(self.applied_state.applied)
+            self._link.tree.activate_lease(self.applied_state.last_applied)
             self._link.listener.on_applied()
             self._link.distribute()
 
@@ -233,29 +233,29 @@
             case CallCompleted():
                 self._link.calls.complete(effect.number, effect.answer)
             case ReadCompleted():
-                self._on_readable(effect.number)
+                self._on_read_completed(effect.number)
             case CallExpired():
                 self._grant_rounds.pop(effect.number, None)
                 self._link.calls.fail(effect.number, NOT_AGREED)
             case ev.LogLine():
-                self._on_noted(effect)
+                self._on_log_line(effect)
 
-    def _on_readable(self, number: int) -> None:
+    def _on_read_completed(self, number: int) -> None:
         granted = self._grant_rounds.pop(number, None)
         if granted is None:
             self._link.calls.complete(number, b"")
             return
         if self.is_leader:
-            self._link.tree.confirm_round(granted, self.applied_state.applied)
+            self._link.tree.confirm_round(granted, self.applied_state.last_applied)
             self._link.listener.on_leases_granted(granted)
             self._link.distribute()
 
-    def _on_noted(self, effect: ev.LogLine) -> None:
+    def _on_log_line(self, effect: ev.LogLine) -> None:
         self._link.counts[effect.event.replace(" ", "_")] += 1
         self._link.events.write("noted", what=effect.event, term=effect.term, detail=effect.detail)
         if effect.event in _LOG_LINES:
             log(_LOG_LINES[effect.event], term=effect.term, reason=effect.detail)
-        if effect.event in ("halted", "broken"):
+        if effect.event in (LogEvent.HALTED, LogEvent.BROKEN):
             self._halted = effect.detail
 
     # --- the disk -------------------------------------------------------------------------------------
@@ -263,10 +263,10 @@
     def _on_synced(self, number: int, took_us: int) -> None:
         self._carry_out(self._replica.step(self._link.now_us(), ev.Synced(number, took_us)))
 
-    def _on_disk_failure(self, fault: StoreError) -> None:
+    def _on_disk_failure(self, error: StoreError) -> None:
         log(
             "the disk refused; this broker is out of the agreement until it is started again",
-            reason=str(fault),
+            reason=str(error),
         )
-        self._link.events.write("sync failed", reason=str(fault))
+        self._link.events.write("sync failed", reason=str(error))
         self._carry_out(self._replica.step(self._link.now_us(), ev.SyncFailed()))
--- a/harriertide/lab/model_checker/scenarios.py
+++ b/harriertide/lab/model_checker/scenarios.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from harriertide.consensus.messages import Message, VoteRequest, VoteResponse
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 from harriertide.lab.model_checker.actions import Action, Deliver, Propose, TimeOutElection
 from harriertide.lab.model_checker.model_state import Budget, ModelState, bootstrapped_state
 from harriertide.lab.model_checker.search import BreadthFirstSearch
@@ -163,7 +163,7 @@
     :returns: the search, and its counterexample, empty where every invariant holds
     """
     scenario = SEARCHES[name]
-    node_class = SEEDED_BUGS[seeded_bug] if seeded_bug else Node
+    node_class = SEEDED_BUGS[seeded_bug] if seeded_bug else RaftNode
     system = TransitionSystem(node_class, reuses_disk_id=seeded_bug == "empty-disk-votes")
     breadth_first = BreadthFirstSearch(system, state_limit, scenario.depth_limit)
     return breadth_first, breadth_first.run(scenario.start())
--- a/harriertide/lab/model_checker/transitions.py
+++ b/harriertide/lab/model_checker/transitions.py
@@ -8,7 +8,7 @@
 
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import AppendRequest, AppendResponse, Entry, Message
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 from harriertide.consensus.state import RaftState
 from harriertide.lab.model_checker import invariants
 from harriertide.lab.model_checker.actions import Action, Deliver, DeliverDuplicate, LoseDisk
@@ -22,7 +22,7 @@
     :param reuses_disk_id: a seeded bug: an empty disk has the identity of the lost one
     """
 
-    def __init__(self, node_class: type[Node] = Node, reuses_disk_id: bool = False) -> None:
+    def __init__(self, node_class: type[RaftNode] = RaftNode, reuses_disk_id: bool = False) -> None:
         self._node_class = node_class
         self._reuses_disk_id = reuses_disk_id
 
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -60,14 +60,14 @@
         self.voter_names = ["b1", "b2", "b3"]
         self.wait_reasons: dict[str, list[str]] = {}
         self.fault: CallError | None = None
-        self.hurried = 0
+        self.requested_reports = 0
         self.called: list[Command] = []
 
     def now_us(self) -> int:
         return self.time_us
 
     def report_soon(self) -> None:
-        self.hurried += 1
+        self.requested_reports += 1
 
     async def call(self, data: bytes, within_s: float) -> bytes:
         if self.fault is not None:
@@ -168,6 +168,7 @@
 
 
 def test_a_broker_that_is_cut_off_for_the_operators_limit_sends_to_no_node() -> None:
+    """A broker is cut off for longer than blind_s: others may have taken any node out by now."""
     made, member, nodes = barrier(agreed(), isolation_limit_us=5_000_000)
     member.lease_end_us = LEASE_END_US
     made.refresh_when_due(member.now_us())
@@ -177,6 +178,24 @@
     assert made.is_barred("x3") and nodes.closed[-1] is None
 
 
+# --- steps ------------------------------------------------------------------------------------------------
+
+
+def test_steps_of_orders_that_were_dropped_are_not_kept() -> None:
+    """A broker runs for years. The agreed state keeps the last hundred orders; so does what it has seen."""
+    machine = agreed(GrantPermit("x1", "fw", 1.0))
+    member: Any = StandInMember(machine)
+    observer = StepObserver(machine, member, Rows())
+    assert observer.notice_changes() and not observer.notice_changes()
+    step = machine.state.steps["fw"]["x1"]
+    member.time_us += 2_000_000
+    assert observer.phase_age_s(step, member.time_us) == 2.0
+    del machine.state.steps["fw"]["x1"]
+    assert not observer.notice_changes()
+    assert observer.phase_age_s(step, member.time_us) == 0.0  # as one that was never seen
+    assert observer.phase_age_s(machine.state.steps["fw"]["x2"], member.time_us) == 2.0
+
+
 # --- reports and facts --------------------------------------------------------------------------------------
 
 
@@ -193,17 +212,18 @@
     broker is open there it must not be given; a permit that does not drain yet is known, and no more."""
     reports, _, core = reporter(agreed(*draining("x1", 1), GrantPermit("x2", "fw", 1.0)))
     core.open_at["x1"] = 1
-    assert set(reports.build().known) == {1, 2} and not reports.build().clear
+    assert set(reports.build().informed_brokers) == {1, 2} and not reports.build().drained_brokers
     core.open_at["x1"] = 0
-    assert set(reports.build().clear) == {1}
+    assert set(reports.build().drained_brokers) == {1}
 
 
 def test_a_broker_confirms_its_own_drain_only_when_every_request_has_its_answer() -> None:
+    """A broker is taken out itself: its process may end only once no client waits for an answer."""
     reports, _, core = reporter(agreed(*draining("b1", 1)))
     core.open_requests = 1
-    assert not reports.build().clear
+    assert not reports.build().drained_brokers
     core.open_requests = 0
-    assert set(reports.build().clear) == {1}
+    assert set(reports.build().drained_brokers) == {1}
 
 
 def test_a_report_has_learned_rates_and_nodes_that_do_not_respond_for_a_while() -> None:
@@ -211,12 +231,12 @@
     more the figure stands, and says nothing about now: after 10 s the node is reported no more."""
     reports, member, core = reporter(agreed())
     core.consecutive_unresponsive["x2"] = 1
-    assert not reports.build().failed
+    assert not reports.build().unreachable_counts
     core.consecutive_unresponsive["x2"] = 2
     report = reports.build()
-    assert report.failed == {"x2": 1} and report.units == {"x1": 12.34}
+    assert report.unreachable_counts == {"x2": 1} and report.learned_units == {"x1": 12.34}
     member.time_us += 10_000_000
-    assert not reports.build().failed
+    assert not reports.build().unreachable_counts
 
 
 def test_a_process_says_which_one_it_is_for_a_minute_and_while_it_is_taken_out() -> None:
@@ -240,7 +260,9 @@
     """A broker reports and falls silent before a majority has confirmed the round that its report was in. Its
     grant is on its way all the same: the leader has to count its lease from now on."""
     facts = LeaderFacts(informed_brokers={9: {0}}, seen_since_us={(9, "out"): 1, (2, "out"): 3})
-    totals = SubtreeTotals(alive={0}, known={2: {0}}, clear={2: {0}}, load=3.0)
+    totals = SubtreeTotals(
+        alive_brokers={0}, informed_brokers={2: {0}}, drained_brokers={2: {0}}, load_units=3.0
+    )
     granted = GrantRound(0, {}, {0, 1})
     update_facts(facts, 500, granted, totals, {2}, StandInNodes().state)
     assert facts.last_grant_us == {0: 500, 1: 500} and facts.alive_brokers == {0}
@@ -302,10 +324,10 @@
         self.batches: list[list[int]] = []
         self.fault: StoreError | None = None
 
-    def write(self, works: list[ev.Persist]) -> None:
+    def write(self, writes: list[ev.Persist]) -> None:
         if self.fault is not None:
             raise self.fault
-        self.batches.append([work.number for work in works])
+        self.batches.append([write.number for write in writes])
 
     def close(self) -> None:
         pass
@@ -315,9 +337,9 @@
     return ev.Persist(number, "cluster-1", 1, None)
 
 
-def test_works_that_come_during_a_sync_go_with_the_next_one_and_a_refusal_is_final() -> None:
-    """A disk is slow: works pile up during one sync, and cost one more together. Then it refuses; what a sync
-    did not do may be half on the disk, so nothing is written after it."""
+def test_writes_that_come_during_a_sync_share_the_next_one_and_a_failure_is_final() -> None:
+    """A disk is slow: writes queue up during one sync, and share the next. Then it fails: what a failed sync
+    has written may be half on the disk, so nothing is written after it."""
 
     async def main() -> None:
         store, synced, failed = ScriptedStore(), [], []
--- a/tests/test_raft_parts.py
+++ b/tests/test_raft_parts.py
@@ -23,7 +23,7 @@
     VoteResponse,
     encode_membership,
 )
-from harriertide.consensus.node import Node
+from harriertide.consensus.node import RaftNode
 from harriertide.consensus.outbox import Outbox
 from harriertide.consensus.pending_requests import (
     RETRY_INTERVAL_US,
@@ -31,17 +31,18 @@
     ClientRead,
     PendingRequests,
 )
+from harriertide.consensus.replica import Replica
 from harriertide.consensus.roles import InvariantViolationError, Roles
 from harriertide.consensus.state import RaftState
 
 A, B, C = Member("a", "a1"), Member("b", "b1"), Member("c", "c1")
 ALL = Membership((A, B, C))
-FOUNDING = Entry(1, 1, "members", encode_membership(ALL))
+BOOTSTRAP_ENTRY = Entry(1, 1, "members", encode_membership(ALL))
 
 
 def restored(*entries: Entry, term: int = 1, voted_for: Member | None = None) -> RaftState:
     """A follower of three that starts on its disk."""
-    found = ev.RestoredState("c", term, voted_for, None, (FOUNDING, *entries))
+    found = ev.RestoredState("c", term, voted_for, None, (BOOTSTRAP_ENTRY, *entries))
     return RaftState.restore(A, Tuning(), found, Random(0), 0)
 
 
@@ -53,9 +54,9 @@
     return [effect.message for effect in effects if isinstance(effect, ev.SendMessage)]
 
 
-def leading() -> Node:
+def leading() -> RaftNode:
     """A leader of three that has committed an entry of its own term."""
-    node = Node(restored())
+    node = RaftNode(restored())
     node.step(0, ev.ElectionTimedOut())
     node.step(0, ev.MessageReceived(VoteResponse("c", B, A, 2, True, True)))
     node.step(0, ev.Synced(1))
@@ -125,10 +126,36 @@
         receiver.on_append_request(AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000))
 
 
+class Unchanged:
+    """A state machine without a state."""
+
+    def apply(self, index: int, data: bytes) -> bytes:
+        return b""
+
+    def dump(self) -> bytes:
+        return b""
+
+    def load(self, data: bytes) -> None:
+        pass
+
+
+def test_a_member_that_halts_after_a_broken_invariant_names_the_invariant() -> None:
+    """An operator reads why a member is out of the agreement: its disk is not to blame for this."""
+    disk = ev.RestoredState("c", 1, None, None, (BOOTSTRAP_ENTRY, command(2)))
+    replica = Replica(A, Unchanged(), Tuning(), disk, Random(0), 0)
+    replica.step(0, ev.MessageReceived(AppendRequest("c", B, A, 1, 2, 1, (), 2, 1, 400_000)))
+    changed = AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000)
+    effects = replica.step(0, ev.MessageReceived(changed))
+    lines = {line.event: line.detail for line in effects if isinstance(line, ev.LogLine)}
+    assert set(lines) == {"halted", "broken"}
+    assert all(detail.startswith("COMPLETE: entry 2") for detail in lines.values()), lines
+    assert replica.node.role == "halted" and not replica.step(0, ev.Tick())
+
+
 def test_a_truncated_membership_falls_back_to_the_one_before() -> None:
     """A change of membership was in the log of a leader that lost its term before it was committed."""
     smaller = Membership((A, B))
-    log = Log(entries=(FOUNDING, Entry(2, 1, "members", encode_membership(smaller)), command(3)))
+    log = Log(entries=(BOOTSTRAP_ENTRY, Entry(2, 1, "members", encode_membership(smaller)), command(3)))
     assert log.members == smaller and log.membership_index == 2 and log.members_at(1) == ALL
     kept = log.copy()
     kept.compact(2)
@@ -137,7 +164,7 @@
     assert log.members == ALL and log.last_index == 1
 
 
-def commit_own_term(node: Node) -> list[ev.Effect]:
+def commit_own_term(node: RaftNode) -> list[ev.Effect]:
     """The leader's first entry is synced here and at another member."""
     node.step(0, ev.Synced(9))
     return node.step(0, ev.MessageReceived(AppendResponse("c", B, A, 2, True, 1, 2, 2, 0, 0)))
@@ -145,7 +172,7 @@
 
 def test_reads_wait_for_the_first_commit_of_a_term_and_for_a_majority() -> None:
     """A new leader does not know what is committed; an old one does not know that it is none any more."""
-    follower = Node(restored())
+    follower = RaftNode(restored())
     assert follower.step(0, ev.ReadRequested(1)) == [ev.ReadAborted(1)]
     node = leading()
     assert not node.step(0, ev.ReadRequested(7))  # deferred
