--- a/harriertide/lab/cluster.py
+++ b/harriertide/lab/cluster.py
@@ -19,7 +19,7 @@
 from harriertide.consensus.node import NEVER_US, Node
 from harriertide.consensus.replica import CallCompleted, CallExpired, EntryApplied, ReadCompleted, Replica
 from harriertide.consensus.roster import Founding, Hello, Roster
-from harriertide.lab.history import Operation, non_linearizable
+from harriertide.lab.checkers.linearizability_checker import Operation, non_linearizable
 
 SECOND = 1_000_000
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -19,8 +19,8 @@
 )
 from harriertide.consensus.sessions import ANSWER_COUNT, CLIENT_COUNT, FORGOTTEN_ANSWER, Sessions
 from harriertide.lab.check import SEARCHES, SEEDED_BUG_SEARCHES, search
+from harriertide.lab.checkers.linearizability_checker import Operation, is_linearizable
 from harriertide.lab.cluster import FAULTS, SECOND, Cluster, Host, run_simulation
-from harriertide.lab.history import Operation, is_linearizable
 
 
 @pytest.mark.parametrize("name", SEARCHES)
