--- a/harriertide/lab/check.py
+++ b/harriertide/lab/check.py
@@ -46,7 +46,8 @@
 from harriertide.consensus.roles import InvariantViolationError
 from harriertide.consensus.state import RaftState
 from harriertide.decide.settings import SettingsError
-from harriertide.lab.cluster import Verdict, run_simulation
+from harriertide.lab.raft_simulation.run import run_simulation
+from harriertide.lab.raft_simulation.verdict import Verdict
 from harriertide.lab.seeded_bugs import SEEDED_BUGS
 
 NAMES = ("a", "b", "c")
--- a/harriertide/lab/simulation/memory_parts.py
+++ b/harriertide/lab/simulation/memory_parts.py
@@ -10,6 +10,7 @@
 from harriertide.config.operator_file import State
 from harriertide.consensus import events as ev
 from harriertide.decide import api
+from harriertide.lab.simulation.durable_state import after_write
 
 LONGEST_ATTEMPT_S = 0.3
 
@@ -24,15 +25,7 @@
     def write(self, works: list[ev.Persist]) -> None:
         """Write all of these."""
         for work in works:
-            entries = self.restored.entries
-            if work.truncate_from:
-                entries = tuple(entry for entry in entries if entry.index < work.truncate_from)
-            entries += work.entries
-            snapshot = self.restored.snapshot
-            if work.snapshot is not None:
-                snapshot = work.snapshot
-                entries = tuple(entry for entry in entries if entry.index > work.snapshot.index)
-            self.restored = ev.RestoredState(work.cluster, work.term, work.voted_for, snapshot, entries)
+            self.restored = after_write(self.restored, work)
 
     def close(self) -> None:
         """Do nothing: there is no file."""
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,10 +1,9 @@
-"""The agreed log: searched through its states, in simulated runs, and in situations known to hurt."""
+"""Raft: a search through its states, simulated runs, and faults that are known to break implementations."""
 
 from __future__ import annotations
 
-from random import Random
-
 import pytest
+from msgspec.structs import replace
 
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import (
@@ -17,10 +16,16 @@
     encode,
     encode_membership,
 )
+from harriertide.consensus.roster import Hello
 from harriertide.consensus.sessions import ANSWER_COUNT, CLIENT_COUNT, FORGOTTEN_ANSWER, Sessions
 from harriertide.lab.check import SEARCHES, SEEDED_BUG_SEARCHES, search
 from harriertide.lab.checkers.linearizability_checker import Operation, is_linearizable
-from harriertide.lab.cluster import FAULTS, SECOND, Cluster, Host, run_simulation
+from harriertide.lab.raft_simulation.event_queue import SECOND_US
+from harriertide.lab.raft_simulation.faults import FAULT_KINDS, SLOW_SYNC_US, FaultKind
+from harriertide.lab.raft_simulation.host import Host
+from harriertide.lab.raft_simulation.run import run_simulation
+from harriertide.lab.raft_simulation.simulated_network import Link, Payload
+from harriertide.lab.raft_simulation.simulation import Simulation
 
 
 @pytest.mark.parametrize("name", SEARCHES)
@@ -49,9 +54,9 @@
 
 @pytest.mark.parametrize("size", [1, 3, 7])
 def test_simulated_runs_of_other_sizes(size: int) -> None:
-    faults = FAULTS if size > 1 else ("kill", "pause", "slow-disk")
+    kinds = FAULT_KINDS if size > 1 else (FaultKind.CRASH, FaultKind.PAUSE, FaultKind.SLOW_DISK)
     for seed in range(6):
-        verdict = run_simulation(seed, size=size, seconds=6.0, faults=faults)
+        verdict = run_simulation(seed, size=size, seconds=6.0, fault_kinds=kinds)
         assert not verdict.broken, f"seed {seed}: {verdict.broken}"
 
 
@@ -59,304 +64,276 @@
     """A broker comes back with an empty disk under its old name, and its vote counts as before: a committed
     entry is lost. With the identity of disks the same runs lose nothing.
     """
-    faults = ("lose-disk", "apart", "kill")
+    kinds = (FaultKind.DISK_LOSS, FaultKind.PARTITION, FaultKind.CRASH)
     bug = "empty-disk-votes"
-    lost = [seed for seed in range(60) if run_simulation(seed, 3, 8.0, seeded_bug=bug, faults=faults).broken]
-    assert lost
-    assert not [seed for seed in lost if run_simulation(seed, 3, 8.0, faults=faults).broken]
+    failing_seeds = [
+        seed for seed in range(60) if run_simulation(seed, 3, 8.0, seeded_bug=bug, fault_kinds=kinds).broken
+    ]
+    assert failing_seeds
+    assert not [seed for seed in failing_seeds if run_simulation(seed, 3, 8.0, fault_kinds=kinds).broken]
 
 
 # --- situations ---------------------------------------------------------------------------------------
 
 
-def settled(seed: int = 1, size: int = 3, keep: int = 40) -> tuple[Cluster, Host]:
+def started_cluster(seed: int = 1, size: int = 3) -> tuple[Simulation, Host]:
     """A cluster that has founded itself, and its leader."""
-    sim = Cluster(seed, size, keep=keep)
-    for host in sim.hosts.values():
+    simulation = Simulation(seed, size)
+    for host in simulation.hosts.values():
         host.start()
-    sim.run(3 * SECOND)
-    leader = sim.leader()
+    simulation.run_for(3 * SECOND_US)
+    leader = simulation.leader()
     assert leader is not None
-    return sim, leader
-
-
-def put(sim: Cluster, host: Host, value: str, key: str = "k") -> list[int]:
-    """Calls from a host; filled with the moment of the answer."""
-    done: list[int] = []
-    sim.values += 1
-    assert host.replica is not None
-    sim._open[sim.values] = ("put", key, value, sim.now, host, host.life, lambda: done.append(sim.now))
-    data = f"put\n{key}\n{value}".encode()
-    name = f"c{sim.values}"
-    host.do(host.replica.call(host.now(), sim.values, name, 1, data, host.now() + 5 * SECOND))
-    return done
-
+    return simulation, leader
 
-def value(host: Host, key: str = "k") -> str:
-    assert host.replica is not None
-    return host.replica.machine.values.get(key, "")  # type: ignore[attr-defined, no-any-return]
 
-
-def others(sim: Cluster, host: Host) -> list[Host]:
-    return [each for each in sim.hosts.values() if each is not host]
+def put(simulation: Simulation, host: Host, value: str, key: str = "k") -> list[int]:
+    """Write a register through a host; the list is filled with the moment of the answer."""
+    returned_us: list[int] = []
+    simulation.clients.invoke(
+        host, "put", key, value, lambda: returned_us.append(simulation.now_us), timeout_us=5 * SECOND_US
+    )
+    return returned_us
 
 
-def links(sim: Cluster, host: Host) -> set[tuple[str, str]]:
-    """All of a host, both ways."""
-    return {(host.name, name) for name in sim.names} | {(name, host.name) for name in sim.names}
+def others(simulation: Simulation, host: Host) -> list[Host]:
+    return [each for each in simulation.hosts.values() if each is not host]
 
 
-def behind(sim: Cluster, leader: Host, away: Host) -> set[tuple[str, str]]:
-    """Cut one off until the others have let go of what it lacks; its links."""
-    ways = links(sim, away)
-    sim.cut |= ways
+def isolate_until_snapshot(simulation: Simulation, leader: Host, host: Host) -> set[Link]:
+    """Cut a host off until the others have compacted away what it lacks; the links that are cut."""
+    links = simulation.network.partition({host.name})
     for number in range(300):
-        put(sim, leader, "x" * 4_000, key=f"k{number}")
-    sim.run(sim.now + 2 * SECOND)
-    return ways
+        put(simulation, leader, "x" * 4_000, key=f"k{number}")
+    simulation.run_for(2 * SECOND_US)
+    return links
 
 
 @pytest.mark.parametrize("size", [3, 5])
-def test_a_one_way_cut_of_any_single_link_leaves_a_leader_within_2_s(size: int) -> None:
-    """One link fails in one direction only. Within 2 s some leader commits, wherever the cut is."""
+def test_a_one_way_partition_of_any_single_link_leaves_a_leader_within_2_s(size: int) -> None:
+    """One link fails in one direction only. Within 2 s some leader commits, whichever link it is."""
     for a in range(size):
         for b in range(size):
             if a == b:
                 continue
-            sim, _ = settled(seed=size, size=size)
-            names = sim.names
-            sim.cut.add((names[a], names[b]))
-            sim.run(sim.now + 2 * SECOND)
+            simulation, _ = started_cluster(seed=size, size=size)
+            names = list(simulation.hosts)
+            simulation.network.cut_links.add((names[a], names[b]))
+            simulation.run_for(2 * SECOND_US)
             leader = None
-            for host in sim.hosts.values():  # one whose beats reach all but at most one of the others
+            for host in simulation.hosts.values():  # its heartbeats may reach all but one of the others
                 if host.replica is not None and host.replica.node.is_leader:
                     leader = host
             assert leader is not None, f"{names[a]} to {names[b]}"
-            done = put(sim, leader, "v")
-            sim.run(sim.now + SECOND)
-            assert done, f"{names[a]} to {names[b]}"
+            returned_us = put(simulation, leader, "v")
+            simulation.run_for(SECOND_US)
+            assert returned_us, f"{names[a]} to {names[b]}"
 
 
-def test_a_member_that_was_cut_off_never_unseats_a_good_leader() -> None:
-    """A member is cut off five times and campaigns meanwhile. As it comes back the others still hear their
-    leader: it keeps its term.
+def test_a_member_that_was_partitioned_never_unseats_a_good_leader() -> None:
+    """A member is cut off five times and campaigns meanwhile. When its links are restored, the others still
+    hear their leader, which keeps its term.
     """
-    sim, leader = settled(size=5)
-    away = others(sim, leader)[0]
-    term = leader.replica.node.term  # type: ignore[union-attr]
+    simulation, leader = started_cluster(size=5)
+    isolated = others(simulation, leader)[0]
+    term = leader.running_replica.node.term
     for _ in range(5):
-        sim.cut |= links(sim, away)
-        sim.run(sim.now + 3 * SECOND)
-        sim.cut.clear()
-        sim.run(sim.now + SECOND)
-    assert sim.leader() is leader and leader.replica is not None
-    assert leader.replica.node.term == term
-    assert away.replica is not None and away.replica.node.leader == leader.replica.node.me
+        simulation.network.partition({isolated.name})
+        simulation.run_for(3 * SECOND_US)
+        simulation.network.heal_all()
+        simulation.run_for(SECOND_US)
+    assert simulation.leader() is leader
+    assert leader.running_replica.node.term == term
+    assert isolated.running_replica.node.leader == leader.running_replica.node.me
 
 
-def test_a_leader_whose_disk_takes_500_ms_hands_over_by_itself() -> None:
+def test_a_leader_whose_disk_takes_500_ms_transfers_leadership_by_itself() -> None:
     """The leader's disk becomes slow, so each commit waits for it. It transfers leadership by itself, without
     a series of elections.
     """
-    sim, leader = settled(size=5)
-    leader.disk.late_us = 500_000
+    simulation, leader = started_cluster(size=5)
+    leader.disk.sync_us = SLOW_SYNC_US
     for number in range(30):
-        put(sim, leader, f"v{number}")
-        sim.run(sim.now + SECOND // 5)
-    after = sim.leader()
-    assert after is not None and after is not leader
-    assert leader.disk.late_us == 500_000 and not sim.check_history().broken
-    leads = [when for when, name in sim_leads(sim)]
-    assert len(leads) <= 3  # it is handed over, not fought for
+        put(simulation, leader, f"v{number}")
+        simulation.run_for(SECOND_US // 5)
+    new_leader = simulation.leader()
+    assert new_leader is not None and new_leader is not leader
+    assert leader.disk.sync_us == SLOW_SYNC_US and not simulation.verdict().broken
+    assert len(simulation.checker.leaders) <= 3
 
 
-def sim_leads(sim: Cluster) -> list[tuple[int, str]]:
-    return sorted(sim._leaders.items())
+def test_a_leader_that_was_paused_for_8_s_answers_no_read_with_the_old_state() -> None:
+    """The process of a leader is paused; another member is elected and commits. The old leader resumes and
+    still takes itself for the leader: a read that it was asked for must not show the old state.
+    """
+    simulation, leader = started_cluster(size=5)
+    leader.paused_until_us = simulation.now_us + 8 * SECOND_US
+    simulation.run_for(3 * SECOND_US)
+    new_leader = simulation.leader()
+    assert new_leader is not None and new_leader is not leader
+    written_us = put(simulation, new_leader, "new")
+    simulation.run_for(SECOND_US)
+    assert written_us
+    # The paused leader is asked for a read while it takes itself for the leader.
+    read_us: list[int] = []
+    simulation.clients.invoke(
+        leader, "get", "k", "", lambda: read_us.append(simulation.now_us), timeout_us=10 * SECOND_US
+    )
+    simulation.run_for(10 * SECOND_US)
+    assert read_us and simulation.clients.history[-1].value == "new" and not simulation.verdict().broken
 
 
-def test_a_leader_that_stands_still_for_8_s_answers_for_nobody_when_it_is_back() -> None:
-    """The process of a leader is stopped, another one is elected and commits. The old one goes on and takes
-    itself for the leader: a read that it is asked for must not show the old state.
+def test_a_failed_sync_is_final_for_the_process_and_the_others_continue() -> None:
+    """A sync fails once on the leader. What the operating system holds in memory may be lost, so that process
+    never takes part again, even with a disk that works.
     """
-    sim, leader = settled(size=5)
-    leader.paused_until = sim.now + 8 * SECOND
-    sim.run(sim.now + 3 * SECOND)
-    second = sim.leader()
-    assert second is not None and second is not leader
-    done = put(sim, second, "new")
-    sim.run(sim.now + SECOND)
-    assert done
-    # a read asked of the old one while it stands still and thinks that it leads
-    assert leader.replica is not None
-    read: list[int] = []
-    sim.values += 1
-    sim._open[sim.values] = ("get", "k", "", sim.now, leader, leader.life, lambda: read.append(sim.now))
-    leader.do(leader.replica.query(leader.now(), sim.values, leader.now() + 10 * SECOND))
-    sim.run(sim.now + 10 * SECOND)
-    assert read and sim.history[-1].value == "new" and not sim.check_history().broken
-
-
-def test_a_failed_sync_is_final_for_the_process_and_the_others_go_on() -> None:
-    """A sync fails once on the leader. What the system holds in memory may be lost, so that process never
-    takes part again, even with a disk that works.
-    """
-    sim, leader = settled()
-    leader.disk.fails = True
-    lost = put(sim, leader, "lost?")
-    sim.run(sim.now + 3 * SECOND)
-    assert leader.replica is not None and leader.replica.node.role == "halted" and not lost
-    leader.disk.fails = False
-    sim.run(sim.now + 3 * SECOND)
-    assert leader.replica.node.role == "halted"  # a disk that works again is no excuse
-    second = sim.leader()
-    assert second is not None
-    done = put(sim, second, "v")
-    sim.run(sim.now + SECOND)
-    assert done
+    simulation, leader = started_cluster()
+    leader.disk.fails_syncs = True
+    lost_us = put(simulation, leader, "lost?")
+    simulation.run_for(3 * SECOND_US)
+    assert leader.running_replica.node.role == "halted" and not lost_us
+    leader.disk.fails_syncs = False
+    simulation.run_for(3 * SECOND_US)
+    assert leader.running_replica.node.role == "halted"  # though the disk works again
+    new_leader = simulation.leader()
+    assert new_leader is not None
+    returned_us = put(simulation, new_leader, "v")
+    simulation.run_for(SECOND_US)
+    assert returned_us
 
 
 def test_a_broker_with_an_empty_disk_joins_as_a_new_member_and_may_vote_only_then() -> None:
     """A broker loses its disk. It has forgotten its votes, so it counts for nothing until it was caught up
     and took the place of the old disk.
     """
-    sim, leader = settled()
+    simulation, leader = started_cluster()
     for number in range(200):
-        put(sim, leader, f"v{number}")
-    sim.run(sim.now + SECOND)
-    back = others(sim, leader)[0]
-    old = Member(back.name, back.disk.id)
-    back.kill(Random(1))
-    back.disk = back.new_disk()
-    back.start()
-    assert back.replica is not None
-    assert back.replica.node.next_tick_us > 1 << 60  # it stands for nothing
-    sim.run(sim.now + 4 * SECOND)
-    assert leader.replica is not None
-    voters = leader.replica.node.members.voters
-    assert old not in voters and Member(back.name, back.disk.id) in voters and len(voters) == 3
-    assert value(back) == "v199" and not sim.check_history().broken
-
-
-def test_two_processes_under_one_name_throw_nobody_out() -> None:
-    """A second process is started under a member's name by mistake. Its disk is not taken in while the first
+        put(simulation, leader, f"v{number}")
+    simulation.run_for(SECOND_US)
+    restarted = others(simulation, leader)[0]
+    old_member = restarted.member
+    restarted.crash()
+    restarted.replace_disk()
+    restarted.start()
+    assert restarted.running_replica.node.next_tick_us > 1 << 60  # it never campaigns
+    simulation.run_for(4 * SECOND_US)
+    voters = leader.running_replica.node.members.voters
+    assert old_member not in voters and restarted.member in voters and len(voters) == 3
+    assert restarted.read_register("k") == "v199" and not simulation.verdict().broken
+
+
+def test_two_processes_under_one_name_remove_nobody() -> None:
+    """A second process is started under a member's name by mistake. Its disk is not admitted while the first
     one answers.
     """
-    sim, leader = settled()
-    other = others(sim, leader)[0]
-    from harriertide.consensus.roster import Hello
-
+    simulation, leader = started_cluster()
+    other = others(simulation, leader)[0]
     for _ in range(10):
-        leader.hear(Hello(Member(other.name, "foreign"), ""))
-        sim.run(sim.now + SECOND // 5)
-    assert leader.replica is not None
-    assert Member(other.name, other.disk.id) in leader.replica.node.members.voters
+        leader.receive(Hello(Member(other.name, "foreign"), ""))
+        simulation.run_for(SECOND_US // 5)
+    assert other.member in leader.running_replica.node.members.voters
     assert other.name in leader.roster.duplicate_names
 
 
-def test_a_member_that_was_away_long_gets_the_snapshot_in_pieces_and_goes_on_where_it_broke() -> None:
-    """A member was away until the log no longer holds what it lacks. It is sent the snapshot, the link breaks
-    in between, and the chunks go on where they stopped.
+def test_a_member_that_lags_behind_the_log_resumes_its_snapshot_at_the_chunk_where_the_link_failed() -> None:
+    """A member was cut off until the log no longer holds what it lacks. It is sent the snapshot, the link
+    fails in between, and the chunks resume where they stopped.
     """
-    sim, leader = settled(keep=40)
-    away = others(sim, leader)[0]
-    ways = behind(sim, leader, away)
-    assert leader.replica is not None and leader.replica.node.snapshot is not None
-    assert leader.replica.node.log.base_index > 100
-    pieces: list[int] = []
-    post = sim.post
-
-    def watched(a: str, b: str, message: object) -> None:
+    simulation, leader = started_cluster()
+    lagging = others(simulation, leader)[0]
+    links = isolate_until_snapshot(simulation, leader, lagging)
+    assert leader.running_replica.node.snapshot is not None
+    assert leader.running_replica.node.log.base_index > 100
+    offsets: list[int] = []
+    send = simulation.network.send
+
+    def send_until_the_link_fails(sender: str, receiver: str, message: Payload) -> None:
         if isinstance(message, SnapshotChunk) and message.data:
-            pieces.append(message.offset)
-            if len(pieces) == 4:  # the way breaks in the midst
-                sim.cut.update(ways)
-                sim.at(sim.now + SECOND, sim.cut.difference_update, ways)
-        post(a, b, message)  # type: ignore[arg-type]
-
-    sim.post = watched  # type: ignore[method-assign]
-    sim.cut.clear()
-    sim.run(sim.now + 5 * SECOND)
-    assert away.replica is not None and away.replica.applied == leader.replica.applied
-    size = len(leader.replica.node.snapshot.data)
-    assert len(pieces) > 5 and max(pieces) > size // 2
-    assert len(pieces) < 3 + 2 * (
-        size // sim.tuning.snapshot_chunk_bytes + 1
-    )  # not from the beginning each time
-    assert not sim.check_history().broken
-
-
-def test_a_piece_that_was_damaged_on_its_way_is_sent_again() -> None:
-    """A chunk is damaged in a way that its frame does not show. The checksum of the whole finds it, and all
-    is sent again.
+            offsets.append(message.offset)
+            if len(offsets) == 4:
+                simulation.network.cut_links.update(links)
+                simulation.queue.call_later(SECOND_US, simulation.network.heal, links)
+        send(sender, receiver, message)
+
+    simulation.network.send = send_until_the_link_fails  # type: ignore[method-assign]
+    simulation.network.heal_all()
+    simulation.run_for(5 * SECOND_US)
+    assert lagging.running_replica.applied == leader.running_replica.applied
+    size = len(leader.running_replica.node.snapshot.data)
+    assert len(offsets) > 5 and max(offsets) > size // 2
+    # not from the beginning again after the failure
+    assert len(offsets) < 3 + 2 * (size // ev.Tuning().snapshot_chunk_bytes + 1)
+    assert not simulation.verdict().broken
+
+
+def test_a_snapshot_with_a_damaged_chunk_is_sent_again() -> None:
+    """A chunk is damaged in a way that its frame does not show. The checksum of the snapshot finds it, and
+    all of it is sent again.
     """
-    sim, leader = settled(keep=40)
-    away = others(sim, leader)[0]
-    behind(sim, leader, away)
-    post, spoilt = sim.post, []
-
-    def watched(a: str, b: str, message: object) -> None:
-        if isinstance(message, SnapshotChunk) and message.data and not spoilt:
-            spoilt.append(message.offset)
-            flipped = bytes([message.data[0] ^ 1]) + message.data[1:]
-            from msgspec.structs import replace
-
-            message = replace(message, data=flipped)
-        post(a, b, message)  # type: ignore[arg-type]
-
-    sim.post = watched  # type: ignore[method-assign]
-    sim.cut.clear()
-    sim.run(sim.now + 5 * SECOND)
-    assert spoilt and away.replica is not None and leader.replica is not None
-    assert away.replica.applied == leader.replica.applied and not sim.check_history().broken
-
-
-def test_a_proposal_repeated_after_a_change_of_leader_has_its_effect_once() -> None:
-    """A client repeats a command because the leader died before it answered. The command may be in the log
+    simulation, leader = started_cluster()
+    lagging = others(simulation, leader)[0]
+    isolate_until_snapshot(simulation, leader, lagging)
+    send = simulation.network.send
+    damaged_offsets: list[int] = []
+
+    def send_with_one_damaged_chunk(sender: str, receiver: str, message: Payload) -> None:
+        if isinstance(message, SnapshotChunk) and message.data and not damaged_offsets:
+            damaged_offsets.append(message.offset)
+            damaged = bytes([message.data[0] ^ 1]) + message.data[1:]
+            message = replace(message, data=damaged)
+        send(sender, receiver, message)
+
+    simulation.network.send = send_with_one_damaged_chunk  # type: ignore[method-assign]
+    simulation.network.heal_all()
+    simulation.run_for(5 * SECOND_US)
+    assert damaged_offsets and lagging.running_replica.applied == leader.running_replica.applied
+    assert not simulation.verdict().broken
+
+
+def test_a_command_repeated_after_a_change_of_leader_takes_effect_once() -> None:
+    """A client repeats a command because the leader crashed before it answered. The command may be in the log
     twice, and takes effect once.
     """
-    sim, leader = settled(size=5)
-    host = others(sim, leader)[0]
-    assert host.replica is not None
-    done: list[int] = []
-    for key in ("n", "n"):  # the same client and serial, from two members
-        sim.values += 1
-        sim._open[sim.values] = ("put", key, "v", sim.now, host, host.life, lambda: done.append(1))
-        host.do(
-            host.replica.call(host.now(), sim.values, "one", 7, b"swap\nn\n>first", host.now() + 6 * SECOND)
-        )
-        host = others(sim, host)[1]
+    simulation, leader = started_cluster(size=5)
+    host = others(simulation, leader)[0]
+    returned_us: list[int] = []
+    for _ in range(2):  # the same client and serial, from two members
+        simulation.clients.invoke(
+            host, "swap", "n", ">first", lambda: returned_us.append(simulation.now_us),
+            timeout_us=6 * SECOND_US, session=("one", 7),
+        )  # fmt: skip
+        host = others(simulation, host)[1]
         assert host.replica is not None
-        leader.kill(sim.random)
-        sim.run(sim.now + 2 * SECOND)
+        leader.crash()
+        simulation.run_for(2 * SECOND_US)
         leader.start()
-        sim.run(sim.now + SECOND)
-        leader = sim.leader() or leader
-    assert len(done) == 2
-    assert {value(each, "n") for each in sim.hosts.values()} == {"first"}
+        simulation.run_for(SECOND_US)
+        leader = simulation.leader() or leader
+    assert len(returned_us) == 2
+    assert {each.read_register("n") for each in simulation.hosts.values()} == {"first"}
 
 
-def test_leadership_goes_over_when_it_is_asked_for() -> None:
-    """An operator moves leadership to a certain member: it leads within 200 ms."""
-    sim, leader = settled(size=5)
-    target = others(sim, leader)[2]
-    assert leader.replica is not None
-    before = sim.now
-    leader.do(leader.replica.step(leader.now(), ev.TransferLeadership(Member(target.name, target.disk.id))))
-    sim.run(sim.now + SECOND // 5)
-    assert sim.leader() is target and sim.now - before <= SECOND // 5
+def test_leadership_is_transferred_on_request() -> None:
+    """An operator transfers leadership to a certain member: it leads within 200 ms."""
+    simulation, leader = started_cluster(size=5)
+    target = others(simulation, leader)[2]
+    requested_us = simulation.now_us
+    leader.step(ev.TransferLeadership(target.member))
+    simulation.run_for(SECOND_US // 5)
+    assert simulation.leader() is target and simulation.now_us - requested_us <= SECOND_US // 5
 
 
 def test_a_second_cluster_is_not_founded_beside_one_that_exists() -> None:
-    """All but one voter come back with empty disks at once: nobody may decide, least of all they."""
-    sim, _ = settled()
-    a, b, c = sim.hosts.values()
+    """All but one voter restart with empty disks at once: nobody may decide, least of all they."""
+    simulation, _ = started_cluster()
+    a, b, c = simulation.hosts.values()
     for host in (a, b):
-        host.kill(Random(1))
-        host.disk = host.new_disk()
+        host.crash()
+        host.replace_disk()
         host.start()
-    sim.run(sim.now + 10 * SECOND)
-    assert sim.leader() is None
-    assert all(host.replica is not None and not host.replica.node.is_leader for host in (a, b, c))
+    simulation.run_for(10 * SECOND_US)
+    assert simulation.leader() is None
+    assert all(not host.running_replica.node.is_leader for host in (a, b, c))
 
 
 # --- small parts --------------------------------------------------------------------------------------
