--- a/harriertide/lab/raft_simulation/host.py
+++ b/harriertide/lab/raft_simulation/host.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from random import Random
-from typing import Any, Protocol
+from typing import Any
 
 from harriertide.consensus import events as ev
 from harriertide.consensus import replica as rp
@@ -14,6 +14,7 @@
 from harriertide.consensus.roster import Founding, Hello, Roster
 from harriertide.lab.raft_simulation.event_queue import DriftingClock, EventQueue
 from harriertide.lab.raft_simulation.register_machine import RegisterMachine
+from harriertide.lab.raft_simulation.safety_checker import SafetyChecker
 from harriertide.lab.raft_simulation.simulated_disk import SimulatedDisk
 from harriertide.lab.raft_simulation.simulated_network import Payload, SimulatedNetwork
 
@@ -21,17 +22,7 @@
 ClientEffect = rp.CallCompleted | rp.ReadCompleted | rp.CallExpired
 
 
-class EffectObserver(Protocol):
-    """Takes what members emit, but for messages and writes."""
-
-    def on_entry_applied(self, host: str, effect: rp.EntryApplied) -> None:
-        """A member has applied an entry."""
-
-    def on_log_line(self, host: str, line: ev.LogLine) -> None:
-        """A member has written a log line."""
-
-
-@dataclass
+@dataclass(frozen=True, slots=True)
 class Environment:
     """What all hosts of a run share.
 
@@ -43,12 +34,12 @@
     queue: EventQueue
     network: SimulatedNetwork
     random: Random
-    observer: EffectObserver
+    checker: SafetyChecker
     on_client_effect: Callable[[Host, ClientEffect], None]
     snapshot_interval: int
     node_class: type[Node]
     seeded_bug: str
-    hosts: dict[str, Host] = field(default_factory=dict)
+    hosts: dict[str, Host]
 
 
 class Host:
@@ -196,11 +187,11 @@
             elif isinstance(effect, ev.Persist):
                 self._start_write(effect)
             elif isinstance(effect, rp.EntryApplied):
-                environment.observer.on_entry_applied(self.name, effect)
+                environment.checker.on_entry_applied(self.name, effect)
             elif isinstance(effect, ClientEffect):
                 environment.on_client_effect(self, effect)
             elif isinstance(effect, ev.LogLine):
-                environment.observer.on_log_line(self.name, effect)
+                environment.checker.on_log_line(self.name, effect)
         self._schedule_tick()
 
     def _start_write(self, write: ev.Persist) -> None:
