--- a/harriertide/lab/checkers/fleet_checker.py
+++ b/harriertide/lab/checkers/fleet_checker.py
@@ -4,17 +4,22 @@
 
 from dataclasses import dataclass, field
 
+from harriertide.lab.checkers.step_history import StepHistory, longest_gap_s
 from harriertide.lab.simulation.maintenance_fleet import Fleet, NodeAttempt
 
-NEVER_S = 1e18  # of a machine that did not come back
-
 
 @dataclass
 class Verdict:
-    """What a run showed. standstill_s: the longest time between two phases."""
+    """What a run showed.
+
+    :ivar broken: each rule that does not hold, in plain words
+    :ivar attempts: that brokers made at nodes
+    :ivar steps: phases that steps came to
+    :ivar standstill_s: the longest time between two phases
+    """
 
     broken: list[str] = field(default_factory=list)
-    tried: int = 0
+    attempts: int = 0
     steps: int = 0
     finished: int = 0
     orders: int = 0
@@ -35,62 +40,40 @@
         return is_there and attempt.began_s < self.ended_s and attempt.ended_s > self.began_s
 
 
-@dataclass
-class _Steps:
-    owners: dict[int, tuple[str, str]] = field(default_factory=dict)  # by fence: order and machine
-    first_s: dict[tuple[int, str], float] = field(default_factory=dict)  # by fence and phase: first known
-
-    def outages(self) -> list[_Outage]:
-        outages = []
-        for fence, (_, machine) in self.owners.items():
-            began_s = self.first_s.get((fence, "out"))
-            if began_s is not None:
-                returning_s = self.first_s.get((fence, "returning"), NEVER_S)
-                ended_s = min(returning_s, self.first_s.get((fence, "back"), NEVER_S))
-                outages.append(_Outage(fence, machine, began_s, ended_s))
-        return outages
-
-
 def check_fleet(fleet: Fleet, finished: bool) -> Verdict:
-    """Check what brokers wrote and tried.
+    """Check what brokers wrote, and the attempts that they made.
 
     :param finished: whether all orders came to their end
     """
     verdict = Verdict(
         orders=len(fleet.agreed_orders),
         finished=len(fleet.agreed_orders) * finished,
-        tried=len(fleet.attempts),
+        attempts=len(fleet.attempts),
     )
-    steps = _read_steps(fleet, verdict)
+    steps = StepHistory()
+    for row in fleet.events:
+        steps.add(row["by"], row)
+    verdict.broken += steps.violations
     _check_attempts(fleet, steps, verdict)
-    moments_s = sorted(steps.first_s.values())
-    gaps_s = [later - earlier for earlier, later in zip(moments_s, moments_s[1:], strict=False)]
-    verdict.steps = len(moments_s)
-    verdict.standstill_s = max(gaps_s, default=0.0)
+    verdict.steps = len(steps.first_s)
+    verdict.standstill_s = longest_gap_s(list(steps.first_s.values()))
     if not finished:
         verdict.broken.append("orders did not come to their end")
     return verdict
 
 
-def _read_steps(fleet: Fleet, verdict: Verdict) -> _Steps:
-    """All brokers have the same states in the same order, and a fence is of one machine."""
-    steps = _Steps()
-    digests: dict[int, int] = {}
-    for row in fleet.events:
-        if row["event"] == "applied" and digests.setdefault(row["index"], row["digest"]) != row["digest"]:
-            verdict.broken.append(f"{row['by']}: another state at {row['index']}")
-        if row["event"] == "step" and row["fence"] and row["phase"] != "waiting":
-            machine = row["order"], row["machine"]
-            owner = steps.owners.setdefault(row["fence"], machine)
-            if owner != machine:
-                verdict.broken.append(f"fence {row['fence']}: {owner} and {machine}")
-            steps.first_s.setdefault((row["fence"], row["phase"]), row["at"])
-    return steps
-
-
-def _check_attempts(fleet: Fleet, steps: _Steps, verdict: Verdict) -> None:
+def _outages(steps: StepHistory) -> list[_Outage]:
+    outages = []
+    for fence, (_, machine) in steps.owners.items():
+        began_s = steps.first_s.get((fence, "out"))
+        if began_s is not None:
+            outages.append(_Outage(fence, machine, began_s, steps.returned_s(fence)))
+    return outages
+
+
+def _check_attempts(fleet: Fleet, steps: StepHistory, verdict: Verdict) -> None:
     """No attempt is open at a machine while it is out."""
-    outages = steps.outages()
+    outages = _outages(steps)
     for attempt in fleet.attempts:
         for outage in outages:
             if outage.overlaps(attempt):
--- a/harriertide/lab/checkers/limit_checker.py
+++ b/harriertide/lab/checkers/limit_checker.py
@@ -5,24 +5,26 @@
 
 from __future__ import annotations
 
-import json
 from collections import Counter
-from collections.abc import Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
+from harriertide.lab.checkers.limit_bucket import LimitBucket
+from harriertide.lab.checkers.log_rows import read_rows
 from harriertide.lab.rigs.broker_settings import BURST, LATE_S, LIMIT, SETTINGS, SLACK_UNITS
 
-SETTLE_S = 3.0  # from the begin; what the limit let through counts from then on
+WARM_UP_S = 3.0  # from the start of a run: what the limit let through counts from then on
 
 
 @dataclass
 class Verdict:
-    """What the logs say.
+    """What the logs say. The names are the keys of what `lab processes --json` prints.
 
-    told: answers by status; 0: the broker went away. used: part of what the limit let through. lowest: units
-    that were ever left in the limit's token bucket. broken: each rule that does not hold, in plain words.
+    :ivar told: answers by status; 0: the broker closed the connection
+    :ivar came: attempts that came to the node
+    :ivar used: of what the limit let through
+    :ivar lowest: the fewest units that were ever left in the limit's token bucket
+    :ivar broken: each rule that does not hold, in plain words
     """
 
     requests: int = 0
@@ -33,7 +35,7 @@
     broken: list[str] = field(default_factory=list)
 
 
-def judge(folder: Path, seconds: float) -> Verdict:
+def check_logs(folder: Path, seconds: float) -> Verdict:
     """Check box.log and clients.log.
 
     :param seconds: how long load was offered
@@ -44,16 +46,12 @@
     return verdict
 
 
-def _rows(path: Path) -> Iterator[dict[str, Any]]:
-    for line in path.read_text(encoding="utf-8").splitlines():
-        yield json.loads(line)
-
-
 def _check_limit(folder: Path, seconds: float, verdict: Verdict) -> Counter[str]:
     """The token bucket of the limit, from the first attempts of requests; return attempts by request."""
-    level, last_s, used_units = BURST, 0.0, 0.0
+    bucket = LimitBucket(LIMIT, BURST)
+    used_units = 0.0
     attempt_counts: Counter[str] = Counter()
-    for row in _rows(folder / "box.log"):
+    for row in read_rows(folder / "box.log"):
         if row["event"] == "answered":
             continue
         request, at_s = row["request"], row["at_s"]
@@ -62,20 +60,18 @@
         if attempt_counts[request] > SETTINGS["limits"]["tryLimit"]:
             verdict.broken.append(f"{request} came {attempt_counts[request]} times")
         if attempt_counts[request] == 1:
-            level = min(BURST, level + LIMIT * (at_s - last_s)) - row["units"]
-            last_s = at_s
-            verdict.lowest = min(verdict.lowest, level)
-            used_units += row["units"] if at_s >= SETTLE_S else 0.0
-    verdict.used = used_units / (LIMIT * (seconds - SETTLE_S))
+            verdict.lowest = min(verdict.lowest, bucket.take(at_s, row["units"]))
+            used_units += row["units"] if at_s >= WARM_UP_S else 0.0
+    verdict.used = used_units / (LIMIT * (seconds - WARM_UP_S))
     if verdict.lowest < -SLACK_UNITS - LIMIT * LATE_S:
         verdict.broken.append(f"the store of the limit was at {verdict.lowest:.2f}")
     return attempt_counts
 
 
 def _check_answers(folder: Path, attempt_counts: Counter[str], verdict: Verdict) -> None:
-    """Each request is told one answer, and what was served came to the node."""
+    """Each request gets one answer, and one that was served came to the node."""
     unanswered: dict[str, None] = {}
-    for row in _rows(folder / "clients.log"):
+    for row in read_rows(folder / "clients.log"):
         request = row.get("request", "")
         if row["event"] == "asked":
             verdict.requests += 1
--- a/harriertide/lab/checkers/upgrade_checker.py
+++ b/harriertide/lab/checkers/upgrade_checker.py
@@ -5,13 +5,12 @@
 
 from __future__ import annotations
 
-import json
 from collections import Counter, defaultdict
-from collections.abc import Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
+from harriertide.lab.checkers.limit_bucket import LimitBucket
+from harriertide.lab.checkers.log_rows import Row, read_rows
 from harriertide.lab.rigs.single_broker import BURST, COLD_S, COLD_UNITS, FALL_S, LIMIT
 
 SLACK_UNITS = 6.0  # that a limit may be passed by: one of the largest requests
@@ -21,7 +20,7 @@
 KILL_S = 0.5  # after a process was killed, in which its clients' connections end
 DRAIN_GRACE_S = 0.3  # after a drain was notified, in which a node may still get requests
 MAX_ATTEMPTS = 4
-IDLE_S = 4.0  # after an evacuation, when no connection may rest or carry a late request
+IDLE_S = 4.0  # after an evacuation, when no connection may be idle or carry a late request
 LATE_REQUEST_S = 2.0  # before that moment: requests from here on
 REJOIN_S = 2.0
 CALL_S = 1.0  # for an answer to an operator
@@ -29,8 +28,6 @@
 WARMER_RATIO = 2  # as the node has got warmer, and by its own answers, it serves more than at its start
 FAILED_SHOWN_COUNT = 10
 
-Row = dict[str, Any]
-
 
 @dataclass
 class Verdict:
@@ -38,22 +35,24 @@
 
     requests: int = 0
     lost: int = 0
-    twice: int = 0  # two attempts of one request at work, or more than it may have
-    closed_on: int = 0  # connections that were closed before a request on them was read: the client repeats
+    excess_attempts: int = 0  # of a request that has one open, or has had all that it may have
+    closed_unread: int = 0  # connections closed before a request on them was read: the client repeats it
     over_limit: int = 0
     slow_start_overloads: int = 0
     after_drain: int = 0
-    late_idle: int = 0
-    rejoin_late: int = 0
-    operator_late: int = 0
+    lingering_connections: int = 0
+    late_rejoins: int = 0
+    late_operator_answers: int = 0
     ready_s: list[float] = field(default_factory=list)
     failed: list[str] = field(default_factory=list)
 
     @property
     def broken(self) -> bool:
-        """Whether a rule is broken or a step failed. Connections that were closed on are no fault."""
-        upgrades = self.lost + self.twice + self.over_limit + self.slow_start_overloads + self.after_drain
-        drains = self.late_idle + self.rejoin_late + self.operator_late
+        """Whether a rule is broken or a step failed. Connections that were closed unread are no fault."""
+        upgrades = (
+            self.lost + self.excess_attempts + self.over_limit + self.slow_start_overloads + self.after_drain
+        )
+        drains = self.lingering_connections + self.late_rejoins + self.late_operator_answers
         return bool(upgrades + drains) or bool(self.failed)
 
     @property
@@ -74,15 +73,15 @@
     return int(verdict.broken)
 
 
-def judge(folder: Path) -> Verdict:
+def check_logs(folder: Path) -> Verdict:
     """Check the logs of a run."""
     verdict = Verdict()
     clients, nodes, platform = (
-        list(_read_rows(folder / f"{name}.log")) for name in ("clients", "nodes", "platform")
+        list(read_rows(folder / f"{name}.log")) for name in ("clients", "nodes", "platform")
     )
     _check_answers(verdict, clients, platform)
     _check_attempts(verdict, nodes)
-    _check_closed_on(verdict, clients, nodes, platform)
+    _check_closed_unread(verdict, clients, nodes, platform)
     _check_limit(verdict, nodes)
     _check_slow_start(verdict, nodes, platform)
     _check_drained_nodes(verdict, nodes, platform)
@@ -90,11 +89,6 @@
     return verdict
 
 
-def _read_rows(path: Path) -> Iterator[Row]:
-    for line in path.read_text(encoding="utf-8").splitlines():
-        yield json.loads(line)
-
-
 def _killed_s(platform: list[Row]) -> list[float]:
     return [row["at_s"] for row in platform if row["event"] == "killed"]
 
@@ -110,7 +104,7 @@
                 verdict.requests += 1
                 asked_s[request] = row["at_s"]
             case "crossed":
-                verdict.closed_on += 1
+                verdict.closed_unread += 1
                 asked_s.pop(request)
             case "told":
                 asked_s.pop(request)
@@ -122,20 +116,20 @@
 
 
 def _check_attempts(verdict: Verdict, nodes: list[Row]) -> None:
-    """One attempt of a request is at work at a time, and MAX_ATTEMPTS in all."""
-    made: Counter[str] = Counter()
-    at_work: Counter[str] = Counter()
+    """One attempt of a request is open at a time, and MAX_ATTEMPTS in all."""
+    attempt_counts: Counter[str] = Counter()
+    open_counts: Counter[str] = Counter()
     for row in nodes:
         request = row["request"]
         if row["event"] == "answered":
-            at_work[request] -= 1
+            open_counts[request] -= 1
             continue
-        made[request] += 1
-        at_work[request] += 1
-        verdict.twice += at_work[request] > 1 or made[request] > MAX_ATTEMPTS
+        attempt_counts[request] += 1
+        open_counts[request] += 1
+        verdict.excess_attempts += open_counts[request] > 1 or attempt_counts[request] > MAX_ATTEMPTS
 
 
-def _check_closed_on(verdict: Verdict, clients: list[Row], nodes: list[Row], platform: list[Row]) -> None:
+def _check_closed_unread(verdict: Verdict, clients: list[Row], nodes: list[Row], platform: list[Row]) -> None:
     """A request whose connection was closed before it was read is not forwarded, neither before nor later.
 
     Only one whose process was killed from outside may have been.
@@ -155,15 +149,13 @@
 
 def _check_limit(verdict: Verdict, nodes: list[Row]) -> None:
     """The token bucket of the plan, from the first attempts of its requests."""
-    level, last_s = BURST, 0.0
+    bucket = LimitBucket(LIMIT, BURST)
     seen: set[str] = set()
     for row in nodes:
         if row["event"] != "came" or row["plan"] != "capped" or row["request"] in seen:
             continue
         seen.add(row["request"])
-        level = min(BURST, level + LIMIT * (row["at_s"] - last_s)) - row["units"]
-        last_s = row["at_s"]
-        verdict.over_limit += level < -SLACK_UNITS - LIMIT * LATE_S
+        verdict.over_limit += bucket.take(row["at_s"], row["units"]) < -SLACK_UNITS - LIMIT * LATE_S
 
 
 def _check_slow_start(verdict: Verdict, nodes: list[Row], platform: list[Row]) -> None:
@@ -204,8 +196,8 @@
             case "failed":
                 verdict.failed.append(row["what"])
             case "called":
-                verdict.operator_late += row["status"] == 0 or row["took_s"] > CALL_S
+                verdict.late_operator_answers += row["status"] == 0 or row["took_s"] > CALL_S
             case "open":
-                verdict.late_idle += row["idle"] + row["late"]
+                verdict.lingering_connections += row["idle"] + row["late"]
             case "rejoined":
-                verdict.rejoin_late += row["took_s"] > REJOIN_S
+                verdict.late_rejoins += row["took_s"] > REJOIN_S
--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -27,8 +27,8 @@
     LATE_REQUEST_S,
     REJOIN_S,
     Verdict,
+    check_logs,
     conclude,
-    judge,
 )
 from harriertide.lab.rigs.fault_script import HOST
 from harriertide.lab.rigs.folders import kept_or_temporary
@@ -126,8 +126,9 @@
 def summarize(verdict: Verdict, drains: int) -> str:
     """The counts of a run as one row."""
     return (
-        f"drains {drains} requests {verdict.requests} lost {verdict.lost} late-idle {verdict.late_idle} "
-        f"rejoin-late {verdict.rejoin_late} door-late {verdict.operator_late} failed {len(verdict.failed)}"
+        f"drains {drains} requests {verdict.requests} lost {verdict.lost} "
+        f"late-idle {verdict.lingering_connections} rejoin-late {verdict.late_rejoins} "
+        f"door-late {verdict.late_operator_answers} failed {len(verdict.failed)}"
     )
 
 
@@ -136,5 +137,5 @@
     given: dict[str, Any] = docopt(__doc__ or "", arguments)
     with kept_or_temporary(given["--folder"]) as folder:
         asyncio.run(run_drains(folder, int(given["--seed"]), int(given["--runs"])))
-        verdict = judge(folder)
+        verdict = check_logs(folder)
     return conclude(verdict, summarize(verdict, int(given["--runs"])))
--- a/harriertide/lab/experiments/maintenance.py
+++ b/harriertide/lab/experiments/maintenance.py
@@ -31,7 +31,7 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.engine.clock import until
-from harriertide.lab.checkers.maintenance_checker import Verdict, judge
+from harriertide.lab.checkers.maintenance_checker import Verdict, check_logs
 from harriertide.lab.rigs.fault_player import VERBS, draw
 from harriertide.lab.rigs.fault_script import Fault, load_script
 from harriertide.lab.rigs.folders import kept_or_temporary
@@ -172,11 +172,11 @@
             faults = load_script(script, brokers, VERBS) if script else draw(number, brokers, seconds)
             folder = kept / f"run-{number}"
             groups, _ = asyncio.run(run_orders(folder, number, brokers, nodes, seconds, faults))
-            verdict = judge(folder, groups, AT_ONCE)
+            verdict = check_logs(folder, groups, AT_ONCE)
             total.add(verdict)
-            for row in verdict.rows[:SHOWN_ROWS]:
+            for row in verdict.violations[:SHOWN_ROWS]:
                 print(f"seed {number}: {row}")
             print(f"seed {number}: {verdict.line()}; {len(faults)} faults", file=sys.stderr, flush=True)
     print(total.line())
-    print(f"writes {total.writes}, answered 200: {total.written}")
+    print(f"writes {total.writes}, answered 200: {total.acknowledged_writes}")
     return int(total.broken)
--- a/harriertide/lab/experiments/processes.py
+++ b/harriertide/lab/experiments/processes.py
@@ -31,7 +31,7 @@
 from docopt import docopt
 
 from harriertide.decide.settings import SettingsError
-from harriertide.lab.checkers.limit_checker import Verdict, judge
+from harriertide.lab.checkers.limit_checker import Verdict, check_logs
 from harriertide.lab.rigs.broker_settings import BURST, LIMIT, MAX_REQUEST_UNITS
 from harriertide.lab.rigs.fault_script import Fault, load_script
 from harriertide.lab.rigs.folders import kept_or_temporary
@@ -95,7 +95,7 @@
         rows = [asdict(fault) for fault in faults]
         (folder / "script.json").write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
         asyncio.run(play(folder, brokers, seconds, seed, faults))
-        verdict = judge(folder, seconds)
+        verdict = check_logs(folder, seconds)
     if given["--json"]:
         print(json.dumps({**asdict(verdict), "faults": len(faults)}))
     else:
--- a/harriertide/lab/experiments/upgrades.py
+++ b/harriertide/lab/experiments/upgrades.py
@@ -22,7 +22,7 @@
 from docopt import docopt
 
 from harriertide.decide.settings import SettingsError
-from harriertide.lab.checkers.upgrade_checker import Verdict, conclude, judge
+from harriertide.lab.checkers.upgrade_checker import Verdict, check_logs, conclude
 from harriertide.lab.experiments.upgrade_cases import CASES, SETTLE_S, UpgradeRun
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.single_broker import SingleBrokerRig
@@ -57,8 +57,8 @@
 def summarize(verdict: Verdict, upgrades: int) -> str:
     """The counts of a run as one row."""
     return (
-        f"upgrades {upgrades} requests {verdict.requests} lost {verdict.lost} twice {verdict.twice} "
-        f"not-let-in {verdict.closed_on} over-limit {verdict.over_limit} "
+        f"upgrades {upgrades} requests {verdict.requests} lost {verdict.lost} "
+        f"twice {verdict.excess_attempts} not-let-in {verdict.closed_unread} over-limit {verdict.over_limit} "
         f"cold-falls {verdict.slow_start_overloads} "
         f"after-drain {verdict.after_drain} failed {len(verdict.failed)} ready-p99 {verdict.ready_p99:.2f}"
     )
@@ -81,5 +81,5 @@
     with kept_or_temporary(given["--folder"]) as folder:
         cases = shuffle_cases(int(given["--seed"]), int(given["--runs"]), names)
         asyncio.run(run_cases(folder, int(given["--seed"]), cases))
-        verdict = judge(folder)
+        verdict = check_logs(folder)
     return conclude(verdict, summarize(verdict, len(cases)))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Maintenance with several processes: real sockets, disks and signals, and the judge of their logs."""
+"""Maintenance with several processes: real sockets, disks and signals, and the checker of their logs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def played(
     folder: Path, body: Body, brokers: int = 3, boxes: int = 4, at_once: int = 1, **keys: Any
 ) -> maintenance_checker.Verdict:
-    """A body on a rig that stands and has a leader; what the judge says of it then."""
+    """A body on a rig that stands and has a leader; what the checker finds then."""
 
     async def main() -> None:
         rig = Rig(folder, brokers, boxes, 1, **keys)
@@ -41,9 +41,9 @@
             await rig.close()
 
     asyncio.run(main())
-    found = maintenance_checker.judge(folder, {}, {"fw": at_once, "all": at_once})
-    hard = found.two_at_once + found.late_sends + found.order_differs + found.lost + found.answered_twice
-    assert not hard, found.rows
+    found = maintenance_checker.check_logs(folder, {}, {"fw": at_once, "all": at_once})
+    hard = found.excess_outages + found.late_sends + found.divergences + found.lost + found.repeated_outages
+    assert not hard, found.violations
     return found
 
 
@@ -176,7 +176,7 @@
         load.cancel()
 
     found = played(tmp_path, body)
-    assert found.finished == 1 and found.written > 20
+    assert found.finished == 1 and found.acknowledged_writes > 20
 
 
 def test_cut_off_in_one_direction_for_the_length_of_a_permit(tmp_path: Path) -> None:
@@ -334,7 +334,7 @@
         load.cancel()
 
     found = played(tmp_path, body, brokers=5)
-    assert found.finished == 1 and found.written > 0.6 * found.writes
+    assert found.finished == 1 and found.acknowledged_writes > 0.6 * found.writes
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["code"] for row in rows if row["event"] == "ended"][:5] == [0] * 5  # each ended in order
 
@@ -450,8 +450,8 @@
 def test_a_short_drawn_run_keeps_every_bound(tmp_path: Path) -> None:
     faults = draw(5, 5, 4.0)
     groups, done = asyncio.run(maintenance.run_orders(tmp_path, 5, 5, 6, 4.0, faults))
-    found = maintenance_checker.judge(tmp_path, groups, maintenance.AT_ONCE)
-    assert done and not found.broken, found.rows
+    found = maintenance_checker.check_logs(tmp_path, groups, maintenance.AT_ONCE)
+    assert done and not found.broken, found.violations
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["verb"] for row in rows if row["event"] == "fault"] == [fault.verb for fault in faults]
 
@@ -519,7 +519,7 @@
     assert command(["maintenance", "request", str(file)]) == 2
 
 
-# --- the judge ----------------------------------------------------------------------------------------
+# --- the checker --------------------------------------------------------------------------------------
 
 
 def step(machine: str, phase_: str, fence: int, at: float, order: str = "o") -> dict[str, Any]:
@@ -530,7 +530,7 @@
     agreed = [{"event": "agreed", "order": "o", "machines": ["x1", "x2"], "at": 0.0}]
     for name, rows in (("b1.events", events), ("boxes.log", boxes), ("clients.log", agreed)):
         (folder / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
-    return maintenance_checker.judge(folder, {"x1": "g", "x2": "g"}, {"o": 1})
+    return maintenance_checker.check_logs(folder, {"x1": "g", "x2": "g"}, {"o": 1})
 
 
 PHASES = ("permitted", "draining", "out", "returning", "back")
@@ -539,19 +539,19 @@
 ]
 
 
-def test_the_judge_finds_each_planted_fault(tmp_path: Path) -> None:
+def test_the_checker_finds_each_seeded_fault(tmp_path: Path) -> None:
     came = [{"event": "came", "box": "x1", "at": at} for at in (1.0, 2.9, 4.1)]
     good = logs(tmp_path, GOOD, came)
     assert not good.broken and good.finished == 1 and good.standstill_s == pytest.approx(6.0)
     late = {"event": "came", "box": "x1", "at": 3.5}
     assert logs(tmp_path, GOOD, [late]).late_sends == 1
     beside = [*GOOD[:5], *(step("x2", p, 2, 2.5 + n) for n, p in enumerate(PHASES))]
-    assert logs(tmp_path, beside).two_at_once
-    assert logs(tmp_path, [*GOOD, step("x3", "permitted", 1, 9.0)]).order_differs == 1
+    assert logs(tmp_path, beside).excess_outages
+    assert logs(tmp_path, [*GOOD, step("x3", "permitted", 1, 9.0)]).divergences == 1
     states = [{"event": "applied", "index": 1, "digest": d, "at": 1.0} for d in (5, 6)]
-    assert logs(tmp_path, [*GOOD, *states]).order_differs == 1
+    assert logs(tmp_path, [*GOOD, *states]).divergences == 1
     twice = [*GOOD, *(step("x1", p, 3, 30.0 + n) for n, p in enumerate(PHASES))]
-    assert logs(tmp_path, twice).answered_twice == 1
+    assert logs(tmp_path, twice).repeated_outages == 1
     assert logs(tmp_path, GOOD[:5]).lost == 1
     assert logs(tmp_path, GOOD[:-2]).broken and not logs(tmp_path, GOOD[:-2]).lost  # it never came to its end
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -508,7 +508,7 @@
     for seed in range(first, first + 10):
         verdict = play(seed)
         assert not verdict.broken, f"seed {seed}: {verdict.broken[:3]}"
-        assert verdict.finished == verdict.orders == 2 and verdict.tried > 1_000
+        assert verdict.finished == verdict.orders == 2 and verdict.attempts > 1_000
 
 
 def test_courses_with_brokers_that_only_follow() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The rigs of upgrades and drains: short courses with fixed seeds, and judges that find planted faults."""
+"""The rigs of upgrades and drains: short runs with fixed seeds, and checkers that find seeded faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from harriertide.decide.settings import SettingsError
 from harriertide.lab.benchmarks import operator_calls
-from harriertide.lab.checkers.upgrade_checker import IDLE_S, Verdict, judge
+from harriertide.lab.checkers.upgrade_checker import IDLE_S, Verdict, check_logs
 from harriertide.lab.experiments import drains, upgrade_cases, upgrades
 from harriertide.lab.rigs.clients import PlannedRequest
 from harriertide.lab.rigs.single_broker import BURST, COLD_UNITS, OperatorCall
@@ -33,7 +33,7 @@
     request is lost.
     """
     asyncio.run(upgrades.run_cases(tmp_path, 7, cases))
-    found = judge(tmp_path)
+    found = check_logs(tmp_path)
     assert not found.broken, (upgrades.summarize(found, len(cases)), found.failed)
     assert found.requests > 100
 
@@ -41,7 +41,7 @@
 def test_a_broker_is_drained_under_load_and_comes_back(tmp_path: Path) -> None:
     """A broker is drained and taken back while clients go on: none of their requests is lost."""
     asyncio.run(drains.run_drains(tmp_path, 7, 1))
-    found = judge(tmp_path)
+    found = check_logs(tmp_path)
     assert not found.broken, (drains.summarize(found, 1), found.failed)
     assert found.requests > 100
 
@@ -76,7 +76,7 @@
         upgrades.main(["upgrades", "--cases", "plain,nonsense"][1:])
 
 
-# --- the judges ----------------------------------------------------------------------------------
+# --- the checkers --------------------------------------------------------------------------------
 
 Row = dict[str, Any]
 
@@ -97,7 +97,7 @@
     for name in ("clients", "nodes", "platform"):
         text = "".join(json.dumps(each) + "\n" for each in logs.get(name, []))
         (folder / f"{name}.log").write_text(text, encoding="utf-8")
-    return judge(folder)
+    return check_logs(folder)
 
 
 ASKED = row(1.0, "asked", request="a")
@@ -106,21 +106,24 @@
 CROSSED = row(1.1, "crossed", request="a")
 HEAVY = [came(1 + n / 1000, f"r{n}", 6, "capped") for n in range(int(BURST / 6) + 4)]
 FLOOD = [came(1.1 + n / 1000, f"r{n}", 6) for n in range(int(COLD_UNITS))]
-PLANTED: dict[str, tuple[str, dict[str, list[Row]]]] = {
+SEEDED_FAULTS: dict[str, tuple[str, dict[str, list[Row]]]] = {
     "no answer": ("lost", {"clients": [ASKED]}),
     "an ended connection": ("lost", {"clients": [ASKED, ENDED]}),
     "one killed long before": ("lost", {"clients": [ASKED, ENDED], "platform": [row(0.5, "killed")]}),
-    "a request sent on and closed on": ("lost", {"clients": [ASKED, CROSSED], "nodes": [came(1.05, "a")]}),
-    "one that a killed process's successor sends on": (
+    "a request forwarded and closed unread": (
+        "lost", {"clients": [ASKED, CROSSED], "nodes": [came(1.05, "a")]},
+    ),
+    "one that a killed process's successor forwards": (
         "lost",
         {
             "clients": [ASKED, CROSSED], "nodes": [came(1.05, "a"), answered(1.1, "a"), came(1.3, "a")],
             "platform": [row(1.09, "killed")],
         },
     ),
-    "a second copy": ("twice", {"nodes": [came(1, "a"), came(1.1, "a")]}),
+    "a concurrent attempt": ("excess_attempts", {"nodes": [came(1, "a"), came(1.1, "a")]}),
     "a fifth attempt": (
-        "twice", {"nodes": [each for n in range(5) for each in (came(n, "a"), answered(n + 0.1, "a"))]},
+        "excess_attempts",
+        {"nodes": [each for n in range(5) for each in (came(n, "a"), answered(n + 0.1, "a"))]},
     ),
     "a limit passed": ("over_limit", {"nodes": HEAVY}),
     "a cold node flooded": (
@@ -131,25 +134,25 @@
         "after_drain",
         {"nodes": [came(2, "a")], "platform": [row(1.0, "listed", node="s0", health="draining")]},
     ),
-    "a connection that rests": ("late_idle", {"platform": [row(IDLE_S, "open", idle=1, late=0)]}),
-    "a late request": ("late_idle", {"platform": [row(IDLE_S, "open", idle=0, late=1)]}),
-    "a late rejoin": ("rejoin_late", {"platform": [row(9.0, "rejoined", took_s=2.1)]}),
-    "a late call": ("operator_late", {"platform": [row(1.0, "called", status=200, took_s=1.1)]}),
-    "an unanswered call": ("operator_late", {"platform": [row(1.0, "called", status=0, took_s=0.1)]}),
+    "an idle connection": ("lingering_connections", {"platform": [row(IDLE_S, "open", idle=1, late=0)]}),
+    "a late request": ("lingering_connections", {"platform": [row(IDLE_S, "open", idle=0, late=1)]}),
+    "a late rejoin": ("late_rejoins", {"platform": [row(9.0, "rejoined", took_s=2.1)]}),
+    "a late call": ("late_operator_answers", {"platform": [row(1.0, "called", status=200, took_s=1.1)]}),
+    "an unanswered call": ("late_operator_answers", {"platform": [row(1.0, "called", status=0, took_s=0.1)]}),
     "a step": ("failed", {"platform": [row(1.0, "failed", what="it ended with 1")]}),
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name, logs", PLANTED.values(), ids=PLANTED.keys())
-def test_a_judge_finds_a_planted_fault(name: str, logs: dict[str, list[Row]], tmp_path: Path) -> None:
-    """Each fault that the checkers are there for is planted once: a checker that finds nothing proves
+@pytest.mark.parametrize("name, logs", SEEDED_FAULTS.values(), ids=SEEDED_FAULTS.keys())
+def test_the_checker_finds_a_seeded_fault(name: str, logs: dict[str, list[Row]], tmp_path: Path) -> None:
+    """Each fault that the checkers are there for is seeded once: a checker that finds nothing proves
     nothing.
     """
     found = found_in(tmp_path, **logs)
     assert getattr(found, name) and found.broken
 
 
-def test_judges_find_nothing_in_what_is_right(tmp_path: Path) -> None:
+def test_the_checker_finds_nothing_in_a_correct_run(tmp_path: Path) -> None:
     """A run without a fault, with everything that looks like one: no checker may complain."""
     found = found_in(
         tmp_path,
@@ -170,7 +173,7 @@
             row(2.0, "rejoined", took_s=0.1),
         ],
     )  # fmt: skip
-    assert not found.broken and found.closed_on == 1 and found.ready_p99 == 0.4
+    assert not found.broken and found.closed_unread == 1 and found.ready_p99 == 0.4
 
 
 def test_what_a_killed_process_had_taken_is_not_lost_by_the_broker(tmp_path: Path) -> None:
@@ -186,7 +189,7 @@
         nodes=[came(1.05, "a"), came(1.101, "a-repeat"), answered(1.15, "a"), answered(1.2, "a-repeat")],
         platform=[row(1.09, "killed")],
     )
-    assert not found.broken and found.closed_on == 1
+    assert not found.broken and found.closed_unread == 1
 
 
 def test_a_client_asks_again_under_a_name_of_its_own() -> None:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real brokers, each a process, with faults between them; and the judge, which reads logs only."""
+"""Real brokers, each a process, with faults between them; and the checker, which reads logs only."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     ]  # fmt: skip
     seconds = 9.0
     asyncio.run(processes.play(tmp_path, 3, seconds, 1, faults))
-    found = limit_checker.judge(tmp_path, seconds)
+    found = limit_checker.check_logs(tmp_path, seconds)
     assert not found.broken
     assert found.used > 0.35 and found.told[200] > 50  # a busy machine may make it less; the rest is a rule
     rows = [json.loads(line) for line in (tmp_path / "clients.log").read_text().splitlines()]
@@ -37,27 +37,27 @@
 def logs(folder: Path, box: list[Any], clients: list[Any]) -> limit_checker.Verdict:
     for name, rows in (("box", box), ("clients", clients)):
         (folder / f"{name}.log").write_text("".join(json.dumps(row) + "\n" for row in rows))
-    return limit_checker.judge(folder, 10.0)
+    return limit_checker.check_logs(folder, 10.0)
 
 
 def came(request: str, at_s: float, units: float = 3.0) -> dict[str, Any]:
     return {"event": "came", "request": request, "units": units, "at_s": at_s}
 
 
-def test_the_judge_finds_each_planted_fault(tmp_path: Path) -> None:
+def test_the_checker_finds_each_seeded_fault(tmp_path: Path) -> None:
     good = [came(f"r{i}", 1.0 + i * 0.15) for i in range(50)]
     asked = [{"event": "asked", "request": f"r{i}", "broker": 0, "at_s": 1.0} for i in range(50)]
     told = [{"event": "told", "request": f"r{i}", "status": 200, "at_s": 2.0} for i in range(50)]
     assert not logs(tmp_path, good, asked + told).broken
     burst = [came(f"x{i}", 9.0, 1.0) for i in range(60)]
-    plants = {
+    seeded_faults = {
         "store": (good + burst, asked + told),
         "came 5 times": (good + [came("r1", 9.0)] * 4, asked + told),
         "told twice": (good, asked + told + told[:1]),
         "served by no box": (good[1:], asked + told),
         "told nothing": (good, asked + told[1:]),
     }
-    for word, (box, clients) in plants.items():
+    for word, (box, clients) in seeded_faults.items():
         assert [word in line for line in logs(tmp_path, box, clients).broken] == [True], word
 
 
