--- a/harriertide/lab/checkers/fleet_checker.py
+++ b/harriertide/lab/checkers/fleet_checker.py
@@ -40,14 +40,15 @@
         return is_there and attempt.began_s < self.ended_s and attempt.ended_s > self.began_s
 
 
-def check_fleet(fleet: Fleet, finished: bool) -> Verdict:
+def check_fleet(fleet: Fleet, order_count: int, finished: bool) -> Verdict:
     """Check what brokers wrote, and the attempts that they made.
 
+    :param order_count: orders that were agreed on
     :param finished: whether all orders came to their end
     """
     verdict = Verdict(
-        orders=len(fleet.agreed_orders),
-        finished=len(fleet.agreed_orders) * finished,
+        orders=order_count,
+        finished=order_count * finished,
         attempts=len(fleet.attempts),
     )
     steps = StepHistory()
--- a/harriertide/lab/experiments/fleet_run.py
+++ b/harriertide/lab/experiments/fleet_run.py
@@ -11,6 +11,7 @@
 from harriertide.lab.checkers.fleet_checker import Verdict, check_fleet
 from harriertide.lab.simulation import virtual_time
 from harriertide.lab.simulation.maintenance_fleet import Fleet
+from harriertide.lab.simulation.maintenance_operators import Operators
 from harriertide.maintenance.orders import Order
 
 FAULTS = ("kill", "kill", "cut", "apart", "lost", "jump", "all", "lose-disk", "pause")
@@ -89,21 +90,23 @@
 async def run_fleet(seed: int, brokers: int, voters: int, nodes: int, seconds: float) -> Verdict:
     """Run a fleet under faults for so long, heal it, and check it at its end."""
     fleet = Fleet(seed, brokers, voters, nodes)
+    operators = Operators(fleet)
     loop, random = asyncio.get_running_loop(), Random(seed)
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
     orders = [Order("boxes", tuple(fleet.nodes), "restart", 0.3, at_once=2)]
     if voters > 3:
         orders.append(Order("brokers", tuple(fleet.names[:voters]), "restart", 1.0))
-    requests = [loop.create_task(fleet.request(order)) for order in orders]
+    requests = [loop.create_task(operators.submit(order)) for order in orders]
     end_s = loop.time() + seconds
-    work = loop.create_task(fleet.operate(end_s + FINISH_S))
+    work = loop.create_task(operators.confirm_steps(end_s + FINISH_S))
     faults = DrawnFaults(fleet, random, voters)
     while loop.time() < end_s:
         await until(loop.time() + random.uniform(0.3, 2.0))
         await faults.play_one()
     faults.heal()
     await asyncio.gather(*requests)
-    verdict = check_fleet(fleet, await work)
+    finished = await work
+    verdict = check_fleet(fleet, len(operators.agreed_orders), finished)
     await fleet.kill_all()
     return verdict
 
--- a/harriertide/lab/experiments/limits.py
+++ b/harriertide/lab/experiments/limits.py
@@ -19,7 +19,7 @@
 
 from docopt import docopt
 
-from harriertide.lab.simulation.shared_limit import SECOND, SharedLimitSimulation, allowed_units
+from harriertide.lab.simulation.shared_limit import SECOND_US, SharedLimitSimulation, allowed_units
 
 CASES = ((3, [0, 1, 2]), (4, [1, 3]), (5, [0, 2, 4]), (8, [5, 6, 7]))  # brokers, and which of them share
 RATE = 50.0  # requests a second: five times the limit
@@ -34,15 +34,15 @@
     :returns: the part of the limit that was used after the deaths, and the lowest level of its token bucket
     """
     simulation = SharedLimitSimulation(brokers, sharing, seed, loss_ratio)
-    simulation.run(TURN_S * SECOND, sharing[0], RATE)
+    simulation.run(TURN_S * SECOND_US, sharing[0], RATE)
     simulation.stop(next(broker for broker in range(brokers) if broker not in sharing[:2]))
-    simulation.run(SECOND, sharing[0], RATE)
+    simulation.run(SECOND_US, sharing[0], RATE)
     simulation.start(sharing[1])
     sent_before = simulation.sent_units
     turns = seconds // TURN_S
     for turn in range(turns):
-        simulation.run(TURN_S * SECOND, sharing[turn % 2], RATE)
-    used = (simulation.sent_units - sent_before) / allowed_units(turns * TURN_S * SECOND)
+        simulation.run(TURN_S * SECOND_US, sharing[turn % 2], RATE)
+    used = (simulation.sent_units - sent_before) / allowed_units(turns * TURN_S * SECOND_US)
     return used, simulation.lowest_level
 
 
--- a/harriertide/lab/simulation/memory_parts.py
+++ b/harriertide/lab/simulation/maintenance_stand_ins.py
@@ -1,4 +1,4 @@
-"""What stands for disks, network, requests and logs of a broker whose maintenance runs in virtual time."""
+"""Stand-ins for the disks, network, requests and logs of a broker whose maintenance runs in virtual time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from harriertide.decide import api
 from harriertide.lab.simulation.durable_state import after_write
 
-LONGEST_ATTEMPT_S = 0.3
+MAX_ATTEMPT_S = 0.3
 
 
 class MemoryDisk:
@@ -20,7 +20,7 @@
 
     def __init__(self, name: str) -> None:
         self.disk = name
-        self.restored = ev.RestoredState()  # what a start finds on it
+        self.restored = ev.RestoredState()  # what a start finds
 
     def write(self, works: list[ev.Persist]) -> None:
         """Write all of these."""
@@ -32,17 +32,17 @@
 
 
 class MemoryNetwork(Protocol):
-    """Carries payloads between brokers, as the fleet's links are now."""
+    """Carries payloads between brokers, as long as the links between them are not cut."""
 
     def connect(self, name: str, carrier: MemoryCarrier) -> None:
-        """A process listens under this name."""
+        """Register the process that listens under this name."""
 
     def transmit(self, sender: str, receiver: str, payload: bytes) -> None:
-        """Deliver it late, or never."""
+        """Deliver a payload late, or never."""
 
 
 class MemoryCarrier:
-    """One broker's way to the others."""
+    """The carrier of one broker, in place of its transport."""
 
     def __init__(self, network: MemoryNetwork, name: str, on_payload: Callable[[bytes], bool]) -> None:
         self._network = network
@@ -52,7 +52,7 @@
         self.counts: Counter[str] = Counter()
 
     async def listen(self, address: tuple[str, int]) -> int:
-        """Hear others from now on."""
+        """Receive payloads of others from now on."""
         self.is_open = True
         self._network.connect(self._name, self)
         return address[1]
@@ -70,15 +70,15 @@
             self._on_payload(payload)
 
     async def close(self) -> None:
-        """Hear and say nothing any more."""
+        """Stop receiving and sending."""
         self.is_open = False
 
 
 class StandInCore:
-    """In place of a reducer: counts attempts that are open at nodes."""
+    """Stands in for a reducer: counts attempts that are open at nodes."""
 
     def __init__(self) -> None:
-        request_class = api.RequestClass(100_000, int(LONGEST_ATTEMPT_S * 1_000_000))
+        request_class = api.RequestClass(100_000, int(MAX_ATTEMPT_S * 1_000_000))
         self.settings = api.Settings(
             broker_index=0,
             broker_count=1,
@@ -97,7 +97,7 @@
         self.is_ready = is_ready
 
     def may_send(self, node: str) -> bool:
-        """Whether a request may be sent to a node now, by the rule that is asked right before a write."""
+        """Whether a request may be sent to a node now, by the check that runs right before a write."""
         assert self.is_barred is not None
         return self.is_ready and not self.is_barred(node)
 
@@ -124,7 +124,7 @@
 
 
 class StandInNodes:
-    """In place of the object front."""
+    """Stands in for the object front."""
 
     def __init__(self, state: State) -> None:
         self.state = state
@@ -134,7 +134,7 @@
 
 
 class MemoryEvents:
-    """In place of a log of events: rows in memory, with the broker's name."""
+    """Stands in for an event log: rows in memory, with the broker's name."""
 
     def __init__(self, rows: list[dict[str, Any]], name: str) -> None:
         self._rows = rows
--- a/harriertide/lab/simulation/memory_network.py
+++ b/harriertide/lab/simulation/memory_network.py
@@ -1,6 +1,6 @@
 """A network in memory, for programs in virtual time: connections, datagrams and listeners without sockets.
 
-Transports take the place of asyncio's, and are called by the protocols that use them as those are.
+Its transports have asyncio's interface, and the same protocols run on them.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
     def __init__(
         self,
-        delay: Callable[[Address, Address], float] = lambda here, there: 0.0,
-        loses: Callable[[Address, Address], bool] = lambda here, there: False,
+        delay: Callable[[Address, Address], float] = lambda local, remote: 0.0,
+        loses: Callable[[Address, Address], bool] = lambda local, remote: False,
     ) -> None:
         self.delay = delay
         self.loses = loses
@@ -42,22 +42,22 @@
 
 
 class MemoryConnection(asyncio.Transport):
-    """One side of a connection. What is written arrives in order after the network's delay.
+    """One end of a connection. What is written arrives in order after the network's delay.
 
-    On its way, and until it is read, b"" is an end and None an abrupt end.
+    In transit, and until it is read, b"" stands for the end of the stream and None for a reset.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, network: Network, here: Address, there: Address
+        self, loop: asyncio.AbstractEventLoop, network: Network, local: Address, remote: Address
     ) -> None:
         super().__init__()
         self._loop = loop
         self._network = network
-        self._here = here
-        self._there = there
+        self._local = local
+        self._remote = remote
         self._peer: MemoryConnection | None = None
         self._protocol: Any = None
-        self._arriving: deque[tuple[float, bytes | None]] = deque()  # when, and what
+        self._arriving: deque[tuple[float, bytes | None]] = deque()  # in transit: arrival time, data
         self._unread: deque[bytes | None] = deque()  # arrived while reading was paused
         self._is_paused = False
         self._is_closing = False
@@ -65,21 +65,21 @@
         self._is_lost = False
 
     def start(self, protocol: Any, peer: MemoryConnection) -> None:
-        """Hand it to the protocol that uses it.
+        """Attach the protocol that uses it.
 
-        :param peer: the other side
+        :param peer: the other end
         """
         self._peer = peer
         self._protocol = protocol
         protocol.connection_made(self)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Return an address, or a check for unread bytes or the other side's end; there is no socket."""
+        """Return an address, or a check for unread bytes or the end of the peer's stream."""
         checks = {"unread": self._has_unread, "ended": self._is_ended_by_peer}
-        return {"peername": self._there, "sockname": self._here, **checks}.get(name, default)
+        return {"peername": self._remote, "sockname": self._local, **checks}.get(name, default)
 
     def _is_ended_by_peer(self) -> bool:
-        """Whether the other side's end has come, maybe behind bytes that were not read."""
+        """Whether the end of the peer's stream has arrived, perhaps behind unread bytes."""
         now_s = self._loop.time()
         arrived = [data for at_s, data in self._arriving if at_s <= now_s]
         return not all([*self._unread, *arrived])
@@ -91,7 +91,8 @@
 
     def _send(self, data: bytes | None) -> None:
         if self._peer is not None:
-            self._peer.expect(self._loop.time() + self._network.delay(self._here, self._there), data)
+            at_s = self._loop.time() + self._network.delay(self._local, self._remote)
+            self._peer.schedule_arrival(at_s, data)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Send bytes."""
@@ -99,7 +100,7 @@
             self._send(bytes(data))
 
     def write_eof(self) -> None:
-        """Send an end, and go on reading."""
+        """End the stream that is sent; reading continues."""
         if not (self._is_closing or self._has_sent_end):
             self._has_sent_end = True
             self._send(b"")
@@ -109,35 +110,35 @@
         return True
 
     def get_write_buffer_size(self) -> int:
-        """Return 0: all that is written is out at once."""
+        """Return 0: nothing that is written stays in a buffer."""
         return 0
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Do nothing: all that is written is out at once."""
+        """Do nothing: nothing that is written stays in a buffer."""
 
     def is_closing(self) -> bool:
         """Whether it is closed, or about to be."""
         return self._is_closing
 
     def close(self) -> None:
-        """Send an end, and close."""
+        """End the stream that is sent, and close."""
         if not self._is_closing:
             if not self._has_sent_end:
                 self._send(b"")
             self._is_closing = True
-            self._loop.call_soon(self._lose, None)
+            self._loop.call_soon(self._report_lost, None)
 
     def abort(self) -> None:
-        """Close at once; the other side sees a reset where bytes lie here unread."""
+        """Close at once; the peer sees a reset where bytes are unread here."""
         if not self._is_closing:
             self._send(None if self._has_unread() else b"")
             self._is_closing = True
-            self._loop.call_soon(self._lose, None)
+            self._loop.call_soon(self._report_lost, None)
 
     # --- receiving ------------------------------------------------------------------------------------
 
-    def expect(self, at_s: float, data: bytes | None) -> None:
-        """The other side has sent something, which arrives at that time, or behind what is on its way."""
+    def schedule_arrival(self, at_s: float, data: bytes | None) -> None:
+        """The peer has sent something, which arrives at that time, or behind what is in transit."""
         if self._arriving:
             at_s = max(at_s, self._arriving[-1][0])
         self._arriving.append((at_s, data))
@@ -147,20 +148,20 @@
             self._loop.call_at(at_s, self._arrive)
 
     def pause_reading(self) -> None:
-        """Keep what arrives."""
+        """Buffer what arrives."""
         self._is_paused = True
 
     def resume_reading(self) -> None:
-        """Hand on what was kept."""
+        """Hand what was buffered to the protocol."""
         self._is_paused = False
         self._loop.call_soon(self._read)
 
     def is_reading(self) -> bool:
-        """Whether what arrives is handed on."""
+        """Whether what arrives is handed to the protocol."""
         return not (self._is_paused or self._is_closing)
 
     def set_protocol(self, protocol: Any) -> None:
-        """Hand what arrives to this one."""
+        """Replace the protocol that uses it."""
         self._protocol = protocol
 
     def get_protocol(self) -> Any:
@@ -176,37 +177,37 @@
             data = self._unread.popleft()
             if data is None:
                 self._is_closing = True
-                self._loop.call_soon(self._lose, ConnectionResetError("reset by peer"))
+                self._loop.call_soon(self._report_lost, ConnectionResetError("reset by peer"))
             elif data:
                 self._protocol.data_received(data)
             elif not self._protocol.eof_received():
                 self.close()
 
-    def _lose(self, fault: Exception | None) -> None:
+    def _report_lost(self, error: Exception | None) -> None:
         if not self._is_lost:
             self._is_lost = True
-            self._protocol.connection_lost(fault)
+            self._protocol.connection_lost(error)
 
 
 class MemoryDatagrams(asyncio.DatagramTransport):
-    """An address for datagrams. What is sent to nobody is lost."""
+    """A datagram socket. What is sent to an address that nobody has bound is lost."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, network: Network, here: Address, protocol: Any
+        self, loop: asyncio.AbstractEventLoop, network: Network, local: Address, protocol: Any
     ) -> None:
         super().__init__()
         self._loop = loop
         self._network = network
-        self._here = here
+        self._local = local
         self._protocol = protocol
         self._is_closing = False
 
     def sendto(self, data: Any, addr: Any = None) -> None:
         """Send a datagram, which may be lost."""
         receiver = self._network.datagrams.get(addr)
-        if receiver is not None and not self._network.loses(self._here, addr):
-            at_s = self._loop.time() + self._network.delay(self._here, addr)
-            self._loop.call_at(at_s, receiver.receive, bytes(data), self._here)
+        if receiver is not None and not self._network.loses(self._local, addr):
+            at_s = self._loop.time() + self._network.delay(self._local, addr)
+            self._loop.call_at(at_s, receiver.receive, bytes(data), self._local)
 
     def receive(self, data: bytes, sender: Address) -> None:
         """Hand a datagram to the protocol."""
@@ -217,9 +218,9 @@
         return self._is_closing
 
     def close(self) -> None:
-        """Receive nothing any more."""
+        """Stop receiving."""
         self._is_closing = True
-        if self._network.datagrams.pop(self._here, None) is not None:
+        if self._network.datagrams.pop(self._local, None) is not None:
             self._loop.call_soon(self._protocol.connection_lost, None)
 
     def abort(self) -> None:
@@ -228,11 +229,11 @@
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """Return its address; there is no socket."""
-        return {"sockname": self._here}.get(name, default)
+        return {"sockname": self._local}.get(name, default)
 
 
 class _NamedSocket:
-    """In place of a listening socket: its address."""
+    """Stands in for a listening socket: it has an address only."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
@@ -254,14 +255,14 @@
         self.sockets = (_NamedSocket(address),)
 
     def close(self) -> None:
-        """Take no connections any more; those that were taken go on."""
+        """Stop accepting connections; those that were accepted stay open."""
         self._network.listeners.pop(self._address, None)
         if self._bound is not None:
             self._bound.close()
 
     async def wait_closed(self) -> None:
-        """Do nothing: connections that were taken go on."""
+        """Do nothing: accepted connections stay open."""
 
     def is_serving(self) -> bool:
-        """Whether it takes connections."""
+        """Whether it accepts connections."""
         return self._address in self._network.listeners
--- a/harriertide/lab/simulation/shared_limit.py
+++ b/harriertide/lab/simulation/shared_limit.py
@@ -8,22 +8,25 @@
 from harriertide.decide import api
 from harriertide.decide.scheduler import Scheduler
 
-SECOND = 1_000_000  # microseconds
-START_US = 50 * SECOND
+SECOND_US = 1_000_000
+START_US = 50 * SECOND_US
 STEP_US = 2_000  # of the simulation
 BUSIEST_RATIO = 0.9  # of the requests come through one broker
 UNITS = (1, 2, 2, 3)  # of requests, drawn evenly
 SHORTEST_DELAY_US, LONGEST_DELAY_US = 1_400, 35_000  # of a message between brokers
-DOUBLED_RATIO = 0.05  # of messages
+DUPLICATE_RATIO = 0.05  # of messages
 ATTEMPT_US = 10_000  # until the node answers
-IDLE_TURNS = 5  # an idle broker is asked on one of so many turns
+IDLE_INTERVAL_STEPS = 5  # a broker without events decides on about one of so many
 PLANS = (api.Plan(rate_limit=20.0, burst_limit_units=24.0, priority_factor=1.0),)
 SETTINGS = api.Settings(
     broker_index=0,
     broker_count=1,
     classes=(
         api.RequestClass(
-            latency_objective_us=300_000, deadline_us=2 * SECOND, priority_weight=2, late_priority_weight=0.2
+            latency_objective_us=300_000,
+            deadline_us=2 * SECOND_US,
+            priority_weight=2,
+            late_priority_weight=0.2,
         ),
     ),
     plans=PLANS,
@@ -43,12 +46,12 @@
 
 
 class SharedLimitSimulation:
-    """Brokers that tell each other late, with losses and doubles, and one node that answers at once.
+    """Brokers whose messages to each other are late, lost or duplicated, and one node that answers at once.
 
     A volume's requests come through some of them, nearly all through the busiest. The token bucket of its
-    limit is kept here beside them, as the rule words it. cut_off: brokers that neither hear nor reach any
-    other.
+    limit is kept here beside them, as the rule words it.
 
+    :ivar cut_off: brokers that are partitioned from all others
     :param brokers: how many
     :param sharing: indexes of those through which the volume's requests come
     :param loss_ratio: of messages between brokers
@@ -60,7 +63,7 @@
         self._loss_ratio = loss_ratio
         self._random = Random(seed)
         self._now_us = START_US
-        self._count = 0  # of all that was started, offered or done
+        self._count = 0  # of brokers started, requests offered and actions carried out
         self._due: list[list[_DueEvent]] = [[] for _ in range(brokers)]
         self._schedulers: list[Scheduler | None] = [None] * brokers
         self._level = PLANS[0].burst_limit_units
@@ -72,7 +75,7 @@
             self.start(broker)
 
     def start(self, broker: int) -> None:
-        """Start a broker anew, with the cached endpoint list."""
+        """Start a broker, or restart it, with the cached endpoint list."""
         self._count += 1
         settings = replace(SETTINGS, broker_index=broker, broker_count=len(self._schedulers))
         self._schedulers[broker] = Scheduler(settings, self._seed * 1000 + self._count)
@@ -80,7 +83,7 @@
         self._due[broker] = [_DueEvent(self._now_us, self._count, update)]
 
     def stop(self, broker: int) -> None:
-        """End a broker for good."""
+        """Stop a broker, which is not started again."""
         self._schedulers[broker] = None
 
     def run(self, duration_us: int, busiest: int, rate: float) -> None:
@@ -92,9 +95,9 @@
         end_us = self._now_us + duration_us
         while self._now_us < end_us:
             self._now_us += STEP_US
-            refill = PLANS[0].rate_limit * (STEP_US / SECOND)
+            refill = PLANS[0].rate_limit * (STEP_US / SECOND_US)
             self._level = min(PLANS[0].burst_limit_units, self._level + refill)
-            if self._random.random() < rate * (STEP_US / SECOND):
+            if self._random.random() < rate * (STEP_US / SECOND_US):
                 self._offer(busiest)
             for broker, scheduler in enumerate(self._schedulers):
                 if scheduler is not None:
@@ -113,16 +116,16 @@
             plan=0,
             volume="v",
             shard=0,
-            deadline_at_us=self._now_us + SECOND,
+            deadline_at_us=self._now_us + SECOND_US,
             units=units,
             sharing_broker_count=len(self._sharing),
         )
         self._due[broker].append(_DueEvent(self._now_us, self._count, arrival))
 
     def _decide(self, broker: int, scheduler: Scheduler) -> None:
-        """Hand a broker what is due, and now and then nothing: its timers are asked too."""
+        """Hand a broker the events that are due, and now and then none, for its timers."""
         due = sorted(each for each in self._due[broker] if each.at_us <= self._now_us)
-        if not due and self._count % IDLE_TURNS != broker % IDLE_TURNS:
+        if not due and self._count % IDLE_INTERVAL_STEPS != broker % IDLE_INTERVAL_STEPS:
             return
         self._due[broker] = [each for each in self._due[broker] if each.at_us > self._now_us]
         for action in scheduler.decide(self._now_us, [each.event for each in due]):
@@ -138,9 +141,9 @@
 
     def _send(self, broker: int, message: api.SendPeerMessage) -> None:
         is_kept = self._random.random() >= self._loss_ratio
-        is_doubled = self._random.random() < DOUBLED_RATIO
+        is_duplicated = self._random.random() < DUPLICATE_RATIO
         received = api.PeerMessageReceived(broker, message.body)
-        for _ in range(is_kept + is_doubled):
+        for _ in range(is_kept + is_duplicated):
             at_us = self._now_us + self._random.randrange(SHORTEST_DELAY_US, LONGEST_DELAY_US)
             self._due[message.recipient_index].append(_DueEvent(at_us, self._count, received))
 
@@ -156,4 +159,4 @@
 
 def allowed_units(duration_us: int) -> float:
     """Return the units that the limit lets through in this time."""
-    return PLANS[0].rate_limit * duration_us / SECOND
+    return PLANS[0].rate_limit * duration_us / SECOND_US
--- a/harriertide/lab/simulation/virtual_time.py
+++ b/harriertide/lab/simulation/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock moves only when nothing is left to do, on a network in memory.
+"""An event loop in virtual time, on a network in memory: its clock jumps to the next timer once all is idle.
 
 The whole program runs on it unchanged, its HTTP included: minutes pass in seconds, and one seed gives one
-run. Nothing leaves the process. What is bound to an address here is found here only.
+run. Nothing leaves the process: an address that is bound here can be reached from this loop only.
 """
 
 from __future__ import annotations
@@ -24,34 +24,34 @@
 )
 
 T = TypeVar("T")
-WALL_US = 1_700_000_000_000_000  # the wall clock at the begin of a run, in Unix microseconds
+WALL_US = 1_700_000_000_000_000  # the wall clock at the start of a run, in Unix microseconds
 
 
-class NothingLeftError(RuntimeError):
-    """All tasks wait for something that can't happen any more."""
+class DeadlockError(RuntimeError):
+    """All tasks wait, and no timer is set that could wake one."""
 
 
 class _VirtualClock(selectors.SelectSelector):
-    """In place of waiting for sockets it moves the time on."""
+    """A selector that advances the clock to the next timer in place of waiting for sockets."""
 
     now_ns = 1_000_000_000
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise NothingLeftError("no timer is set and nothing is ready")
+            raise DeadlockError("no timer is set and nothing is ready")
         if timeout > 0:
             self.now_ns += ceil(timeout * 1e9)
         return []
 
 
 class _Timer(asyncio.TimerHandle):
-    """Of several at one moment the one set first goes first; a heap alone would take any of them."""
+    """Ordered by time, then by the order in which timers were set, which a heap alone does not keep."""
 
-    __slots__ = ("place",)
-    place: int
+    __slots__ = ("sequence_number",)
+    sequence_number: int
 
     def __lt__(self, other: _Timer) -> bool:  # type: ignore[override]
-        return (self.when(), self.place) < (other.when(), other.place)
+        return (self.when(), self.sequence_number) < (other.when(), other.sequence_number)
 
 
 class Loop(asyncio.SelectorEventLoop):
@@ -60,7 +60,7 @@
     def __init__(self, network: Network | None = None) -> None:
         self._clock = _VirtualClock()
         self.network = network or Network()
-        self._dialled: dict[int, Address] = {}  # by descriptor of a socket that connects
+        self._connected_to: dict[int, Address] = {}  # by descriptor of a socket
         self._timer_count = 0
         super().__init__(self._clock)
 
@@ -74,7 +74,7 @@
         """Call at a time of this loop; calls for one moment come in the order in which they were set."""
         timer = _Timer(when, callback, args, self, context)
         self._timer_count += 1
-        timer.place = self._timer_count
+        timer.sequence_number = self._timer_count
         # asyncio offers no way to order timers: this is what its own call_at does.
         heappush(self._scheduled, timer)  # type: ignore[attr-defined]
         timer._scheduled = True  # type: ignore[attr-defined]  # noqa: SLF001
@@ -96,9 +96,9 @@
         return MemoryServer(self.network, at, bound)
 
     async def sock_connect(self, sock: Any, address: Any) -> None:
-        """Remember where a socket was connected to: create_connection takes it from there."""
-        await self._reach(address[:2])
-        self._dialled[sock.fileno()] = address[:2]
+        """Remember the address for create_connection, which is handed the socket."""
+        await self._wait_for_handshake(address[:2])
+        self._connected_to[sock.fileno()] = address[:2]
 
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **named: Any
@@ -106,29 +106,32 @@
         """Connect to a listener in memory."""
         bound: socket.socket | None = named.get("sock")
         if bound is None:
-            there = (host, port)
-            await self._reach(there)
+            remote = (host, port)
+            await self._wait_for_handshake(remote)
         else:
-            there = self._dialled.pop(bound.fileno())
+            remote = self._connected_to.pop(bound.fileno())
             bound.close()
-        factory = self.network.listeners.get(there)
+        factory = self.network.listeners.get(remote)
         if factory is None:
-            raise ConnectionRefusedError(111, "nobody listens there")
-        here = self.network.address("127.0.0.1", 0)
-        near = MemoryConnection(self, self.network, here, there)
-        far = MemoryConnection(self, self.network, there, here)
-        far.start(factory(), near)
+            raise ConnectionRefusedError(111, "connection refused")
+        local = self.network.address("127.0.0.1", 0)
+        client = MemoryConnection(self, self.network, local, remote)
+        server = MemoryConnection(self, self.network, remote, local)
+        server.start(factory(), client)
         protocol = protocol_factory()
-        near.start(protocol, far)
-        return near, protocol
-
-    async def _reach(self, there: Address) -> None:
-        """There and back."""
-        trip_s = 2 * self.network.delay(("127.0.0.1", 0), there)
-        if trip_s > 0:
-            await asyncio.sleep(trip_s)
-        if there not in self.network.listeners:
-            raise ConnectionRefusedError(111, "nobody listens there")
+        client.start(protocol, server)
+        return client, protocol
+
+    async def _wait_for_handshake(self, remote: Address) -> None:
+        """Wait one round trip.
+
+        :raises ConnectionRefusedError: nobody listens at that address
+        """
+        round_trip_s = 2 * self.network.delay(("127.0.0.1", 0), remote)
+        if round_trip_s > 0:
+            await asyncio.sleep(round_trip_s)
+        if remote not in self.network.listeners:
+            raise ConnectionRefusedError(111, "connection refused")
 
     async def create_datagram_endpoint(  # type: ignore[override]
         self, protocol_factory: Any, local_addr: Any = None, **named: Any
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -23,6 +23,7 @@
 from harriertide.lab.experiments.fleet_run import play
 from harriertide.lab.simulation import virtual_time
 from harriertide.lab.simulation.maintenance_fleet import Fleet
+from harriertide.lab.simulation.maintenance_operators import Operators
 from harriertide.maintenance import confirmations, send_gate
 from harriertide.maintenance.capacity import available_units
 from harriertide.maintenance.commands import (
@@ -539,10 +540,12 @@
 
 
 async def split(known: bool) -> Verdict:
-    """Two of five brokers are cut off; an order is asked for at both sides, and what is out at one is
-    served by
-    the other all the same. known: as it is; else out is said without knowing that all know."""
+    """Two of five brokers are partitioned from the others, and an order is submitted on each side.
+
+    :param known: False: a node counts as out without knowing that all brokers know
+    """
     fleet = Fleet(3, 5, 5, 6)
+    operators = Operators(fleet)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
     await until(loop.time() + 3.0)
@@ -550,10 +553,10 @@
     fleet.cut_links |= fleet.links_between(side)
     zone = tuple(fleet.nodes[:4])
     asked = [
-        loop.create_task(fleet.request(Order("one", zone, "restart", 0.2), by="b1")),
-        loop.create_task(fleet.request(Order("two", zone, "restart", 0.2), by="b5", within_s=40.0)),
+        loop.create_task(operators.submit(Order("one", zone, "restart", 0.2), broker="b1")),
+        loop.create_task(operators.submit(Order("two", zone, "restart", 0.2), broker="b5", within_s=40.0)),
     ]
-    work = loop.create_task(fleet.operate(loop.time() + 60.0))
+    work = loop.create_task(operators.confirm_steps(loop.time() + 60.0))
     tried = len(fleet.attempts)
     await until(loop.time() + 6.0)
     lone = fleet.services["b5"]
@@ -571,7 +574,7 @@
     fleet.cut_links.clear()
     await asyncio.gather(*asked)
     finished = await work
-    verdict = check_fleet(fleet, finished)
+    verdict = check_fleet(fleet, len(operators.agreed_orders), finished)
     await fleet.kill_all()
     return verdict
 
@@ -589,6 +592,7 @@
 async def many() -> tuple[Verdict, dict[str, float], int]:
     """200 brokers in four zones, one of them away for 5 s, an order under way."""
     fleet = Fleet(1, 200, 5, 16, zones=4, load_s=0.5, lease_ms=3_000)
+    operators = Operators(fleet)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
     await until(loop.time() + 6.0)
@@ -596,15 +600,16 @@
     sent = {name: carrier.counts["frames_out"] for name, carrier in fleet.carriers.items()}
     await until(loop.time() + 1.0)
     rates = {name: carrier.counts["frames_out"] - sent[name] for name, carrier in fleet.carriers.items()}
-    assert await fleet.request(Order("fw", tuple(fleet.nodes[:6]), "restart", 0.3, at_once=3))
-    work = loop.create_task(fleet.operate(loop.time() + 60.0))
+    assert await operators.submit(Order("fw", tuple(fleet.nodes[:6]), "restart", 0.3, at_once=3))
+    work = loop.create_task(operators.confirm_steps(loop.time() + 60.0))
     await until(loop.time() + 0.5)
     away = {name for name in fleet.names if fleet.zone[name] == "z3"}
     links = fleet.links_between(away)
     fleet.cut_links |= links
     await until(loop.time() + 5.0)
     fleet.cut_links -= links
-    verdict = check_fleet(fleet, await work)
+    finished = await work
+    verdict = check_fleet(fleet, len(operators.agreed_orders), finished)
     await fleet.kill_all()
     return verdict, rates, leased
 
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -100,7 +100,7 @@
     async def never() -> None:
         await asyncio.Event().wait()
 
-    with pytest.raises(virtual_time.NothingLeftError):
+    with pytest.raises(virtual_time.DeadlockError):
         virtual_time.run(never())
 
 
