--- a/harriertide/lab/experiments/consensus_check.py
+++ b/harriertide/lab/experiments/consensus_check.py
@@ -28,8 +28,8 @@
 from docopt import docopt
 
 from harriertide.decide.settings import SettingsError
-from harriertide.lab.cluster import run_simulation
 from harriertide.lab.model_checker.scenarios import SEARCHES, SEEDED_BUG_SEARCHES, search
+from harriertide.lab.raft_simulation.run import run_simulation
 
 SHORT_STATE_LIMIT = 20_000
 SHORT_RUN_COUNT = 60
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Maintenance with several processes: real sockets, disks and signals, and the judge of their logs."""
+"""Maintenance with several processes: real sockets, disks and signals, and the checker of their logs."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
             await rig.close()
 
     asyncio.run(main())
-    found = maintenance_checker.judge(folder, {}, {"fw": at_once, "all": at_once})
-    hard = found.two_at_once + found.late_sends + found.order_differs + found.lost + found.answered_twice
-    assert not hard, found.rows
+    found = maintenance_checker.check_logs(folder, {}, {"fw": at_once, "all": at_once})
+    hard = found.excess_outages + found.late_sends + found.divergences + found.lost + found.repeated_outages
+    assert not hard, found.violations
     return found
 
 
@@ -176,7 +176,7 @@
         load.cancel()
 
     found = run_on_rig(tmp_path, body)
-    assert found.finished == 1 and found.written > 20
+    assert found.finished == 1 and found.acknowledged_writes > 20
 
 
 def test_cut_off_in_one_direction_for_the_length_of_a_permit(tmp_path: Path) -> None:
@@ -334,7 +334,7 @@
         load.cancel()
 
     found = run_on_rig(tmp_path, body, brokers=5)
-    assert found.finished == 1 and found.written > 0.6 * found.writes
+    assert found.finished == 1 and found.acknowledged_writes > 0.6 * found.writes
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["code"] for row in rows if row["event"] == "ended"][:5] == [0] * 5  # each ended in order
 
@@ -450,8 +450,8 @@
 def test_a_short_drawn_run_keeps_every_bound(tmp_path: Path) -> None:
     faults = draw(5, 5, 4.0)
     groups, done = asyncio.run(maintenance.run_orders(tmp_path, 5, 5, 6, 4.0, faults))
-    found = maintenance_checker.judge(tmp_path, groups, maintenance.AT_ONCE)
-    assert done and not found.broken, found.rows
+    found = maintenance_checker.check_logs(tmp_path, groups, maintenance.AT_ONCE)
+    assert done and not found.broken, found.violations
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["verb"] for row in rows if row["event"] == "fault"] == [fault.verb for fault in faults]
 
@@ -530,7 +530,7 @@
     agreed = [{"event": "agreed", "order": "o", "machines": ["x1", "x2"], "at": 0.0}]
     for name, rows in (("b1.events", events), ("boxes.log", nodes), ("clients.log", agreed)):
         (folder / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
-    return maintenance_checker.judge(folder, {"x1": "g", "x2": "g"}, {"o": 1})
+    return maintenance_checker.check_logs(folder, {"x1": "g", "x2": "g"}, {"o": 1})
 
 
 PHASES = ("permitted", "draining", "out", "returning", "back")
@@ -546,12 +546,12 @@
     late = {"event": "came", "box": "x1", "at": 3.5}
     assert logs(tmp_path, GOOD, [late]).late_sends == 1
     beside = [*GOOD[:5], *(step("x2", p, 2, 2.5 + n) for n, p in enumerate(PHASES))]
-    assert logs(tmp_path, beside).two_at_once
-    assert logs(tmp_path, [*GOOD, step("x3", "permitted", 1, 9.0)]).order_differs == 1
+    assert logs(tmp_path, beside).excess_outages
+    assert logs(tmp_path, [*GOOD, step("x3", "permitted", 1, 9.0)]).divergences == 1
     states = [{"event": "applied", "index": 1, "digest": d, "at": 1.0} for d in (5, 6)]
-    assert logs(tmp_path, [*GOOD, *states]).order_differs == 1
+    assert logs(tmp_path, [*GOOD, *states]).divergences == 1
     twice = [*GOOD, *(step("x1", p, 3, 30.0 + n) for n, p in enumerate(PHASES))]
-    assert logs(tmp_path, twice).answered_twice == 1
+    assert logs(tmp_path, twice).repeated_outages == 1
     assert logs(tmp_path, GOOD[:5]).lost == 1
     assert logs(tmp_path, GOOD[:-2]).broken and not logs(tmp_path, GOOD[:-2]).lost  # it never came to its end
 
