--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -49,6 +49,30 @@
     assert checked > 50
 
 
+READERS_PAGES = sorted(
+    str(path.relative_to(ROOT))
+    for folder in ("design", "operators")
+    for path in (ROOT / "docs" / folder).glob("*.md")
+)
+
+
+@pytest.mark.parametrize("name", READERS_PAGES)
+def test_code_that_a_page_names_exists(name: str) -> None:
+    """A page that names a module, and a function, class or constant beside it, is right about both."""
+    for module, _, item in re.findall(r"`((?:[a-z_]+/)+[a-z_]+\.py)`(,? `([A-Za-z_]+)`)?", page(name)):
+        path = ROOT / module
+        path = path if path.is_file() else PACKAGE / module
+        assert path.is_file(), f"{name}: {module}"
+        text = path.read_text(encoding="utf-8")
+        assert not item or re.search(rf"\b{item}\b", text), f"{name}: {module} has no {item}"
+
+
+@pytest.mark.parametrize("name", READERS_PAGES)
+def test_constants_that_a_page_names_exist(name: str) -> None:
+    for constant in re.findall(r"`([A-Z]{2,}(?:_[A-Z0-9]+)+)`", page(name)):
+        assert re.search(rf"\b{constant}\b", CODE), f"{name}: {constant}"
+
+
 # Parts of counters whose names are put together of a fixed beginning and what happened.
 BEGINNINGS = ("given_up_", "outcome_", "list_", "answers_", "probe_", "shed_")
 
