--- a/harriertide/platform/__init__.py
+++ b/harriertide/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The platform's side of a broker: clients' protocol, discovery's endpoint list, other brokers.
+"""Integration with the platform: its client protocol, its endpoint list, datagrams between brokers.
 
-The platform is the customers' installation that starts brokers with a configuration file (LB_CONFIG); it is
-not the operating system.
+The platform is the customer's installation that starts brokers with a configuration file (LB_CONFIG). The
+word does not mean the operating system here.
 """
--- a/harriertide/platform/configuration.py
+++ b/harriertide/platform/configuration.py
@@ -1,6 +1,7 @@
-"""The configuration of a broker of the platform: the file that LB_CONFIG names, below other LB_ variables.
+"""The configuration of a broker on the platform: the LB_CONFIG file, which other LB_ variables override.
 
-The words of the file and of the environment are mapped here and in `decide.settings`, and nowhere else.
+The keys of the file and the environment variables are interpreted in this module and in `decide.settings`
+only.
 """
 
 from __future__ import annotations
@@ -27,33 +28,33 @@
 from harriertide.platform.peers import parse_address
 
 MAX_PORT = 65535
-MAX_DESCRIPTOR_DIGITS = 7  # the system's own bound on descriptors has no more
+MAX_DESCRIPTOR_DIGITS = 7  # the largest descriptor number of the system has as many
 
 Address = tuple[str, int]
 
 
 class BadConfigError(SettingsError):
-    """The configuration cannot be used; one plain line for the operator, who has to change it."""
+    """The configuration is invalid. The message is one line for the operator, who has to correct it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a broker is started with.
+    """The configuration that a broker is started with.
 
-    :param name: of the broker
-    :param listen: where clients of the platform connect
+    :param name: the name of the broker
+    :param listen: the address that clients of the platform connect to
     :param discovery: host:port of discovery, or of the agent that pushes its list
-    :param seed: of the decision module's random numbers
-    :param settings: of the decision module
-    :param names: of classes, plans and zones, and the figures that only sockets need
-    :param peer_listen: the address for other brokers' datagrams; None: they are not received
-    :param peers: host:port of each broker, in the order of their numbers
-    :param cached_list: the endpoint list as the platform last had it
+    :param seed: the seed of the decision module's random number generator
+    :param settings: the settings of the decision module
+    :param names: names of classes, plans and zones, and the settings that only the network code uses
+    :param peer_listen: the address for datagrams from other brokers; None: datagrams are not received
+    :param peers: host:port of each broker, in the order of the broker indexes
+    :param cached_list: the endpoint list that the platform last knew
     :param writes: for each class, whether its requests change data
-    :param raw_settings: the settings as the file has them
-    :param operator: the address for operators' calls; None: there is none
-    :param inherited_descriptor: of the clients' listening socket, where the platform holds it
-    :param limits: on connections and memory
+    :param raw_settings: the settings as written in the file
+    :param operator: the address of the operators' interface; None: the interface is disabled
+    :param inherited_descriptor: descriptor of the client listening socket, if the platform holds that socket
+    :param limits: limits on connections and memory
     """
 
     name: str
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Addresses:
-    """The name of the broker and the addresses that it uses, as text."""
+    """The name of the broker and its addresses, as unparsed text."""
 
     name: str
     listen: str
@@ -85,39 +86,39 @@
 
 
 def read_config(environment: Mapping[str, str], running: Config | None = None) -> Config:
-    """Read the file that LB_CONFIG names; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_OPERATOR go before it.
+    """Read the file that LB_CONFIG names; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_OPERATOR override its keys.
 
-    :param running: the configuration that a running broker goes by. The file alone counts then, as a running
-        process cannot be given another environment, and classes and plans keep their numbers.
-    :raises BadConfigError: the configuration cannot be used
+    :param running: the current configuration of a running broker. Only the file is read then, because the
+        environment of a running process cannot change, and classes and plans keep their numbers.
+    :raises BadConfigError: the configuration is invalid
     """
     raw = _load_file(environment.get("LB_CONFIG", ""))
     try:
         return _parse_config(raw, {} if running is not None else environment, running)
-    except KeyError as gap:
-        raise BadConfigError(f"LB_CONFIG: {gap.args[0]} is missing or unknown") from None
-    except (TypeError, ValueError, AttributeError) as fault:
-        raise BadConfigError(f"LB_CONFIG: {fault}") from None
+    except KeyError as error:
+        raise BadConfigError(f"LB_CONFIG: {error.args[0]} is missing or unknown") from None
+    except (TypeError, ValueError, AttributeError) as error:
+        raise BadConfigError(f"LB_CONFIG: {error}") from None
 
 
 def _load_file(path: str) -> Any:
     if not path:
-        raise BadConfigError("LB_CONFIG is not set: it names the configuration file")
+        raise BadConfigError("LB_CONFIG is not set; it must hold the path of the configuration file")
     try:
         return orjson.loads(Path(path).read_bytes())
-    except OSError as fault:
-        raise BadConfigError(f"LB_CONFIG cannot be read: {fault.strerror}") from None
-    except orjson.JSONDecodeError as fault:
-        raise BadConfigError(f"LB_CONFIG is not JSON: {fault}") from None
+    except OSError as error:
+        raise BadConfigError(f"LB_CONFIG: cannot read {path}: {error.strerror}") from None
+    except orjson.JSONDecodeError as error:
+        raise BadConfigError(f"LB_CONFIG: {path} is not JSON: {error}") from None
 
 
 def _parse_config(raw: Any, environment: Mapping[str, str], running: Config | None) -> Config:
-    top = SettingsSection(raw, "")
-    addresses = _parse_addresses(top, environment)
+    root = SettingsSection(raw, "")
+    addresses = _parse_addresses(root, environment)
     inherited_descriptor = _parse_descriptor(environment.get("LB_INHERITED_FD", ""))
-    if running is not None:  # of the process, whatever its configuration
+    if running is not None:  # belongs to the process, whatever the file says
         inherited_descriptor = running.inherited_descriptor
-    limits = top.section("limits") if raw.get("limits") else SettingsSection({}, "limits")
+    limits = root.section("limits") if raw.get("limits") else SettingsSection({}, "limits")
     seed = _parse_seed(raw)
     settings, names = _parse_settings(raw["settings"], running)
     cached_list = _parse_cached_list(raw, names)
@@ -141,14 +142,14 @@
     )
 
 
-def _parse_addresses(top: SettingsSection, environment: Mapping[str, str]) -> _Addresses:
+def _parse_addresses(root: SettingsSection, environment: Mapping[str, str]) -> _Addresses:
     addresses = _Addresses(
-        name=environment.get("LB_NAME") or top.text("name"),
-        listen=environment.get("LB_LISTEN") or top.text("listen"),
-        discovery=environment.get("LB_DISCOVERY") or top.text("discovery"),
-        peer_listen=top.text("peer_listen", ""),
-        peers=top.texts("peers"),
-        operator=environment.get("LB_OPERATOR") or top.text("operator", ""),
+        name=environment.get("LB_NAME") or root.text("name"),
+        listen=environment.get("LB_LISTEN") or root.text("listen"),
+        discovery=environment.get("LB_DISCOVERY") or root.text("discovery"),
+        peer_listen=root.text("peer_listen", ""),
+        peers=root.texts("peers"),
+        operator=environment.get("LB_OPERATOR") or root.text("operator", ""),
     )
     _check_address("listen", addresses.listen)
     _check_address("discovery", addresses.discovery)
@@ -164,38 +165,40 @@
 def _check_address(key: str, text: str) -> None:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError(f"{key}: must be host:port")
+        raise ValueError(f"{key}: must be host:port with a port up to {MAX_PORT}, got {text!r}")
 
 
 def _parse_descriptor(text: str) -> int | None:
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
-        raise ValueError("LB_INHERITED_FD: must be the number of a descriptor")
+        raise ValueError(
+            f"LB_INHERITED_FD: must be a number of up to {MAX_DESCRIPTOR_DIGITS} digits, got {text!r}"
+        )
     return int(text)
 
 
 def _parse_seed(raw: Mapping[str, Any]) -> int:
     digits = str(raw.get("seed") or "0")
     if not set(digits) <= set(hexdigits):
-        raise ValueError("seed: must be hex digits")
+        raise ValueError(f"seed: must consist of hex digits, got {digits!r}")
     return int(digits, 16)
 
 
-def _parse_settings(stated: dict[str, Any], running: Config | None) -> tuple[dict[str, Any], Names]:
-    """The settings, with each class and plan in the place it has in the running broker, and their names."""
-    from_wire(stated)  # they must be good by themselves, before they are put in the running broker's places
+def _parse_settings(file_settings: dict[str, Any], running: Config | None) -> tuple[dict[str, Any], Names]:
+    """Return the settings and names, with classes and plans in the order that the running broker uses."""
+    from_wire(file_settings)  # validates the settings before they are reordered
     if running is None:
-        return stated, names_from_wire(stated)
-    settings = keep_numbers(stated, running.raw_settings)
-    return settings, names_from_wire(settings, stated)
+        return file_settings, names_from_wire(file_settings)
+    settings = keep_numbers(file_settings, running.raw_settings)
+    return settings, names_from_wire(settings, file_settings)
 
 
 def _parse_cached_list(raw: Mapping[str, Any], names: Names) -> EndpointPage:
-    stated = raw.get("known")
-    if not stated:
+    raw_page = raw.get("known")
+    if not raw_page:
         return EMPTY_PAGE
     try:
-        return parse_page(stated, names.zones)
-    except EndpointPageError as fault:
-        raise ValueError(f"known: is no list of nodes: {fault}") from None
+        return parse_page(raw_page, names.zones)
+    except EndpointPageError as error:
+        raise ValueError(f"known: must be an endpoint list: {error}") from None
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -1,7 +1,7 @@
-"""Connections of the platform's clients: a request is read, handed to the front, and its response written.
+"""Connections of platform clients: each reads requests, passes them to the front and writes the responses.
 
-They are aiohttp's connections, but a request is handled in the same turn of the event loop in which its last
-byte was read, and answered in the turn in which the core decides, with no task of its own.
+The connections extend aiohttp's. A request has no task of its own: it is handled in the event loop iteration
+that reads its last byte, and answered in the iteration in which the core decides.
 """
 
 from __future__ import annotations
@@ -39,34 +39,34 @@
     send_remainder,
 )
 
-MIN_UPLOAD_BYTES_PER_S = 32_000  # of a body that is still read: half of what the slowest clients send
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a socket's linger option: closing resets the connection
+MIN_UPLOAD_BYTES_PER_S = 32_000  # half the upload rate of the slowest clients
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with 0 s: close() sends a TCP reset
 
 
 class RequestFront(Protocol):
-    """What handles the requests of platform connections."""
+    """Handles the requests that platform connections read."""
 
     counts: Counter[str]
     bodies: BodyBudget
     closes_connections: bool
 
     def date(self) -> str:
-        """Now, as HTTP writes it."""
+        """Return the current time in the format of the HTTP Date header."""
 
     def handle_request(
         self, connection: PlatformConnection, message: RawRequestMessage, body: bytes | StreamedRequestBody
     ) -> None:
-        """Answer a request, or hand it to the core."""
+        """Answer a request, or submit it to the core."""
 
     def on_client_disconnected(self, connection: PlatformConnection) -> None:
-        """The client of a request that the core is working on has disconnected."""
+        """Stop the open request of a client that has disconnected."""
 
 
 class PlatformConnection(ClientConnection):
-    """One connection of a client of the platform: one request at a time."""
+    """A connection of a platform client, which handles one request at a time."""
 
     __slots__ = (
-        "_front", "_buffer", "_body", "_is_closing", "_message", "_is_reading_body", "_sending",
+        "_front", "_buffer", "_body", "_closes_after_response", "_message", "_is_reading_body", "_send_task",
         "request_id", "fields",
     )  # fmt: skip
 
@@ -74,16 +74,16 @@
         super().__init__(server, table, max_line_size=MAX_START_LINE_BYTES, auto_decompress=False, **options)
         self._front = server.front
         self._buffer = RequestBodyBuffer(server.front.bodies)
-        self._message: RawRequestMessage | None = None  # whose body is read, or whose response is awaited
-        self._body: StreamReader | None = None  # of that request, until its end was read
+        self._message: RawRequestMessage | None = None  # head of the open request
+        self._body: StreamReader | None = None  # unread body of the open request; None after its last byte
         self._is_reading_body = False
-        self._is_closing = False  # the next response is the last one
-        self._sending: asyncio.Task[None] | None = None  # the remainder of a response
-        self.request_id = ""  # while the core has the request
+        self._closes_after_response = False  # whether the connection closes after the next response
+        self._send_task: asyncio.Task[None] | None = None  # sends the remainder of a streamed response
+        self.request_id = ""  # ID of the request that the core is working on; empty if there is none
         self.fields: HeaderFields = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start like an aiohttp connection, but without its handler's task and timer."""
+        """Register the connection as aiohttp does, but without its handler task and timer."""
         BaseProtocol.connection_made(self, transport)
         assert self._manager is not None and isinstance(transport, asyncio.Transport)
         self._manager.connection_made(self, transport)
@@ -92,13 +92,13 @@
         self.table.admit(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Release what the request holds, and have its attempts stopped."""
+        """Release the memory of the open request and stop its attempts."""
         if self.request_id:
             self._front.on_client_disconnected(self)
-        if self._sending is not None:
-            self._sending.cancel()
+        if self._send_task is not None:
+            self._send_task.cancel()
         if self._body is not None and not self._body.is_eof():
-            self._body.set_exception(ConnectionResetError("the client has gone"))
+            self._body.set_exception(ConnectionResetError("the client closed the connection"))
         self._buffer.clear()
         super().connection_lost(exc)
 
@@ -106,34 +106,33 @@
 
     @property
     def request_timeout_s(self) -> float:
-        """Time for a request to arrive: the longer, the more of its body has been received."""
+        """Time allowed for receiving a request; it grows with the received part of the body."""
         return super().request_timeout_s + self._buffer.received_bytes / MIN_UPLOAD_BYTES_PER_S
 
     def data_received(self, data: bytes) -> None:
         """Handle a request as soon as it is complete.
 
-        Pipelining is not part of the protocol. A client that does it gets the first response, and its
-        connection is closed: what it sent ahead is not read, so that it costs other clients nothing.
+        The protocol does not allow pipelining. A client that pipelines gets the first response, and its
+        connection is then closed. Its further requests are not read, so they cost other clients nothing.
         """
-        if (
-            not data and self._body is None
-        ):  # aiohttp's reader resumes its parser so, here after the body's end
+        # aiohttp's stream reader resumes the parser by passing no data, here after the end of the body
+        if not data and self._body is None:
             return
         if self.state == "lingering":
             self.discard(data)
             return
-        if self.state == "busy" and self._body is None:  # pipelined: sent before the response
-            self._is_closing = True
+        if self.state == "busy" and self._body is None:  # the client sent a pipelined request
+            self._closes_after_response = True
             return
         if self._force_close:
             return
         if self.state == "busy":
             self._feed_streamed_body(data)
-        elif not self._is_closing:
+        elif not self._closes_after_response:
             self._feed_request(data)
 
     def _feed_streamed_body(self, data: bytes) -> None:
-        """Feed bytes of a body that is being streamed. A framing error surfaces at the body's reader."""
+        """Parse bytes of a streamed body. The reader of the body raises any framing error."""
         assert self._parser is not None
         try:
             messages, upgraded, _ = self._parser.feed_data(data)
@@ -141,11 +140,11 @@
             return
         if upgraded:
             self.refuse(400, "no other protocol is spoken here")
-        elif messages:  # pipelined, behind the end of the body
-            self._is_closing = True
+        elif messages:  # a pipelined request follows the end of the body
+            self._closes_after_response = True
 
     def _feed_request(self, data: bytes) -> None:
-        """Feed bytes of a head, or of a body that is being buffered."""
+        """Parse bytes of a request head or of a buffered body."""
         if self.state != "reading":
             self.table.set_state(self, "reading")
         assert self._parser is not None
@@ -157,25 +156,25 @@
         if upgraded:
             self.refuse(400, "no other protocol is spoken here")
             return
-        if messages and self._message is not None:  # pipelined, in one read with the end of a body
-            self._is_closing = True
+        if messages and self._message is not None:  # a pipelined request came with the end of the body
+            self._closes_after_response = True
         elif messages:
-            self._is_closing = len(messages) > 1
+            self._closes_after_response = len(messages) > 1
             self._begin_request(*messages[0])
         if self._body is not None and not self._is_reading_body:
             self._read_body(self._body)
 
     def _begin_request(self, message: RawRequestMessage, body: StreamReader) -> None:
-        """Start a request whose head was received."""
+        """Begin a request whose head has been received."""
         self._message = message
         try:
             self.fields = read_fields(message.raw_headers)
             length = declared_length(self.fields)
-        except MalformedRequestError as reason:
-            self.refuse(400, str(reason))
+        except MalformedRequestError as error:
+            self.refuse(400, str(error))
             return
-        except BodyTooLongError as reason:
-            self.refuse(413, str(reason))  # the body stays unread
+        except BodyTooLongError as error:
+            self.refuse(413, str(error))  # the connection is closed without reading the body
             return
         if self.fields.get(b"expect", b"").lower() == b"100-continue" and not body.is_eof():
             assert self.transport is not None
@@ -184,12 +183,12 @@
         self._buffer.reserve(length)
 
     def _read_body(self, body: StreamReader) -> None:
-        """Buffer what was received, and submit the request when its body is complete or must be streamed."""
+        """Buffer received data and submit the request once its body is complete or must be streamed."""
         if body.exception() is not None:
             self.refuse(400, "the body can't be read")
             return
         buffer = self._buffer
-        self._is_reading_body = True  # read_nowait may resume the parser, which calls back into here
+        self._is_reading_body = True  # read_nowait may resume the parser, which calls data_received again
         while part := body.read_nowait(-1):
             buffer.append(part)
         self._is_reading_body = False
@@ -206,17 +205,17 @@
             self._front.handle_request(self, self._message, streamed)
 
     def _has_room_for_body(self) -> bool:
-        """Whether the budget has room for all of the body that is known of so far."""
+        """Whether the budget has room for the larger of the declared and the received length of the body."""
         declared = int(self.fields.get(b"content-length", b"0"))
         return self._buffer.reserve(max(self._buffer.received_bytes, declared))
 
     def on_body_too_long(self) -> None:
-        """A streamed body is over the limit: no node's response counts any more."""
+        """Reject a request whose streamed body exceeds the limit; responses of nodes are discarded."""
         self._front.on_client_disconnected(self)
         self.refuse(413, "the body is too long")
 
     def on_body_end(self) -> None:
-        """The last byte of the body was read: let the parser go on with the next request."""
+        """Prepare the parser for the next request after the last byte of the body was read."""
         self._body = None
         if self._parser is None:
             return
@@ -225,7 +224,7 @@
             self._renew_parser()
 
     def _renew_parser(self) -> None:
-        """Guards against a trailer read as a field of the next request: aiohttp's parser keeps the last."""
+        """Replace the parser, as aiohttp's would pass the last trailer field on to the next request."""
         self._parser = HttpRequestParser(
             self,
             self._loop,
@@ -240,13 +239,13 @@
     # --- responses -----------------------------------------------------------------------------
 
     def respond(
-        self, status: int, body: bytes, fields: str = "", rest: ResponseRemainder | None = None
+        self, status: int, body: bytes, fields: str = "", remainder: ResponseRemainder | None = None
     ) -> None:
-        """Write the one response to the request that was read.
+        """Write the response to the open request.
 
-        :param body: all of it, or its first part
-        :param fields: header lines, each with its line end
-        :param rest: what follows the first part; this connection disposes of it
+        :param body: the whole response body, or its first part
+        :param fields: additional header lines, each with its line end
+        :param remainder: the remainder of the body after its first part; the connection disposes of it
         """
         message = self._message
         self._message = None
@@ -254,57 +253,59 @@
         self._buffer.clear()
         transport = self.transport
         if transport is None or transport.is_closing():
-            if rest is not None:
-                rest.dispose()
+            if remainder is not None:
+                remainder.dispose()
             return
         self._front.counts[f"answers_{status}"] += 1
-        if self._body is not None:  # it was not read to its end, and will not be
-            self._is_closing = True
+        if self._body is not None:  # the rest of the request body will not be read
+            self._closes_after_response = True
             self._body = None
-        length = len(body) if rest is None else rest.length
+        length = len(body) if remainder is None else remainder.length
         framing = choose_framing(length, message is not None and message.version < HttpVersion11)
-        closes = self._is_last_response(message, framing)
-        head = encode_head(status, fields, length, framing, closes, self._front.date())
-        shown = b"" if message is not None and message.method == "HEAD" else body
-        if rest is None or not shown:
-            transport.write(head + shown)
-            if rest is not None:
-                rest.dispose()
-            self._on_response_sent(closes)
+        closes_connection = self._is_last_response(message, framing)
+        head = encode_head(status, fields, length, framing, closes_connection, self._front.date())
+        sent_body = b"" if message is not None and message.method == "HEAD" else body
+        if remainder is None or not sent_body:
+            transport.write(head + sent_body)
+            if remainder is not None:
+                remainder.dispose()
+            self._on_response_sent(closes_connection)
             return
-        transport.write(head + (encode_chunk(shown) if framing is Framing.CHUNKED else shown))
-        sending = self._send_rest(rest, framing, closes)
-        self._sending = asyncio.get_running_loop().create_task(sending)
+        transport.write(head + (encode_chunk(sent_body) if framing is Framing.CHUNKED else sent_body))
+        send_coroutine = self._send_remainder(remainder, framing, closes_connection)
+        self._send_task = asyncio.get_running_loop().create_task(send_coroutine)
 
     def refuse(self, status: int, reason: str) -> None:
-        """Reject a request that can't be served, and close the connection behind the response."""
-        self._is_closing = True
+        """Reject a request that can't be served, and close the connection after the response."""
+        self._closes_after_response = True
         self._body = None
         self.respond(status, f"{reason}\n".encode())
 
     def _is_last_response(self, message: RawRequestMessage | None, framing: Framing) -> bool:
-        """Whether the connection ends behind the response to this request."""
+        """Whether the connection closes after the response to this request."""
         return (
-            self._is_closing
+            self._closes_after_response
             or self._front.closes_connections
             or message is None
             or message.should_close
             or framing is Framing.UNTIL_CLOSE
         )
 
-    def _on_response_sent(self, closes: bool) -> None:
-        if closes or self._is_closing:
+    def _on_response_sent(self, closes_connection: bool) -> None:
+        if closes_connection or self._closes_after_response:
             self.linger()
         else:
             self.table.set_state(self, "idle")
 
-    async def _send_rest(self, rest: ResponseRemainder, framing: Framing, closes: bool) -> None:
-        """Send the remainder of a response; where it breaks off, the connection's end tells the client."""
+    async def _send_remainder(
+        self, remainder: ResponseRemainder, framing: Framing, closes_connection: bool
+    ) -> None:
+        """Send the remainder of a response; if it is cut short, end the connection to tell the client."""
         transport = self.transport
         assert transport is not None
-        if await send_remainder(transport, self._drain_helper, rest, framing):
-            self._sending = None
-            self._on_response_sent(closes)
+        if await send_remainder(transport, self._drain_helper, remainder, framing):
+            self._send_task = None
+            self._on_response_sent(closes_connection)
             return
         self._front.counts["answers_broken"] += 1
         if framing is Framing.UNTIL_CLOSE:
@@ -313,10 +314,10 @@
             self.drop()
 
     def _reset(self, transport: asyncio.Transport) -> None:
-        """End the connection with a reset.
+        """End the connection with a TCP reset.
 
-        Guards against half a response that passes for complete: where the connection's end ends the body, an
-        orderly close would say so.
+        If the end of the connection marks the end of the body, a client would take a truncated response for
+        a complete one after an orderly close.
         """
         client_socket = transport.get_extra_info("socket")
         if client_socket is not None:
@@ -326,12 +327,12 @@
 
 
 class PlatformServer(FrontServer):
-    """Makes the connections of the platform's listener."""
+    """Creates a connection object for each client that connects to the platform listener."""
 
     def __init__(self, front: RequestFront, table: ConnectionTable) -> None:
-        super().__init__(table, PlatformConnection, _unused, access_log=None)
+        super().__init__(table, PlatformConnection, _unused_request_handler, access_log=None)
         self.front = front
 
 
-async def _unused(request: object) -> Any:
-    raise NotImplementedError("the platform's connections handle their requests themselves")
+async def _unused_request_handler(request: object) -> Any:
+    raise NotImplementedError("PlatformConnection handles requests without an aiohttp request handler")
--- a/harriertide/platform/endpoint_directory.py
+++ b/harriertide/platform/endpoint_directory.py
@@ -1,8 +1,8 @@
-"""Which storage nodes there are and where each is dialled, merged from endpoint pages of any version.
+"""The storage nodes and their addresses, merged from endpoint pages of any version.
 
-Pages may arrive late, twice, from a discovery that has restarted its version count, or from the process of
-this broker that served before. The directory never lets an older page undo what a newer one said about a node
-that is to leave, or that has restarted since.
+Pages may be late or duplicated, or come from a discovery that has restarted its version count or from the
+previous process of this broker. An older page never reverts a drain, a removal or a restart that a newer page
+has reported.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from harriertide.decide import api
 from harriertide.platform.endpoint_page import EndpointPage, parse_page
 
-MAX_REMOVED_NODE_COUNT = 512  # removed nodes that are remembered against older pages, some 50 KB of IDs
+MAX_REMOVED_NODE_COUNT = 512  # about 50 KB of IDs of removed nodes, which older pages may still list
 
 PageKind = Literal["cached", "full"]
 
 
 @dataclass(slots=True)
 class DirectoryState:
-    """The directory as one process of a broker hands it to the next.
+    """The directory as a process of a broker hands it over to the next one.
 
-    It is stored by field name, so the names are part of the hand-over record's form.
+    The record is stored by field name, so the field names are part of the hand-over format.
 
     :param seq: the version of the list
-    :param entries: the nodes that are in the list
+    :param entries: the nodes in the list
     :param dial: host:port by node ID
-    :param gone: IDs of removed nodes, the longest ago first
+    :param gone: IDs of removed nodes, oldest removal first
     """
 
     seq: int
@@ -38,9 +38,9 @@
 
 
 class EndpointDirectory:
-    """The endpoint list in force.
+    """The current endpoint list.
 
-    :param zones: the number of each zone, by its name in discovery's pages
+    :param zones: zone numbers by the zone names in discovery's pages
     """
 
     def __init__(self, zones: dict[str, int]) -> None:
@@ -48,39 +48,41 @@
         self.version = 0
         self._entries: dict[str, api.NodeEntry] = {}
         self._addresses: dict[str, str] = {}
-        self._removed: dict[str, None] = {}  # node IDs, which are never reused; longest ago first
+        self._removed: dict[str, None] = {}  # IDs of removed nodes, oldest first; IDs are never reused
 
     def find(self, node: str) -> str | None:
-        """The host:port of a node; None if it has none or is unknown."""
+        """Return the host:port of a node, or None if the node is unknown or has no address."""
         return self._addresses.get(node)
 
     def address_count(self) -> int:
-        """How many nodes have an address."""
+        """Return the number of nodes that have an address."""
         return len(self._addresses)
 
     def parse_page(self, raw: Any, version: int | None = None) -> EndpointPage:
-        """Read one object of discovery with the zones in force; see `endpoint_page.parse_page`."""
+        """Parse a page with the current zones; see `endpoint_page.parse_page`."""
         return parse_page(raw, self.zones, version)
 
     def is_outdated(self, page: EndpointPage) -> bool:
-        """Whether a page's changes are older than the version in force: late, or of a restarted count."""
+        """Whether a page holds changes older than the current version, late or after a restarted count."""
         return not page.is_complete and page.version < self.version
 
     def apply(self, page: EndpointPage, kind: PageKind | None = None) -> api.EndpointUpdate:
-        """Merge a page.
+        """Merge a page into the list.
 
-        A page that is older than the list in force, or that comes from a discovery that may count its
-        versions otherwise, may be stale: it never puts a draining or removed node back into service.
+        A page may be stale if it is older than the current list, or if it comes from a discovery that may
+        count versions differently. Such a page never returns a draining or removed node to service.
 
-        :param kind: what the page counts as, whatever its version; None: a current page of discovery
+        :param kind: the kind of update that the page is treated as, whatever its version; None: a page that
+            the
+            current discovery sent
         :returns: the update for the decision module
         """
         entries = page.entries
         version = page.version
         if kind is not None or page.version < self.version:
-            entries = tuple(map(self._keep_known_stops, entries))
+            entries = tuple(map(self._keep_safer_state, entries))
             if kind is None and not page.is_complete:
-                entries = tuple(entry for entry in entries if self._is_late_stop(entry))
+                entries = tuple(entry for entry in entries if self._drains_or_removes_listed_node(entry))
                 version = self.version
         if page.is_complete:
             self._remember_removed(self._entries.keys() - {entry.node_id for entry in entries})
@@ -91,8 +93,8 @@
         self.version = version
         return api.EndpointUpdate(kind or ("full" if page.is_complete else "delta"), entries)
 
-    def _is_late_stop(self, entry: api.NodeEntry) -> bool:
-        """Whether an entry of an outdated page says that a listed node leaves: that holds at any age."""
+    def _drains_or_removes_listed_node(self, entry: api.NodeEntry) -> bool:
+        """Whether an entry of an outdated page drains or removes a listed node, which is valid at any age."""
         return entry.node_id in self._entries and entry.state != "live"
 
     def _store(self, entry: api.NodeEntry, page: EndpointPage) -> None:
@@ -102,13 +104,13 @@
             self._addresses.pop(node, None)
             self._entries.pop(node, None)
             return
-        self._removed.pop(node, None)  # the page that left it out was wrong
+        self._removed.pop(node, None)  # an earlier page omitted the node by mistake
         self._entries[node] = entry
         if node in page.addresses:
             self._addresses[node] = page.addresses[node]
 
     def export_state(self) -> DirectoryState:
-        """The directory for the next process of this broker."""
+        """Return the directory for the next process of this broker."""
         return DirectoryState(
             seq=self.version,
             entries=list(self._entries.values()),
@@ -117,29 +119,29 @@
         )
 
     def import_state(self, state: DirectoryState) -> api.EndpointUpdate:
-        """Merge the directory of the process before this one.
+        """Merge the directory of the previous process of this broker.
 
-        The newer of the two lists says which nodes there are. A drain or a removal that either process knows
-        of holds.
+        The newer of the two lists determines the set of nodes. A drain or a removal that either process knows
+        of stays in effect.
 
         :returns: the update for the decision module
         """
         self._remember_removed(state.gone)
-        entries = list(map(self._keep_known_stops, state.entries))
+        entries = list(map(self._keep_safer_state, state.entries))
         if state.seq >= self.version:
             self._entries = {}
             self._addresses = dict(state.dial)
             self.version = state.seq
         else:
-            entries = list(filter(self._is_late_stop, entries))
+            entries = list(filter(self._drains_or_removes_listed_node, entries))
         self._entries.update({entry.node_id: entry for entry in entries if entry.state != "gone"})
         return api.EndpointUpdate("cached", tuple(self._entries.values()))
 
-    def _keep_known_stops(self, entry: api.NodeEntry) -> api.NodeEntry:
-        """The entry, with the state and the start that are known already where those are the safer ones.
+    def _keep_safer_state(self, entry: api.NodeEntry) -> api.NodeEntry:
+        """Return the entry, with the known state and start time where those are the safer ones.
 
-        Guards against a stale page that has a draining node take requests again, or a restarted one pass for
-        warm.
+        Otherwise a stale page could return a draining node to service, or make a restarted node look as if
+        its slow start were over.
         """
         known = self._entries.get(entry.node_id)
         if entry.node_id in self._removed:
--- a/harriertide/platform/endpoint_page.py
+++ b/harriertide/platform/endpoint_page.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery writes it: JSON in, typed pages out. The wire's words stay here."""
+"""Parses discovery's JSON endpoint list into typed pages. Its JSON keys are used in this module only."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class EndpointPageError(ValueError):
-    """An object is no endpoint list; the message names the fault that reading it ran into."""
+    """A JSON object is not a valid endpoint page; the message names the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointPage:
-    """One object of discovery: the whole endpoint list, or the changes since an earlier version.
+    """A JSON object from discovery: the complete endpoint list, or the changes since an earlier version.
 
-    :param version: of the list with this page applied; it grows with each change
-    :param is_complete: whether nodes that it does not name are removed
-    :param entries: the nodes that it names
-    :param addresses: host:port by node ID, for the nodes that have one
+    :param version: the version of the list after this page is applied; it increases with each change
+    :param is_complete: whether nodes that the page does not list are removed
+    :param entries: the nodes that the page lists
+    :param addresses: host:port by node ID, for nodes that have an address
     """
 
     version: int
@@ -35,12 +35,12 @@
 
 
 def parse_page(raw: Any, zones: Mapping[str, int], version: int | None = None) -> EndpointPage:
-    """Read one object of discovery.
+    """Parse an object from discovery.
 
     :param raw: the decoded JSON
-    :param zones: the number of each zone, by its name; an unknown one counts as zone 0
-    :param version: goes before the version that the object states
-    :raises EndpointPageError: it has not the form of an endpoint list
+    :param zones: zone numbers by name; an unknown zone counts as zone 0
+    :param version: overrides the version in the object
+    :raises EndpointPageError: the object is not a valid endpoint page
     """
     try:
         hosts = raw["hosts"]
@@ -50,8 +50,8 @@
             version=int(raw["seq"]) if version is None else version,
             is_complete=bool(raw.get("whole")),
         )
-    except (KeyError, TypeError, ValueError, AttributeError, ArithmeticError) as fault:
-        raise EndpointPageError(f"{type(fault).__name__} {fault}") from None
+    except (KeyError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
+        raise EndpointPageError(f"{type(error).__name__}: {error}") from None
 
 
 def _parse_entry(host: Mapping[str, Any], zones: Mapping[str, int]) -> api.NodeEntry:
--- a/harriertide/platform/endpoint_watch.py
+++ b/harriertide/platform/endpoint_watch.py
@@ -1,8 +1,8 @@
-"""The watch on discovery's endpoint list: one long HTTP response that brings a JSON object for each change.
+"""Watches discovery's endpoint list: a long-running HTTP response carries a JSON object for each change.
 
-Who opens a watch again depends on where the list comes from. Asking discovery costs it something, so there
-the decision module says when (`open`). An agent on this machine pushes the list for nothing, so there the
-watch is reopened by this module (`set_pushed`).
+A call to discovery costs discovery work, so the decision module decides when to reopen a watch there
+(`open`). An agent on this machine pushes the list at no such cost, so this module reopens a watch on an agent
+itself (`set_pushed`).
 """
 
 from __future__ import annotations
@@ -20,67 +20,68 @@
 from harriertide.platform.endpoint_directory import EndpointDirectory, PageKind
 from harriertide.platform.json_stream import MAX_OBJECT_BYTES, JsonObjectStream
 
-# The platform counts a change as known to this broker so long after discovery had it and could be reached,
-# whatever failed before. The longest ways to hear of one end before that: a watch that falls silent behind
-# its last change, then a call that is never answered and one more that is; or a call that is never answered,
-# behind the longest backoff of the decision module, and one more. tests/test_endpoint_watch.py adds them up
-# and plays them.
+# The platform considers a change known to this broker this long after discovery has the change and is
+# reachable, whatever failed before. The two slowest cases stay within this time: a watch goes silent after
+# its last change, one call stays unanswered and the next succeeds; or a call stays unanswered, the decision
+# module waits for its longest backoff, and the next call succeeds. tests/test_endpoint_watch.py checks the
+# sums and simulates the cases.
 NOTIFICATION_DEADLINE_S = 6.0
 CONNECT_TIMEOUT_S = 0.8
-# Discovery answers a call, or rejects it, within two seconds: one without a response by then gets none.
+# Discovery answers or rejects a call within 2 s; a call without a response by then will get none.
 HEAD_TIMEOUT_S = 2.2
-# Discovery sends an empty line every 2 s, so a watch that is silent for longer is over.
+# Discovery sends an empty line every 2 s as a keep-alive, so a watch that is silent for longer is dead.
 WATCH_SILENCE_S = 2.5
-# What an agent pushes counts as known as soon as the agent has it, and asking it costs nothing: a watch on
-# one that ends is opened again at once and then this often, and a late response is given up sooner.
+# A change counts as known as soon as the agent has it, and calls to the agent are cheap. A watch on an agent
+# is therefore reopened at once when it ends, then at this interval, and the timeout for its response is
+# shorter.
 REOPEN_INTERVAL_S = 0.1
 PUSHED_HEAD_TIMEOUT_S = 1.0
 
 
 class OutdatedPageError(ValueError):
-    """Discovery sent changes older than the version in force: they are late, or it restarted its count."""
+    """Discovery sent changes older than the current version: late ones, or ones of a restarted count."""
 
 
 class EndpointWatch:
-    """Keeps the directory up to date, with at most one watch on the current address.
+    """Keeps the endpoint directory up to date, with at most one watch on the current address.
 
-    When discovery moves, the watch on its old address goes on until the one on the new address has brought a
-    list: no change is missed in between.
+    When the address of discovery changes, the watch on the previous address continues until the new watch has
+    received a list, so that no change is missed.
 
     :param address: host:port of discovery, or of the agent that pushes its list
-    :param post: takes an update for the decision module
+    :param post: passes an update to the decision module
     """
 
     def __init__(self, address: str, directory: EndpointDirectory, post: Callable[[ev.Event], None]) -> None:
         self.counts: Counter[str] = Counter()
         self.address = address
-        self.on_list: Callable[[], None] = lambda: None  # called with each list that was read
+        self.on_list: Callable[[], None] = lambda: None  # called after each received list
         self._directory = directory
         self._post = post
         self._task: asyncio.Task[None] | None = None
-        self._previous_task: asyncio.Task[None] | None = None  # on the address before
+        self._previous_task: asyncio.Task[None] | None = None  # watches the previous address
         self._reopen_timer: asyncio.TimerHandle | None = None
         self._head_timeout_s = HEAD_TIMEOUT_S
         self._is_pushed = False
         self._is_closed = False
         self._failure_is_logged = False
-        self._needs_full_list = False  # the discovery at this address may have a version count of its own
-        self._reopened_after_silence = False  # the watch that is open was opened at once, behind a silent one
+        self._needs_full_list = False  # set where discovery may count versions differently than before
+        self._reopened_after_silence = False  # whether this watch replaced a silent one at once
 
     def set_pushed(self, is_pushed: bool) -> None:
-        """Say whether an agent pushes the list from now on; if so, this class reopens the watch by itself."""
+        """Set whether an agent pushes the list; if so, this class reopens the watch on its own."""
         self._is_pushed = is_pushed
         self._head_timeout_s = PUSHED_HEAD_TIMEOUT_S if is_pushed else HEAD_TIMEOUT_S
         if is_pushed:
             self.open()
 
     def open(self) -> None:
-        """Start watching, unless a watch is open."""
+        """Open a watch unless one is open."""
         if not self._is_closed and (self._task is None or self._task.done()):
             self._task = asyncio.get_running_loop().create_task(self._watch(self.address))
 
     def change_address(self, address: str) -> None:
-        """Watch discovery at another address from now on."""
+        """Watch discovery at another address."""
         self.address = address
         self._needs_full_list = True
         self.counts["moved"] += 1
@@ -91,7 +92,7 @@
         self.open()
 
     def _cancel_previous(self) -> None:
-        """End the watch on the address before; that is no failure."""
+        """Cancel the watch on the previous address; this does not count as a failure."""
         if self._previous_task is not None:
             self._previous_task.cancel()
             self._previous_task = None
@@ -106,73 +107,74 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    # --- the life of one watch -----------------------------------------------------------------
+    # --- watch lifecycle -----------------------------------------------------------------------
 
     async def _watch(self, address: str) -> None:
         self.counts["opened"] += 1
-        opened_at = asyncio.get_running_loop().time()
-        fell_silent = False
+        opened_at_s = asyncio.get_running_loop().time()
+        went_silent = False
         try:
             await self._read(address)
             self.counts["ended"] += 1
-        except Exception as fault:  # of any kind: without a watch, drains would go unnoticed for good
-            fell_silent = self._on_failure(fault)
+        except Exception as error:  # any error: without a watch, the broker would miss all later drains
+            went_silent = self._on_failure(error)
         if self._is_current():
             self._task = None
-            self._on_end(opened_at, fell_silent)
+            self._reopen_after_end(opened_at_s, went_silent)
 
     def _is_current(self) -> bool:
-        """Whether the task that runs watches the current address, not one that discovery has left."""
+        """Whether the running task watches the current address and not a previous one."""
         return asyncio.current_task() is self._task
 
-    def _on_failure(self, fault: Exception) -> bool:
-        """Account for a watch that broke.
+    def _on_failure(self, error: Exception) -> bool:
+        """Count and log a watch that failed.
 
-        :returns: whether it fell silent, and the one before it had not
+        :returns: whether the watch went silent or sent outdated changes, and was not opened for that reason
+            itself
         """
         self.counts["broken"] += 1
-        if not (self._is_pushed and self._failure_is_logged):  # one line for each time that an agent is away
-            log("endpoint watch failed", kind=type(fault).__name__, reason=str(fault))
+        if not (self._is_pushed and self._failure_is_logged):  # one line per outage of an agent
+            log("endpoint watch failed", kind=type(error).__name__, reason=str(error))
         self._failure_is_logged = True
-        if isinstance(fault, OutdatedPageError):
-            # only the complete list tells whether discovery has restarted its version count
+        if isinstance(error, OutdatedPageError):
+            # only the complete list shows whether discovery has restarted its version count
             self._needs_full_list = True
-        return isinstance(fault, (TimeoutError, OutdatedPageError)) and not self._reopened_after_silence
+        return isinstance(error, (TimeoutError, OutdatedPageError)) and not self._reopened_after_silence
 
-    def _on_end(self, opened_at: float, fell_silent: bool) -> None:
-        """Open the next watch at once, or leave it to the decision module's backoff.
+    def _reopen_after_end(self, opened_at_s: float, went_silent: bool) -> None:
+        """Reopen the watch at once, or after the decision module's backoff.
 
-        What a silent watch misses counts as known 6 s after its last change: that leaves no time for the
-        backoff that a failed call asks for. Discovery has ended nothing then, so the next call is none that
-        it rejected. This is done once: where that watch brings nothing either, the decision module says when
-        the next one opens.
+        A change that a silent watch misses counts as known 6 s after discovery has it, which leaves no time
+        for the backoff after a failed call. Discovery did not end the silent watch, so reopening it at once
+        does not repeat a call that discovery rejected. This happens once: if the new watch receives nothing
+        either, the decision module decides when to open the next one.
         """
-        if fell_silent:
+        if went_silent:
             self.counts["silent"] += 1
             self._reopened_after_silence = True
         else:
             self._post(ev.EndpointsUpdated(api.EndpointUpdate("failed")))
-        if (self._is_pushed or fell_silent) and not self._is_closed:
+        if (self._is_pushed or went_silent) and not self._is_closed:
             loop = asyncio.get_running_loop()
-            # guards against a busy loop on an agent that ends each watch as soon as it begins
-            reopen_at = max(loop.time(), opened_at + REOPEN_INTERVAL_S)
-            self._reopen_timer = loop.call_at(reopen_at, self.open)
+            # prevents a busy loop if an agent ends each watch as soon as it is open
+            reopen_at_s = max(loop.time(), opened_at_s + REOPEN_INTERVAL_S)
+            self._reopen_timer = loop.call_at(reopen_at_s, self.open)
 
-    # --- the protocol --------------------------------------------------------------------------
+    # --- protocol ------------------------------------------------------------------------------
 
     async def _read(self, address: str) -> None:
-        """Read from one address until the response ends or breaks."""
+        """Read list changes from an address until the response ends or fails."""
         loop = asyncio.get_running_loop()
         url = f"http://{address}/registry/instances"
-        limit = asyncio.timeout_at(loop.time() + CONNECT_TIMEOUT_S)
+        read_timeout = asyncio.timeout_at(loop.time() + CONNECT_TIMEOUT_S)
 
         async def on_connected(session: object, context: object, params: object) -> None:
-            limit.reschedule(loop.time() + self._head_timeout_s)
+            read_timeout.reschedule(loop.time() + self._head_timeout_s)
 
         trace = aiohttp.TraceConfig()
         trace.on_connection_create_end.append(on_connected)
         async with (
-            limit,
+            read_timeout,
             aiohttp.ClientSession(
                 timeout=aiohttp.ClientTimeout(total=None, sock_connect=None),
                 trust_env=False,
@@ -180,54 +182,57 @@
             ) as session,
         ):
             if self._needs_full_list:
-                # Another discovery may have a version count of its own: the version read last would ask it
-                # for the wrong changes. So its complete list is read first.
+                # Discovery may count versions differently here, so that asking for the changes since the last
+                # known version would return the wrong ones. The complete list is read first for that reason.
                 await self._read_full_list(session, url)
-                limit.reschedule(loop.time() + self._head_timeout_s)
+                read_timeout.reschedule(loop.time() + self._head_timeout_s)
             watch_url = f"{url}?watch=1&after={self._directory.version}"
             async with session.get(watch_url, allow_redirects=False) as response:
                 _check_status(response)
-                await self._read_changes(response, limit)
+                await self._read_changes(response, read_timeout)
 
     async def _read_full_list(self, session: aiohttp.ClientSession, url: str) -> None:
         async with session.get(url, allow_redirects=False) as response:
             _check_status(response)
-            text = b""
+            object_json = b""
             async for chunk in response.content.iter_any():
-                text += chunk
-                if len(text) > MAX_OBJECT_BYTES:
-                    raise ValueError("a list without an end")
-            self._apply(text, "full")
+                object_json += chunk
+                if len(object_json) > MAX_OBJECT_BYTES:
+                    raise ValueError(f"endpoint list is longer than {MAX_OBJECT_BYTES} bytes")
+            self._apply(object_json, "full")
 
-    async def _read_changes(self, response: aiohttp.ClientResponse, limit: asyncio.Timeout) -> None:
+    async def _read_changes(self, response: aiohttp.ClientResponse, read_timeout: asyncio.Timeout) -> None:
         loop = asyncio.get_running_loop()
         stream = JsonObjectStream()
-        limit.reschedule(loop.time() + WATCH_SILENCE_S)
+        read_timeout.reschedule(loop.time() + WATCH_SILENCE_S)
         async for chunk in response.content.iter_any():
             progress = stream.feed(chunk)
             if progress.is_alive:
                 self._failure_is_logged = False
                 self._reopened_after_silence = False
-                limit.reschedule(loop.time() + WATCH_SILENCE_S)
-            for text in progress.objects:
+                read_timeout.reschedule(loop.time() + WATCH_SILENCE_S)
+            for object_json in progress.objects:
                 self.counts["lines"] += 1
-                self._apply(text)
+                self._apply(object_json)
 
-    def _apply(self, text: bytes, kind: PageKind | None = None) -> None:
-        """Merge one object of discovery and notify the decision module.
+    def _apply(self, object_json: bytes, kind: PageKind | None = None) -> None:
+        """Merge an endpoint page into the directory and notify the decision module.
 
-        :raises OutdatedPageError: its changes are older than the version in force; they are merged with care
+        :raises OutdatedPageError: the changes are older than the current version; only drains
+            and removals of listed nodes were merged
         """
         is_current = self._is_current()
-        # changes from an address that discovery has left still count, but not their version
+        # changes from a previous address are merged, but their version is ignored
         page = self._directory.parse_page(
-            orjson.loads(text), version=None if is_current else self._directory.version
+            orjson.loads(object_json), version=None if is_current else self._directory.version
         )
         is_outdated = kind is None and self._directory.is_outdated(page)
         self._post(ev.EndpointsUpdated(self._directory.apply(page, kind)))
         self.on_list()
         if is_outdated:
-            raise OutdatedPageError(f"version {page.version} after {self._directory.version}")
+            raise OutdatedPageError(
+                f"changes have version {page.version}, the current list has version {self._directory.version}"
+            )
         if is_current:
             self._needs_full_list = False
             self._cancel_previous()
@@ -235,4 +240,4 @@
 
 def _check_status(response: aiohttp.ClientResponse) -> None:
     if response.status != 200:
-        raise ValueError(f"status {response.status}")
+        raise ValueError(f"discovery answered with status {response.status}, expected 200")
--- a/harriertide/platform/front.py
+++ b/harriertide/platform/front.py
@@ -1,4 +1,4 @@
-"""The platform's front: routes requests, reads what the decision module needs of them, and submits them."""
+"""The front for the platform's protocol: routes requests, parses their headers and submits them."""
 
 from __future__ import annotations
 
@@ -21,31 +21,29 @@
 
 
 class Front:
-    """Handles requests of clients by the platform's protocol; `objects.front` does so for the object
-    protocol.
+    """Handles client requests in the platform's protocol; `objects.front` handles the object protocol.
 
-    :param runtime: of the core that decides on them
-    :param client: of the storage nodes
-    :param names: of classes, plans and zones; a reload replaces them
-    :param bodies: memory for request bodies
+    :param runtime: runs the core, which decides on the requests
+    :param client: forwards requests to the storage nodes
+    :param names: names of classes, plans and zones; a reload replaces them
+    :param bodies: memory budget for request bodies
     """
 
     def __init__(self, runtime: Runtime, client: NodeClient, names: Names, bodies: BodyBudget) -> None:
         self.counts: Counter[str] = Counter()
         self.names = names
         self.bodies = bodies
-        self.ready = (
-            True  # health checks are answered 200; else 503: starting, stopping, drained, in maintenance
-        )
-        self.closes_connections = False  # each response is the last on its connection
-        self.rejects_requests = False  # shutdown is near: nothing is forwarded any more
+        # False while the broker starts, stops, is drained or is in maintenance: health checks then get 503
+        self.ready = True
+        self.closes_connections = False  # whether connections close after their next response
+        self.rejects_requests = False  # set shortly before shutdown; requests are no longer forwarded
         self._runtime = runtime
         self._client = client
         self._date_second = 0
         self._date = ""
 
     def date(self) -> str:
-        """Now, as HTTP writes it."""
+        """Return the current time in the format of the HTTP Date header."""
         second = self._runtime.clock.now_us() // 1_000_000
         if second != self._date_second:
             self._date_second = second
@@ -55,11 +53,11 @@
     def handle_request(
         self, connection: PlatformConnection, message: RawRequestMessage, body: bytes | StreamedRequestBody
     ) -> None:
-        """Answer a request, or hand it to the core.
+        """Answer a request, or submit it to the core.
 
-        :param connection: on which it came
-        :param message: its head
-        :param body: all of it, or a stream that begins with what was buffered
+        :param connection: the connection that received the request
+        :param message: the request head
+        :param body: the whole body, or a stream that begins with the buffered part
         """
         path = message.path.partition("?")[0]
         if path == READINESS_PATH:
@@ -80,7 +78,7 @@
     def _submit(
         self, connection: PlatformConnection, message: RawRequestMessage, body: bytes | StreamedRequestBody
     ) -> None:
-        """Hand a request to the core, unless it is malformed."""
+        """Submit a request to the core, or refuse a malformed one."""
         runtime = self._runtime
         streams_body = isinstance(body, StreamedRequestBody)
         try:
@@ -90,8 +88,8 @@
                 message.method, message.path, connection.fields, runtime.clock.now_us(), self.names,
                 runtime.core.settings, streams_body,
             )  # fmt: skip
-        except MalformedRequestError as reason:
-            connection.refuse(400, str(reason))
+        except MalformedRequestError as error:
+            connection.refuse(400, str(error))
             return
         connection.request_id = arrival.request_id
         job = PlatformJob(self._client, connection, message, body)
@@ -99,5 +97,5 @@
             connection.refuse(400, "X-Call-Id is in use")
 
     def on_client_disconnected(self, connection: PlatformConnection) -> None:
-        """The client closed its connection while its request was open."""
+        """Stop the open request of a client that has disconnected."""
         self._runtime.client_disconnected(connection.request_id)
--- a/harriertide/platform/job.py
+++ b/harriertide/platform/job.py
@@ -1,4 +1,4 @@
-"""A platform request on its way through the broker: forwarded to a node, and answered as the node answers."""
+"""A platform request in the broker: forwarded to a node, whose response is returned to the client."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class PlatformJob:
-    """One request of the platform, as the runtime performs it.
+    """A platform request, as the runtime's job interface represents it.
 
-    :param client: of the storage nodes
-    :param connection: that waits for the answer
-    :param message: the head of the request
-    :param body: its body, buffered or streamed
+    :param client: forwards the request to the storage nodes
+    :param connection: the client connection that waits for the response
+    :param message: the request head
+    :param body: the request body, buffered or streamed
     """
 
     context = None
@@ -45,7 +45,7 @@
         self._headers = forwarded_headers(message.raw_headers)
 
     async def perform(self, attempt: Attempt) -> AttemptResult:
-        """Forward the request as it came, with the time that this broker will wait for the response."""
+        """Forward the request unchanged, except that X-Budget-Ms tells how long the broker will wait."""
         body = self._body
         wait_ms = max(1, (attempt.stop_at_us - attempt.runtime.clock.now_us()) // 1000)
         headers = [*self._headers, (b"X-Budget-Ms", b"%d" % wait_ms)]
@@ -60,11 +60,11 @@
         return AttemptResult(*await self._client.forward(attempt, self._method, self._target, headers, body))
 
     def has_client_disconnected(self) -> bool:
-        """Whether the client has closed its connection, or its side of it."""
+        """Whether the client has closed its connection, at least for sending."""
         return is_closed_by_peer(self._connection.transport)
 
     def respond(self, answer: ev.Respond) -> None:
-        """Write the final answer to the connection that waits for it."""
+        """Write the final response to the waiting connection."""
         if answer.kind == "served" and isinstance(answer.reply, Reply):
             reply = answer.reply
             content_type = reply.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
--- a/harriertide/platform/json_stream.py
+++ b/harriertide/platform/json_stream.py
@@ -1,19 +1,19 @@
-"""Splits a byte stream into JSON objects, each on one line or indented over several lines."""
+"""Splits a byte stream into JSON objects, which may each span several lines."""
 
 from __future__ import annotations
 
 import re
 from typing import NamedTuple
 
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # a whole endpoint list of thousands of nodes is far below this
-_JSON_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings, which may hold brackets, and brackets
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # a complete endpoint list of thousands of nodes is far smaller
+_JSON_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # strings (may contain brackets) and brackets
 
 
 class StreamProgress(NamedTuple):
-    """What a read of the stream has completed.
+    """The result of feeding bytes to the stream.
 
-    :param objects: the text of each JSON object that is complete now, in order
-    :param is_alive: whether the sender has shown life: an object, or an empty line between objects
+    :param objects: the JSON text of each object that these bytes complete, in order
+    :param is_alive: whether the sender has sent a sign of life: an object, or an empty line between objects
     """
 
     objects: list[bytes]
@@ -21,19 +21,19 @@
 
 
 class JsonObjectStream:
-    """Collects the bytes of a stream until a JSON object is complete."""
+    """Buffers the bytes of a stream until a JSON object is complete."""
 
     def __init__(self) -> None:
         self._partial_line = b""
-        self._object_lines: list[bytes] = []  # of the object that is not complete yet
+        self._object_lines: list[bytes] = []  # lines of the incomplete object
         self._object_bytes = 0
         self._open_bracket_count = 0
 
     def feed(self, data: bytes) -> StreamProgress:
-        """Take the next bytes of the stream.
+        """Process the next bytes of the stream.
 
-        Guards against a line that trickles in, or an object that never ends, passing for signs of life: the
-        caller's silence timeout starts again only where `is_alive` says so.
+        A line that trickles in, or an object that never ends, is not a sign of life: the caller restarts its
+        silence timeout only if `is_alive` is set.
 
         :raises ValueError: an object is larger than MAX_OBJECT_BYTES
         """
@@ -48,7 +48,7 @@
             if self._open_bracket_count <= 0:
                 objects.append(self._take_object())
         if len(self._partial_line) + self._object_bytes > MAX_OBJECT_BYTES:
-            raise ValueError("a list without an end")
+            raise ValueError(f"JSON object is longer than {MAX_OBJECT_BYTES} bytes")
         return StreamProgress(objects, saw_keep_alive or bool(objects))
 
     def _add_line(self, line: bytes) -> None:
--- a/harriertide/platform/probes.py
+++ b/harriertide/platform/probes.py
@@ -1,4 +1,4 @@
-"""Probes, the active health checks of storage nodes, where the settings allow them."""
+"""Probes: active health checks of storage nodes, used if the settings allow them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Probes:
-    """Probes nodes when the core says so, one probe of a node at a time; the client bounds each in time.
+    """Probes nodes on request of the core, each node with one probe at a time.
 
-    :param client: of the storage nodes
-    :param post: takes the outcomes, for the core
+    :param client: sends the probes to the storage nodes and limits their duration
+    :param post: passes the outcomes to the core
     """
 
     def __init__(self, client: NodeClient, post: Callable[[ev.Event], None]) -> None:
@@ -26,7 +26,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}  # by node ID
 
     def start(self, node: str) -> None:
-        """Probe a node, unless a probe of it is under way."""
+        """Probe a node unless a probe of the node is in progress."""
         if node not in self._tasks:
             self.counts["sent"] += 1
             self._tasks[node] = asyncio.get_running_loop().create_task(self._probe(node))
@@ -40,7 +40,7 @@
         self._post(ev.ProbeFinished(node, outcome))
 
     async def close(self) -> None:
-        """Cancel the probes that are under way; the core is not notified."""
+        """Cancel the probes in progress; the core is not notified."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
--- a/harriertide/platform/request_body.py
+++ b/harriertide/platform/request_body.py
@@ -1,7 +1,7 @@
 """Bodies of platform requests: buffered until complete, or streamed to the node while they arrive.
 
-A retry can send a buffered body again. All buffered bodies share a memory budget; one that finds no room in
-it is streamed, and has one attempt.
+A retry can send a buffered body again. All buffered bodies share a memory budget. A body that does not fit
+into the budget is streamed, and its request gets one attempt only.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from harriertide.platform.fields import HeaderFields
 from harriertide.platform.response_writer import LAST_CHUNK, encode_chunk
 
-MAX_REQUEST_BODY_BYTES = 32 * 1024 * 1024  # the longest that the platform's protocol allows
-MAX_LENGTH_DIGITS = 9  # of a Content-Length; more say nothing but "too long"
-ALWAYS_BUFFERED_BYTES = 64 * 1024  # a body up to so long is buffered even where the budget is used up
+MAX_REQUEST_BODY_BYTES = 32 * 1024 * 1024  # limit of the platform's protocol
+MAX_LENGTH_DIGITS = 9  # of Content-Length; a longer number exceeds any limit
+ALWAYS_BUFFERED_BYTES = 64 * 1024  # bodies up to this size are buffered even if the budget is exhausted
 
 
 class BodyTooLongError(Exception):
-    """The client sent a body of more than MAX_REQUEST_BODY_BYTES; it is answered with status 413."""
+    """A request body exceeds MAX_REQUEST_BODY_BYTES; the request is answered with status 413."""
 
 
 def declared_length(fields: HeaderFields) -> int:
-    """The length that the head states; 0 where it states none.
+    """Return the Content-Length of a request, or 0 if the field is absent.
 
-    :raises BodyTooLongError: it is more than a body may have, or no number at all
+    :raises BodyTooLongError: the value exceeds MAX_REQUEST_BODY_BYTES or is not a number
     """
     digits = fields.get(b"content-length", b"0")
     if len(digits) > MAX_LENGTH_DIGITS or not digits.isdigit() or int(digits) > MAX_REQUEST_BODY_BYTES:
@@ -38,9 +38,9 @@
 
 
 class RequestBodyBuffer:
-    """The received part of the current request's body, and its share of the memory budget.
+    """The received part of a request body, and the memory reserved for it.
 
-    :param budget: for the buffered bodies of all connections
+    :param budget: the memory budget that all connections share
     """
 
     __slots__ = ("_budget", "_parts", "_reserved_bytes", "received_bytes")
@@ -48,33 +48,35 @@
     def __init__(self, budget: BodyBudget) -> None:
         self._budget = budget
         self._parts: list[bytes] = []
-        self._reserved_bytes = 0  # until the request is answered, as a retry sends the body again
+        self._reserved_bytes = 0  # kept until the response, as a retry sends the body again
         self.received_bytes = 0
 
     def append(self, part: bytes) -> None:
-        """Take the next bytes of the body."""
+        """Append the next bytes of the body."""
         self._parts.append(part)
         self.received_bytes += len(part)
 
-    def reserve(self, size: int) -> bool:
-        """Reserve memory for so many bytes of this body in total; whether the budget had room for them."""
-        missing = size - self._reserved_bytes
-        if missing > 0 and self._budget.reserve(missing, may_exceed=size <= ALWAYS_BUFFERED_BYTES):
-            self._reserved_bytes = size
-        return self._reserved_bytes >= size
+    def reserve(self, size_bytes: int) -> bool:
+        """Raise the reservation for this body to a total size; return whether the budget had room for it."""
+        missing_bytes = size_bytes - self._reserved_bytes
+        if missing_bytes > 0 and self._budget.reserve(
+            missing_bytes, may_exceed=size_bytes <= ALWAYS_BUFFERED_BYTES
+        ):
+            self._reserved_bytes = size_bytes
+        return self._reserved_bytes >= size_bytes
 
     def is_too_long(self) -> bool:
-        """Whether more was received than a body may have."""
+        """Whether the received part exceeds MAX_REQUEST_BODY_BYTES."""
         return self.received_bytes > MAX_REQUEST_BODY_BYTES
 
     def take(self) -> bytes:
-        """Take what was received, in one piece. The buffer keeps nothing: no budget counts a second copy."""
+        """Move the received bytes out of the buffer, as the budget does not account for a second copy."""
         joined = b"".join(self._parts)
         self._parts = []
         return joined
 
     def clear(self) -> None:
-        """Forget the body and return its memory to the budget."""
+        """Discard the body and return its memory to the budget."""
         self._budget.release(self._reserved_bytes)
         self._reserved_bytes = 0
         self._parts = []
@@ -82,23 +84,23 @@
 
 
 class BodyOwner(Protocol):
-    """The connection that a body is received on."""
+    """The connection that receives a body."""
 
     fields: HeaderFields
 
     def on_body_too_long(self) -> None:
-        """More was received than a body may have."""
+        """Handle a body that exceeds MAX_REQUEST_BODY_BYTES."""
 
     def on_body_end(self) -> None:
-        """The last byte of the body was read."""
+        """Handle the end of the body, after its last byte was read."""
 
 
 class StreamedRequestBody:
-    """A request body that is streamed to the node: the received part any number of times, the rest once.
+    """A request body that is streamed to the node; its first part can be resent, the remainder cannot.
 
-    :param owner: the connection that it is received on
-    :param reader: of its rest
-    :param first_part: what was received already; a retry can send it again while nothing more was sent
+    :param owner: the connection that receives the body
+    :param reader: reads the remainder of the body
+    :param first_part: the buffered part; a retry can send it again until the remainder has been started
     """
 
     def __init__(self, owner: BodyOwner, reader: StreamReader, first_part: bytes) -> None:
@@ -112,9 +114,9 @@
         )
 
     async def chunks(self, attempt: Attempt) -> AsyncIterator[bytes]:
-        """Yield the body in its framing. Once more than the first part is read, no retry can follow.
+        """Yield the framed body. No retry is possible once the remainder has been started.
 
-        :raises BodyTooLongError: the client sends more than a body may have
+        :raises BodyTooLongError: the body exceeds MAX_REQUEST_BODY_BYTES
         :raises TimeoutError: the client sends nothing for STREAM_IDLE_TIMEOUT_S
         """
         yield self._frame(self._first_part)
--- a/harriertide/platform/response_writer.py
+++ b/harriertide/platform/response_writer.py
@@ -1,4 +1,4 @@
-"""Responses to the platform's clients as bytes: heads, framing, chunks, and streamed bodies."""
+"""Encodes responses to platform clients: heads, framing, chunks and streamed bodies."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Framing(Enum):
-    """How a client finds the end of a response's body."""
+    """How a client detects the end of a response body."""
 
     LENGTH = "its length is in the head"
     CHUNKED = "it is sent in chunks"
@@ -27,10 +27,10 @@
 
 
 def choose_framing(length: int | None, is_http_1_0: bool) -> Framing:
-    """The framing for a body.
+    """Return the framing for a response body.
 
-    :param length: of the whole body, in bytes; None: not known yet
-    :param is_http_1_0: the client reads no chunks
+    :param length: the length of the whole body in bytes; None: not known yet
+    :param is_http_1_0: whether the client uses HTTP/1.0, which has no chunked encoding
     """
     if length is not None:
         return Framing.LENGTH
@@ -38,16 +38,16 @@
 
 
 def encode_head(
-    status: int, fields: str, length: int | None, framing: Framing, closes: bool, date: str
+    status: int, fields: str, length: int | None, framing: Framing, closes_connection: bool, date: str
 ) -> bytes:
-    """The head of a response.
+    """Encode the head of a response.
 
-    :param fields: header lines to begin with, each with its line end
-    :param length: of the body, where the framing needs it
-    :param closes: whether it is the last response on its connection
-    :param date: the value of the field Date
+    :param fields: the first header lines, each with its line end
+    :param length: the length of the body, if the framing needs it
+    :param closes_connection: whether the connection closes after this response
+    :param date: the value of the Date header
     """
-    if closes:
+    if closes_connection:
         fields += "Connection: close\r\n"
     if framing is Framing.LENGTH:
         fields += f"Content-Length: {length}\r\n"
@@ -58,7 +58,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Some bytes as one chunk of a body in chunks."""
+    """Encode bytes as a chunk of the chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -68,12 +68,13 @@
     remainder: ResponseRemainder,
     framing: Framing,
 ) -> bool:
-    """Send what follows the first part of a body, as fast as the client reads it, and dispose of it.
+    """Send the remainder of a body, as fast as the client reads it, and dispose of the remainder.
 
-    :param transport: of the client's connection
-    :param drain: waits until the client has read enough for more to be written
-    :returns: whether the body went out to its end; False where either side broke off or stood still for
-        STREAM_IDLE_TIMEOUT_S
+    :param transport: the transport of the client connection
+    :param drain: waits until the client has read enough for more data to be written
+    :returns: whether the whole body was sent; False if the client or the node closed its connection or was
+        idle
+        for STREAM_IDLE_TIMEOUT_S
     """
     try:
         async for chunk in remainder.chunks():
