--- a/harriertide/platform/configuration.py
+++ b/harriertide/platform/configuration.py
@@ -107,9 +107,9 @@
     try:
         return orjson.loads(Path(path).read_bytes())
     except OSError as error:
-        raise BadConfigError(f"LB_CONFIG: cannot read {path}: {error.strerror}") from None
+        raise BadConfigError(f"LB_CONFIG names a file that cannot be read: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise BadConfigError(f"LB_CONFIG: {path} is not JSON: {error}") from None
+        raise BadConfigError(f"LB_CONFIG names a file that is not JSON: {error}") from None
 
 
 def _parse_config(raw: Any, environment: Mapping[str, str], running: Config | None) -> Config:
@@ -165,23 +165,21 @@
 def _check_address(key: str, text: str) -> None:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError(f"{key}: must be host:port with a port up to {MAX_PORT}, got {text!r}")
+        raise ValueError(f"{key}: must be host:port with a port of at most 65535")
 
 
 def _parse_descriptor(text: str) -> int | None:
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
-        raise ValueError(
-            f"LB_INHERITED_FD: must be a number of up to {MAX_DESCRIPTOR_DIGITS} digits, got {text!r}"
-        )
+        raise ValueError("LB_INHERITED_FD: must be a descriptor number of at most 7 digits")
     return int(text)
 
 
 def _parse_seed(raw: Mapping[str, Any]) -> int:
     digits = str(raw.get("seed") or "0")
     if not set(digits) <= set(hexdigits):
-        raise ValueError(f"seed: must consist of hex digits, got {digits!r}")
+        raise ValueError("seed: must consist of hex digits")
     return int(digits, 16)
 
 
--- a/harriertide/platform/endpoint_watch.py
+++ b/harriertide/platform/endpoint_watch.py
@@ -198,7 +198,7 @@
             async for chunk in response.content.iter_any():
                 object_json += chunk
                 if len(object_json) > MAX_OBJECT_BYTES:
-                    raise ValueError(f"endpoint list is longer than {MAX_OBJECT_BYTES} bytes")
+                    raise ValueError("endpoint list is longer than 4 MiB")
             self._apply(object_json, "full")
 
     async def _read_changes(self, response: aiohttp.ClientResponse, read_timeout: asyncio.Timeout) -> None:
@@ -240,4 +240,4 @@
 
 def _check_status(response: aiohttp.ClientResponse) -> None:
     if response.status != 200:
-        raise ValueError(f"discovery answered with status {response.status}, expected 200")
+        raise ValueError(f"discovery did not answer with status 200 but {response.status}")
--- a/harriertide/platform/json_stream.py
+++ b/harriertide/platform/json_stream.py
@@ -48,7 +48,7 @@
             if self._open_bracket_count <= 0:
                 objects.append(self._take_object())
         if len(self._partial_line) + self._object_bytes > MAX_OBJECT_BYTES:
-            raise ValueError(f"JSON object is longer than {MAX_OBJECT_BYTES} bytes")
+            raise ValueError("JSON object is longer than 4 MiB")
         return StreamProgress(objects, saw_keep_alive or bool(objects))
 
     def _add_line(self, line: bytes) -> None:
