--- a/tests/platform_scripts.py
+++ b/tests/platform_scripts.py
@@ -1,4 +1,4 @@
-"""Pieces of scenario scripts and settings that several tests of the platform's front share."""
+"""Parts of scenario scripts, and settings, that several tests of the platform's protocol share."""
 
 from __future__ import annotations
 
--- a/tests/socket_broker.py
+++ b/tests/socket_broker.py
@@ -1,7 +1,7 @@
-"""A broker on real sockets with one stub node, and clients that are plain sockets.
+"""A broker on real sockets with a stub node, and plain sockets as its clients.
 
-Clients are driven from the loop's own thread: what they do between two turns of the loop has happened, for
-the system, before the broker's loop hears of any of it.
+Clients run in the thread of the event loop: what they do between two iterations of the loop has taken effect
+in the kernel before the broker's loop handles any of it.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 from tests.scenario import HttpConnection, ScenarioRunner, StubServer
 from tests.test_net import OPERATOR, WIRE
 
-FLOOD = b"x" * 40_000  # fits the socket buffer of a program that does not read
+FLOOD = b"x" * 40_000  # fits into the socket buffer of a peer that does not read
 LONG_BODY = bytes(range(256)) * 1200  # 300 KiB
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
 class SocketBroker:
-    """A daemon with one stub node."""
+    """A broker daemon with one stub node."""
 
     def __init__(self, daemon: Daemon, node: StubServer, port: int) -> None:
         self.daemon, self.node, self.port = daemon, node, port
         self.request_count, self.stopped = 0, False
 
     async def stop(self) -> None:
-        """Shut down as on SIGTERM."""
+        """Shut the broker down as on SIGTERM."""
         self.stopped = True
         await self.daemon.stop()
 
@@ -56,12 +56,12 @@
         ).encode() + body
 
     async def next_request(self) -> HttpConnection:
-        """The connection of the next request that the node gets."""
+        """Return the connection of the next request that the node receives."""
         async with asyncio.timeout(5):
             return (await self.node.requests.get())[3]
 
     async def connect_in_state(self, path: str, state: client_connection.ConnectionState) -> socket.socket:
-        """A client that has its response, once its connection is in this state."""
+        """Return a client that has sent a request, once the broker has its connection in the given state."""
         client = self.connect()
         client.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         while not self.daemon.clients.in_state(state):
@@ -69,12 +69,12 @@
         return client
 
     async def wait_until_settled(self) -> None:
-        """Until all that can follow has: attempts leave a gap behind each other, and may connect first."""
+        """Wait until no retry can follow; attempts are spaced in time, and may have to connect first."""
         await asyncio.sleep(0.15)
         assert self.daemon.core.open_request_count() == 0
 
     async def read(self, client: socket.socket) -> bytes:
-        """All that a client gets until the end of its connection; ConnectionResetError where it was reset."""
+        """Return all data up to the end of the connection; raises ConnectionResetError after a reset."""
         client.setblocking(False)
         loop, received = asyncio.get_running_loop(), b""
         async with asyncio.timeout(5):
@@ -93,9 +93,9 @@
     wire: dict[str, Any] = WIRE,
     **config_fields: object,
 ) -> None:
-    """Run a scenario on the platform's front, or on the object front.
+    """Run a scenario with the front of the platform's protocol, or with that of the object protocol.
 
-    :param objects: the path of the object front's catalogue; empty for the platform's front
+    :param objects: the path of the object front's catalogue; empty for the platform's protocol
     :param config_fields: further fields of the configuration
     """
 
@@ -103,16 +103,16 @@
         node, discovery = StubServer(), StubServer()
         ports = {"b1": await node.start(), "s": await discovery.start()}
         if objects:
-            boxes = {"b1": {"address": f"127.0.0.1:{ports['b1']}", "shard": 0}}
+            nodes = {"b1": {"address": f"127.0.0.1:{ports['b1']}", "shard": 0}}
             daemon = Daemon(
-                None, operator_file.read_operator_file({**OPERATOR, "boxes": boxes, "catalogue": objects})
+                None, operator_file.read_operator_file({**OPERATOR, "boxes": nodes, "catalogue": objects})
             )
         else:
-            host = ScenarioRunner({}, ports, None).endpoint_entry("b1", "up")
+            entry = ScenarioRunner({}, ports, None).endpoint_entry("b1", "up")
             config = Config(
                 name="n", listen=parse_address("127.0.0.1:0"), discovery=f"127.0.0.1:{ports['s']}", seed=1,
                 settings=from_wire(wire), names=names_from_wire(wire), peer_listen=None, peers=[],
-                cached_list=parse_page({"seq": 7, "whole": True, "hosts": [host]}, {}), raw_settings=wire,
+                cached_list=parse_page({"seq": 7, "whole": True, "hosts": [entry]}, {}), raw_settings=wire,
             )  # fmt: skip
             daemon = Daemon(replace(config, **config_fields), None)  # type: ignore[arg-type]
         await daemon.start()
@@ -130,7 +130,7 @@
 
 @pytest.fixture(autouse=True)
 def short_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shorten the times of a graceful shutdown."""
+    """Shorten the timeouts of a graceful shutdown."""
     times = {
         "ACCEPT_GRACE_S": 0.05,
         "MAX_REQUEST_S": 0.3,
@@ -142,12 +142,12 @@
 
 
 def request_head(broker: SocketBroker, extra_fields: str = "", method: str = "GET") -> bytes:
-    """The head of a request with these fields."""
+    """Return a request head with these fields in place of Content-Length."""
     return broker.request(method).replace(b"Content-Length: 0\r\n", extra_fields.encode())
 
 
 async def receive_all(client: socket.socket, until: bytes = b"") -> bytes:
-    """All bytes up to the end of the connection, or up to these."""
+    """Receive all bytes up to the end of the connection, or up to the given bytes."""
     client.setblocking(False)
     received = bytearray()
     async with asyncio.timeout(5):
@@ -160,7 +160,7 @@
 
 
 def decode_chunks(data: bytes) -> bytes:
-    """The body of chunks without extensions, up to the last one."""
+    """Decode a chunked body without extensions, up to its last chunk."""
     body = b""
     while True:
         size, _, data = data.partition(b"\r\n")
@@ -175,7 +175,7 @@
 
 
 def encode_chunks(data: bytes, size: int) -> bytes:
-    """Data in chunks with an extension each, and trailers."""
+    """Encode data in chunks that have an extension each, followed by a trailer."""
     parts = [data[offset : offset + size] for offset in range(0, len(data), size)]
-    coded = b"".join(b"%x;name=value\r\n%b\r\n" % (len(part), part) for part in parts)
-    return coded + b"0\r\nX-Sum: 1\r\n\r\n"
+    encoded_chunks = b"".join(b"%x;name=value\r\n%b\r\n" % (len(part), part) for part in parts)
+    return encoded_chunks + b"0\r\nX-Sum: 1\r\n\r\n"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,6 +1,4 @@
-"""The configuration of a process and its settings: what is rejected, with which message, and the least
-that serves.
-"""
+"""The configuration of a broker process: rejected values, their messages, and a minimal configuration."""
 
 from __future__ import annotations
 
@@ -33,7 +31,7 @@
 ]  # fmt: skip
 
 
-# Outside the settings: values that can't be used
+# Invalid values of keys outside the settings
 INVALID_CONFIGURATION: list[tuple[str, Any]] = [
     ("name", 7), ("listen", "here"), ("listen", "127.0.0.1:port"), ("discovery", MISSING),
     ("discovery", ":1"), ("peer_listen", "127.0.0.1"), ("peers", ["127.0.0.1:1", "x"]),
@@ -50,7 +48,7 @@
 def test_an_invalid_configuration_is_reported_in_one_line_that_names_the_key(
     key: str, value: Any, tmp_path: Path
 ) -> None:
-    """An operator starts a broker with a value that can't be used, or without one that must be there."""
+    """A broker is started with an invalid value, or without a required key."""
     raw = {**MINIMAL_CONFIGURATION, "settings": WIRE, key: value}
     if value is MISSING:
         del raw[key]
@@ -60,7 +58,7 @@
     assert f"LB_CONFIG: {key}" in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_configuration_is_an_object(tmp_path: Path) -> None:
+def test_a_configuration_that_is_not_an_object_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "config").write_text("[]")
     with pytest.raises(BadConfigError, match="must be an object"):
         read_config({"LB_CONFIG": str(tmp_path / "config")})
@@ -73,10 +71,8 @@
         read_config({"LB_CONFIG": str(tmp_path / "config")})
 
 
-def test_minimal_settings_with_one_class_and_one_plan_serve(tmp_path: Path) -> None:
-    """Another customer's settings: no zones, no limits of plans, no retries, a deadline of 80 ms, one
-    attempt.
-    """
+def test_a_broker_serves_with_minimal_settings(tmp_path: Path) -> None:
+    """The settings have no zones, no plan limits, no retries, a deadline of 80 ms and a single attempt."""
     request_class = {"name": "x", "deadlineUs": 80_000, "sloUs": 40_000, "worth": 1, "effect": "at_most_once"}
     settings = copy.deepcopy(WIRE)
     for part, keys in {"limits": ("maxRetryAfterUs", "cancel"), "domain": ("writes",)}.items():
@@ -101,7 +97,7 @@
 def test_invalid_settings_are_reported_in_one_line_that_names_the_key(
     path: str, value: Any, tmp_path: Path
 ) -> None:
-    """The settings of a configuration hold a value that can't be used, or lack one that must be there."""
+    """The settings of a configuration have an invalid value, or lack a required key."""
     settings = copy.deepcopy(WIRE)
     *keys, last = [int(step) if step.isdigit() else step for step in path.split(".")]
     container: Any = settings
@@ -126,7 +122,7 @@
 
 
 def test_a_reload_keeps_the_socket_that_the_platform_holds(tmp_path: Path) -> None:
-    """Guards against a process that listens for itself once its file was reread: the address is taken."""
+    """Guards against a reload after which the process opens its own socket, whose address is in use."""
     (tmp_path / "config").write_text(json.dumps({**MINIMAL_CONFIGURATION, "settings": WIRE}))
     environment = {"LB_CONFIG": str(tmp_path / "config"), "LB_INHERITED_FD": "5"}
     running = read_config(environment)
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list while discovery fails in every way, in virtual time."""
+"""The endpoint watch while discovery fails in various ways, in virtual time."""
 
 from __future__ import annotations
 
@@ -34,24 +34,24 @@
 
 
 class SilentDiscovery:
-    """Answers calls with a list where set so, and then sends nothing on them."""
+    """Answers each call with an empty list or not at all, as listed, and then sends nothing more."""
 
-    def __init__(self, answers: list[bool]) -> None:
-        self.answers = answers
+    def __init__(self, answers_calls: list[bool]) -> None:
+        self.answers_calls = answers_calls
         self.call_times: list[float] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         self.call_times.append(round(asyncio.get_running_loop().time() - 1.0, 3))
-        if self.answers and self.answers.pop(0):
+        if self.answers_calls and self.answers_calls.pop(0):
             chunk = b"%x\r\n%s\r\n" % (len(EMPTY_LIST), EMPTY_LIST)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
         with suppress(asyncio.CancelledError):
             await asyncio.Event().wait()
 
 
-def run_watch(answers: list[bool], seconds: float) -> tuple[list[float], list[str]]:
-    """The times of the calls, and the kinds of updates that the core got, in order."""
+def run_watch(answers_calls: list[bool], seconds: float) -> tuple[list[float], list[str]]:
+    """Return the times of the calls, and the kinds of the updates that the core received, in order."""
     update_kinds: list[str] = []
 
     def post(event: ev.Event) -> None:
@@ -59,7 +59,7 @@
         update_kinds.append(event.update.kind)
 
     async def main() -> list[float]:
-        discovery = SilentDiscovery(answers)
+        discovery = SilentDiscovery(answers_calls)
         server = await asyncio.start_server(discovery.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         watch = EndpointWatch(f"127.0.0.1:{port}", EndpointDirectory({}), post)
@@ -73,10 +73,9 @@
 
 
 def test_a_silent_watch_is_reopened_in_time_without_the_core() -> None:
-    """Discovery goes silent on an open watch.
+    """Discovery goes silent on an open watch, and may have a drain to report.
 
-    A drain may wait there: the watch is opened again at once, with no backoff, and the decision module does
-    not count it as a failure.
+    The watch is reopened at once, without backoff, and the decision module does not count a failure.
     """
     call_times, update_kinds = run_watch([True, True, True], 7.0)
     assert (
@@ -88,7 +87,7 @@
 
 
 def test_an_unanswered_call_is_repeated_once_and_then_left_to_the_cores_backoff() -> None:
-    """Discovery answers nobody. Hundreds of brokers that call it again and again would keep it down."""
+    """Discovery answers no call. Immediate retries by hundreds of brokers would keep discovery overloaded."""
     call_times, update_kinds = run_watch([False, False], 60.0)
     assert len(call_times) == 2 and call_times[1] - call_times[0] < NOTIFICATION_DEADLINE_S - 1.0
     assert update_kinds == ["failed"]
@@ -105,9 +104,9 @@
 
 
 class FaultyDiscovery:
-    """Discovery that fails in one way until a moment, and works from then on, with a drain.
+    """Discovery that fails in a given way until a given time, then works and reports a drain.
 
-    Connections that were opened before stay as they were then: what hangs goes on hanging.
+    Connections that were opened before that time keep their fault: a hanging one continues to hang.
     """
 
     def __init__(self, failure: str, until_s: float) -> None:
@@ -123,10 +122,10 @@
             head = await reader.readuntil(b"\r\n\r\n")
             self.call_count += 1
             is_faulty = self.elapsed_s() < self.fails_until_s
-            # the first watch of all comes up, so that there is one to break
+            # the first call succeeds, so that there is a watch that can fail
             if is_faulty and self.call_count > 1 and self.failure in ("503", "reset", "hangs"):
                 if self.failure == "503":
-                    await asyncio.sleep(1.0)  # it waited in the queue
+                    await asyncio.sleep(1.0)  # the call waited in a queue
                     writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
                 elif self.failure == "reset":
                     writer.transport.abort()
@@ -142,46 +141,46 @@
             await self._watch(writer, seq, state, is_faulty)
 
     async def _watch(self, writer: asyncio.StreamWriter, seq: int, state: str, is_faulty: bool) -> None:
-        def chunk(data: bytes) -> None:
+        def write_chunk(data: bytes) -> None:
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
         first = encode_page(seq, state)
         if self.failure == "indented":
             first = orjson.dumps(orjson.loads(first), option=orjson.OPT_INDENT_2)
-        chunk(first + b"\n")
+        write_chunk(first + b"\n")
         if not is_faulty:
             while True:
                 await asyncio.sleep(2.0)
-                chunk(b"\n")
+                write_chunk(b"\n")
         if self.failure in ("503", "reset", "hangs", "ends", "stays"):
             await asyncio.sleep(0.5)
             if self.failure == "stays":
                 await until(self.started_at + self.fails_until_s)
-                chunk(encode_page(8, "draining", whole=False) + b"\n")
+                write_chunk(encode_page(8, "draining", whole=False) + b"\n")
             elif self.failure == "ends":
                 writer.write(b"0\r\n\r\n")
             else:
                 writer.transport.abort()
         elif self.failure == "trickles":
             for byte in encode_page(8, "draining"):
-                chunk(bytes([byte]))
+                write_chunk(bytes([byte]))
                 await asyncio.sleep(0.5)
         elif self.failure == "half an object and empty lines":
-            chunk(b'{"seq":8,\n')
+            write_chunk(b'{"seq":8,\n')
             while True:
                 await asyncio.sleep(1.0)
-                chunk(b"\n")
+                write_chunk(b"\n")
         elif self.failure == "older changes":
             while True:
                 await asyncio.sleep(1.0)
-                chunk(encode_page(3, "up", whole=False) + b"\n")
+                write_chunk(encode_page(3, "up", whole=False) + b"\n")
         elif self.failure == "a number out of bounds":
-            chunk(b'{"seq":1e999,"whole":true,"hosts":[]}\n')
-        await asyncio.Event().wait()  # "silent", and "indented"
+            write_chunk(b'{"seq":1e999,"whole":true,"hosts":[]}\n')
+        await asyncio.Event().wait()  # the failures "silent" and "indented"
 
 
 class BrokerProcess:
-    """A broker's core and watch, as one process has them, with discovery at an address."""
+    """The core and the endpoint watch of a broker process, and the discovery servers that it calls."""
 
     def __init__(self, broker_count: int, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -203,7 +202,7 @@
         return watch
 
     async def wait_for_drain(self, deadline: float) -> float:
-        """The time at which the core knows of the drain, by the loop's clock."""
+        """Wait until the core knows of the drain; return the time of the loop's clock."""
         while self.loop.time() < deadline and self.core.nodes()["n1"].state == "live":
             await until(self.loop.time() + 0.05)
         return self.loop.time()
@@ -218,8 +217,9 @@
 @pytest.mark.parametrize("broker_count", [4, 200])
 @pytest.mark.parametrize("failure", FAILURES)
 def test_a_drain_is_received_in_time_whatever_failed_before(failure: str, broker_count: int) -> None:
-    """Discovery fails in one of many ways, then recovers and drains a node; the moment of that is drawn
-    over the waits between polls.
+    """Discovery fails in one of many ways, then recovers and drains a node.
+
+    The seeds spread the time of the drain over the intervals between polls.
     """
 
     async def measure_delay(seed: int) -> float:
@@ -236,9 +236,12 @@
 
 @pytest.mark.parametrize("broker_count", [4, 200])
 @pytest.mark.parametrize("failure", ["503", "reset", "hangs"])
-def test_a_discovery_that_moves_during_a_call_is_watched_in_time(failure: str, broker_count: int) -> None:
-    """A new configuration names another discovery, whose drain counts 4 s later. The old one fails, and
-    the first call to the new one does too.
+def test_a_drain_is_received_in_time_after_discovery_moves_during_a_call(
+    failure: str, broker_count: int
+) -> None:
+    """A new configuration names another discovery, whose drain must be known within 4 s.
+
+    The previous discovery fails, and so does the first call to the new one.
     """
 
     async def measure_delay(seed: int) -> float:
@@ -247,7 +250,7 @@
         await until(process.loop.time() + DRAIN_AT_S + seed * 0.37)
         moved_at = process.loop.time()
         new_discovery = FaultyDiscovery(failure, 0.5)
-        new_discovery.call_count = 1  # the first is to fail as well
+        new_discovery.call_count = 1  # makes the first call fail as well
         process.runtime.post(ev.SettingsChanged(process.settings))
         watch.change_address(await process.serve(new_discovery))
         drained_at = await process.wait_for_drain(moved_at + 2 * NOTIFICATION_DEADLINE_S)
@@ -257,8 +260,8 @@
     assert max(virtual_time.run(measure_delay(seed)) for seed in range(12)) < 4.0
 
 
-def test_the_longest_waits_for_a_change_add_up_to_less_than_its_deadline() -> None:
-    call, answer = CONNECT_TIMEOUT_S + HEAD_TIMEOUT_S, 0.5
-    assert WATCH_SILENCE_S + call + answer <= NOTIFICATION_DEADLINE_S
-    # discovery came back right behind a call that failed
-    assert POLL_MAX_WAIT_US / 1e6 + call + answer <= NOTIFICATION_DEADLINE_S
+def test_the_longest_delays_of_a_change_add_up_to_less_than_its_deadline() -> None:
+    call_s, answer_s = CONNECT_TIMEOUT_S + HEAD_TIMEOUT_S, 0.5
+    assert WATCH_SILENCE_S + call_s + answer_s <= NOTIFICATION_DEADLINE_S
+    # discovery recovered right after a failed call
+    assert POLL_MAX_WAIT_US / 1e6 + call_s + answer_s <= NOTIFICATION_DEADLINE_S
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between brokers: who is heard, and how long a message may be."""
+"""Datagrams between brokers: accepted senders and the maximum length."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def test_datagrams_of_unlisted_peers_are_dropped_and_malformed_ones_have_no_effect() -> None:
-    """Datagrams come from unknown senders, from the broker's own address, and too long.
+    """Datagrams arrive from unknown senders and from the broker's own address, and overlong ones from a peer.
 
-    They are counted and dropped; a peer's message that makes no sense does nothing to the core.
+    They are counted and dropped. A malformed message of a peer causes no fault in the core.
     """
     received: list[Any] = []
     peers = Peers(["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"], 0, received.append)
@@ -36,7 +36,7 @@
 
 
 def test_no_datagram_is_over_256_bytes() -> None:
-    """A message is too long for the wire, or for a peer that is not listed. It is counted and not sent."""
+    """A message that is too long, or addressed to an unlisted peer, is counted and not sent."""
 
     async def main() -> None:
         loop, datagrams = asyncio.get_running_loop(), asyncio.Queue[bytes]()
--- a/tests/test_pushed_endpoints.py
+++ b/tests/test_pushed_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists that an agent on the machine pushes."""
+"""Endpoint lists pushed by an agent on the broker's machine."""
 
 from __future__ import annotations
 
@@ -111,12 +111,12 @@
     asyncio.run(play(script.lstrip(), objects=False, folder=tmp_path, wire=PUSHED_SETTINGS))
 
 
-def test_a_new_process_with_a_silent_agent_gets_ready(
+def test_a_new_process_with_a_silent_agent_becomes_ready(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The agent on the machine is silent when a broker starts.
+    """The agent is silent when a broker starts.
 
-    The broker waits for its list for a while, and then serves from the list in its configuration.
+    The broker waits for a list until a timeout, then serves with the list in its configuration.
     """
     from harriertide.cli import startup
 
@@ -130,12 +130,12 @@
     asyncio.run(play(script, objects=False, folder=tmp_path, wire=PUSHED_SETTINGS))
 
 
-def test_a_silent_agent_is_polled_again_and_heard_when_it_is_back(
+def test_a_silent_agent_is_polled_again_and_its_later_drain_takes_effect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An agent goes silent and does not answer two more calls.
+    """An agent goes silent and leaves two further calls unanswered.
 
-    Requests are served meanwhile, and the drain that it brings when it is back holds at once.
+    Requests are served meanwhile, and a drain that the agent reports afterwards takes effect at once.
     """
     from harriertide.platform import endpoint_watch
 
@@ -154,7 +154,7 @@
 
 
 class DiscoveryAgent:
-    """Pushes lists to its watchers; while it is silent it accepts connections and sends nothing on any."""
+    """Pushes lists to its watchers; while silent, it accepts connections but sends nothing."""
 
     def __init__(self) -> None:
         self.is_silent, self.watch_count, self.lines = False, 0, ['{"seq":8,"whole":false,"hosts":[]}']
@@ -168,7 +168,7 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 self.push(writer, *self.lines)
                 self.open_writers.append(writer)
-            await reader.read()  # until the watcher goes
+            await reader.read()  # until the watcher disconnects
         writer.close()
 
     def push(self, writer: asyncio.StreamWriter, *lines: str) -> None:
@@ -176,7 +176,7 @@
             writer.write(f"{len(line) + 1:x}\r\n{line}\n\r\n".encode())
 
     async def send_heartbeats(self) -> None:
-        """An empty line every 2 s while it is not silent."""
+        """Send an empty line every 2 s while the agent is not silent."""
         while True:
             await until(asyncio.get_running_loop().time() + 2.0)
             for writer in self.open_writers if not self.is_silent else ():
@@ -195,7 +195,7 @@
             updates.append((loop.time(), event.update))
 
     directory = EndpointDirectory({})
-    hosts = [{"host": n, "dial": "127.0.0.1:1", "block": 0, "health": "up"} for n in ("b1", "b2")]
+    hosts = [{"host": name, "dial": "127.0.0.1:1", "block": 0, "health": "up"} for name in ("b1", "b2")]
     directory.apply(directory.parse_page({"seq": 7, "whole": True, "hosts": hosts}), "cached")
     address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
     watch = EndpointWatch(address, directory, post)
@@ -204,7 +204,7 @@
     assert agent.watch_count == 1 and not updates
     agent.is_silent = True
     await until(loop.time() + 30.0)
-    assert directory.address_count() == 2 and not updates  # silence is no news
+    assert directory.address_count() == 2 and not updates  # silence changes no node
     assert 10 <= agent.watch_count <= 31
     agent.is_silent, agent.lines = False, [json.dumps({"seq": 9, "whole": False, "hosts": [
         {**hosts[0], "health": "draining"}]})]  # fmt: skip
@@ -217,10 +217,10 @@
     server.close()
 
 
-def test_a_drain_after_thirty_silent_seconds_of_the_agent_holds_in_time() -> None:
-    """An agent is silent for half a minute.
+def test_a_drain_takes_effect_in_time_after_an_agent_was_silent_for_thirty_seconds() -> None:
+    """An agent is silent for 30 s.
 
-    Its nodes stay in service, it is polled again about once a second, and the drain that it comes back with
-    holds within 1.2 s.
+    The nodes stay in service, the broker reopens the watch about once a second, and a drain that the agent
+    reports afterwards takes effect within 1.2 s.
     """
     virtual_time.run(run_thirty_silent_seconds())
--- a/tests/test_request_fields.py
+++ b/tests/test_request_fields.py
@@ -1,4 +1,4 @@
-"""The fields of a request on which decisions are made: parsed, or malformed with a reason."""
+"""Parsing of the request fields that decisions depend on, and the rejection of malformed ones."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
         3,
     )
     assert parsed.key == "7f3a9c21e0b4d655" and not parsed.is_retry
-    # the budget counts from when the client sent, which was before now
+    # the time budget starts when the client sends the request, which is earlier
     assert 1_470_000 < parsed.deadline_at_us < 1_480_000
 
 
-# The source of this function seeds its derandomized examples: another name in it tries other examples.
+# Hypothesis seeds the derandomized examples from the source of this function: any edit of it, even of a name
+# or the docstring, changes the examples.
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.sampled_from(sorted(GOOD)), st.text(max_size=30), st.text(max_size=30))
 def test_any_header_is_read_or_said_to_be_malformed(name: str, value: str, target: str) -> None:
@@ -69,12 +70,12 @@
     ],
 )
 def test_impossible_numbers_are_malformed(name: str, value: str) -> None:
-    """A client states figures that no request can have. The message names the field."""
+    """A client sends numbers that are invalid for any request. The message names the field."""
     with pytest.raises(MalformedRequestError, match=name):
         arrival("GET", "/api", {**GOOD, name: value})
 
 
 def test_a_deadline_is_capped_by_that_of_its_class() -> None:
-    """A client states a deadline of years, which would keep what the core holds for it."""
+    """A client sends a deadline of years, for which the core would keep the state of the request."""
     parsed = arrival("GET", "/api", {**GOOD, "X-Budget-Ms": "99999999999"})
     assert parsed.deadline_at_us <= 1_000_000 + 2_000_000
--- a/tests/test_request_forwarding.py
+++ b/tests/test_request_forwarding.py
@@ -1,4 +1,4 @@
-"""Fields of a request on their way to a node, on real sockets."""
+"""Forwarding of request header fields to a node, on real sockets."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from tests.test_net import OK, play
 
-# Every field of the protocol's page, in odd cases and orders, unknown ones, one that comes twice, bytes that
-# are no text, and those of one hop, which end here.
+# Every field of the protocol in mixed case and unusual order, unknown fields, a repeated field, bytes that
+# are not valid text, and hop-by-hop fields, which the broker does not forward.
 SENT_HEAD = (
     r"PUT /api?key=7F3a9c21e0b4d655&x=%41%2f HTTP/1.1\r\n"
     r"Host: service.internal\r\nx-call-id: 9b1f03aa5c7e2d41\r\nX-Call-Class: page-read\r\n"
@@ -35,9 +35,7 @@
     "framing", [r"Content-Length: 3\r\n\r\nabc", r"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"]
 )
 def test_every_field_is_forwarded_unchanged_on_each_attempt(framing: str, tmp_path: Path) -> None:
-    """Guards against fields lost on the way on which a node acts, such as a key that makes retries
-    harmless.
-    """
+    """Guards against the loss of fields that a node acts on, such as an idempotency key."""
     script = f"""
         c send bytes '{SENT_HEAD}{framing}'
         b1 expect PUT /api* body=abc
@@ -51,9 +49,7 @@
 
 
 def test_a_second_idempotency_key_is_rejected(tmp_path: Path) -> None:
-    """A request carries two idempotency keys: a node may go by one of them while the broker counts on the
-    other.
-    """
+    """A request has two idempotency keys: the node could use one of them and the broker the other."""
     head = SENT_HEAD + r"Idempotency-Key: other\r\nContent-Length: 3\r\n\r\nabc"
     script = f"""
         c send bytes '{head}'
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""When a process counts as serving: its listeners are open, and an agent's endpoint list is there or late."""
+"""Readiness of a process: its listeners are open, and its endpoint list was received or has timed out."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from harriertide.cli.startup import Readiness
 
 
-class Start:
-    """A start that counts how often it is told to serve. watch: of an agent that may push a list."""
+class ReadinessRecorder:
+    """Counts the calls that report readiness; `watch` stands in for the endpoint watch on an agent."""
 
     def __init__(self) -> None:
         self.ready_count = 0
@@ -25,58 +25,58 @@
 
 
 def test_a_process_without_an_agent_serves_once_its_listeners_are_open() -> None:
-    start = Start()
-    assert not start.ready_count
-    start.readiness.listeners_opened()
-    assert start.ready_count == 1
+    recorder = ReadinessRecorder()
+    assert not recorder.ready_count
+    recorder.readiness.listeners_opened()
+    assert recorder.ready_count == 1
 
 
 @pytest.mark.parametrize("list_first", [False, True])
 def test_a_process_with_an_agent_waits_for_its_list_and_its_listeners(list_first: bool) -> None:
-    """The list comes before the listeners are open, or after: neither alone makes a process ready."""
+    """The list is received before or after the listeners open; neither alone makes a process ready."""
 
     async def main() -> None:
-        start = Start()
-        start.readiness.await_endpoint_list(start.watch)
-        steps = [start.readiness.listeners_opened, start.watch.on_list]
+        recorder = ReadinessRecorder()
+        recorder.readiness.await_endpoint_list(recorder.watch)
+        steps = [recorder.readiness.listeners_opened, recorder.watch.on_list]
         first, second = reversed(steps) if list_first else steps
         first()
-        assert not start.ready_count
+        assert not recorder.ready_count
         second()
-        assert start.ready_count == 1
-        start.watch.on_list()  # further lists are no concern of the start
-        assert start.ready_count == 1
+        assert recorder.ready_count == 1
+        recorder.watch.on_list()  # further lists do not report readiness again
+        assert recorder.ready_count == 1
 
     asyncio.run(main())
 
 
-def test_an_agent_that_says_nothing_holds_up_a_start_for_a_while_only(
+def test_a_silent_agent_delays_readiness_only_until_a_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Discovery is away, and the agent has no list: a broker that never becomes ready would be worse."""
+    """Discovery is down and the agent has no list. The broker must become ready all the same."""
     monkeypatch.setattr(startup, "FIRST_LIST_TIMEOUT_S", 0.02)
 
     async def main() -> None:
-        start = Start()
-        start.readiness.await_endpoint_list(start.watch)
-        start.readiness.listeners_opened()
-        assert not start.ready_count
+        recorder = ReadinessRecorder()
+        recorder.readiness.await_endpoint_list(recorder.watch)
+        recorder.readiness.listeners_opened()
+        assert not recorder.ready_count
         async with asyncio.timeout(1):
-            while not start.ready_count:
+            while not recorder.ready_count:
                 await asyncio.sleep(0.005)
 
     asyncio.run(main())
 
 
-def test_the_list_of_the_process_before_stands_in_for_an_agents() -> None:
-    """An upgrade in place hands the list over: the new process does not wait for the agent's as well."""
+def test_the_list_of_the_previous_process_replaces_that_of_the_agent() -> None:
+    """An in-place upgrade hands over the list, so the new process does not wait for the agent's list."""
 
     async def main() -> None:
-        start = Start()
-        start.readiness.await_endpoint_list(start.watch)
-        start.readiness.skip_endpoint_list()
-        assert not start.ready_count
-        start.readiness.listeners_opened()
-        assert start.ready_count == 1
+        recorder = ReadinessRecorder()
+        recorder.readiness.await_endpoint_list(recorder.watch)
+        recorder.readiness.skip_endpoint_list()
+        assert not recorder.ready_count
+        recorder.readiness.listeners_opened()
+        assert recorder.ready_count == 1
 
     asyncio.run(main())
