--- a/harriertide/platform/endpoint_directory.py
+++ b/harriertide/platform/endpoint_directory.py
@@ -50,9 +50,9 @@
         self._addresses: dict[str, str] = {}
         self._removed: dict[str, None] = {}  # IDs of removed nodes, oldest first; IDs are never reused
 
-    def find(self, node: str) -> str | None:
+    def find(self, node_id: str) -> str | None:
         """Return the host:port of a node, or None if the node is unknown or has no address."""
-        return self._addresses.get(node)
+        return self._addresses.get(node_id)
 
     def address_count(self) -> int:
         """Return the number of nodes that have an address."""
@@ -98,16 +98,16 @@
         return entry.node_id in self._entries and entry.state != "live"
 
     def _store(self, entry: api.NodeEntry, page: EndpointPage) -> None:
-        node = entry.node_id
+        node_id = entry.node_id
         if entry.state == "gone":
-            self._remember_removed([node])
-            self._addresses.pop(node, None)
-            self._entries.pop(node, None)
+            self._remember_removed([node_id])
+            self._addresses.pop(node_id, None)
+            self._entries.pop(node_id, None)
             return
-        self._removed.pop(node, None)  # an earlier page omitted the node by mistake
-        self._entries[node] = entry
-        if node in page.addresses:
-            self._addresses[node] = page.addresses[node]
+        self._removed.pop(node_id, None)  # an earlier page omitted the node by mistake
+        self._entries[node_id] = entry
+        if node_id in page.addresses:
+            self._addresses[node_id] = page.addresses[node_id]
 
     def export_state(self) -> DirectoryState:
         """Return the directory for the next process of this broker."""
@@ -151,7 +151,7 @@
         state = entry.state if known.state == "live" else known.state
         return replace(entry, state=state, started_us=known.started_us)
 
-    def _remember_removed(self, nodes: Iterable[str]) -> None:
-        self._removed.update(dict.fromkeys(nodes))
+    def _remember_removed(self, node_ids: Iterable[str]) -> None:
+        self._removed.update(dict.fromkeys(node_ids))
         while len(self._removed) > MAX_REMOVED_NODE_COUNT:
             del self._removed[next(iter(self._removed))]
--- a/harriertide/platform/peers.py
+++ b/harriertide/platform/peers.py
@@ -15,7 +15,7 @@
 # Messages are buffered briefly, while another process of this broker is still in charge; 256 KB at most.
 MAX_BUFFERED_MESSAGE_COUNT = 1024
 MAX_DATAGRAM_BYTES = 256  # the platform drops longer ones
-MAX_UDP_DATAGRAM_BYTES = 65536  # read size that no UDP datagram exceeds
+DATAGRAM_READ_BYTES = 65536  # no UDP datagram is longer
 
 Address = tuple[str, int]
 
@@ -47,21 +47,21 @@
         self._peers = [parse_address(peer) for peer in peers]
         self._indexes = {peer: index for index, peer in enumerate(self._peers) if index != own_index}
 
-    async def listen(self, at: Address, shared: bool) -> None:
+    async def listen(self, address: Address, shared: bool) -> None:
         """Open the socket.
 
-        :param at: the address to receive datagrams on
+        :param address: the address to receive datagrams on
         :param shared: whether another process of this broker may use the same address
         """
         loop = asyncio.get_running_loop()
         if not shared:
-            await loop.create_datagram_endpoint(lambda: self, local_addr=at)
+            await loop.create_datagram_endpoint(lambda: self, local_addr=address)
             return
         shared_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             shared_socket.setblocking(False)
             shared_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            shared_socket.bind(at)
+            shared_socket.bind(address)
             await loop.create_datagram_endpoint(lambda: self, sock=shared_socket)
         except BaseException:
             shared_socket.close()
@@ -95,7 +95,7 @@
                 self._socket.connect((self._socket.getsockname()[0], DISCARD_PORT))
             with suppress(OSError):  # no datagram is left to read
                 while True:
-                    self.datagram_received(*self._socket.recvfrom(MAX_UDP_DATAGRAM_BYTES))
+                    self.datagram_received(*self._socket.recvfrom(DATAGRAM_READ_BYTES))
         self.close()
 
     def connection_made(self, transport: Any) -> None:
@@ -119,8 +119,8 @@
 
     def send(self, recipient_index: int, body: bytes) -> None:
         """Send a message, which may be lost."""
-        is_known = 0 <= recipient_index < len(self._peers)
-        if self._transport is None or not is_known or len(body) > MAX_DATAGRAM_BYTES:
+        is_listed = 0 <= recipient_index < len(self._peers)
+        if self._transport is None or not is_listed or len(body) > MAX_DATAGRAM_BYTES:
             self.counts["unsent"] += 1
             return
         self._transport.sendto(body, self._peers[recipient_index])
--- a/harriertide/platform/probes.py
+++ b/harriertide/platform/probes.py
@@ -25,19 +25,19 @@
         self._post = post
         self._tasks: dict[str, asyncio.Task[None]] = {}  # by node ID
 
-    def start(self, node: str) -> None:
+    def start(self, node_id: str) -> None:
         """Probe a node unless a probe of the node is in progress."""
-        if node not in self._tasks:
+        if node_id not in self._tasks:
             self.counts["sent"] += 1
-            self._tasks[node] = asyncio.get_running_loop().create_task(self._probe(node))
+            self._tasks[node_id] = asyncio.get_running_loop().create_task(self._probe(node_id))
 
-    async def _probe(self, node: str) -> None:
+    async def _probe(self, node_id: str) -> None:
         try:
-            outcome = await self._client.probe(node, LIVENESS_PATH)
+            outcome = await self._client.probe(node_id, LIVENESS_PATH)
         finally:
-            del self._tasks[node]
+            del self._tasks[node_id]
         self.counts[outcome] += 1
-        self._post(ev.ProbeFinished(node, outcome))
+        self._post(ev.ProbeFinished(node_id, outcome))
 
     async def close(self) -> None:
         """Cancel the probes in progress; the core is not notified."""
--- a/harriertide/platform/response_writer.py
+++ b/harriertide/platform/response_writer.py
@@ -21,9 +21,9 @@
 class Framing(Enum):
     """How a client detects the end of a response body."""
 
-    LENGTH = "its length is in the head"
-    CHUNKED = "it is sent in chunks"
-    UNTIL_CLOSE = "the connection is closed behind it"
+    LENGTH = "the head states the length of the body"
+    CHUNKED = "the body uses the chunked transfer encoding"
+    UNTIL_CLOSE = "the connection is closed after the body"
 
 
 def choose_framing(length: int | None, is_http_1_0: bool) -> Framing:
--- a/tests/test_request_fields.py
+++ b/tests/test_request_fields.py
@@ -59,7 +59,7 @@
     ("name", "value"),
     [
         ("X-Extent", "volume=00000003b4d60021,units=1e300,shard=5,hosts=3"),
-        ("X-Extent", "volume=00000003b4d60021,units=9,shard=5,hosts=3"),  # most_units is 8
+        ("X-Extent", "volume=00000003b4d60021,units=9,shard=5,hosts=3"),  # the settings allow at most 8 units
         ("X-Extent", "volume=00000003b4d60021,units=2,units=3,shard=5,hosts=3"),
         ("X-Extent", "volume=00000003b4d60021,units=-1,shard=5,hosts=3"),
         ("X-Extent", "volume=00000003b4d60021,units=1_0,shard=5,hosts=3"),
