--- a/harriertide/cli/startup.py
+++ b/harriertide/cli/startup.py
@@ -40,13 +40,13 @@
         """
         self._awaits_endpoint_list = True
 
-        def on_list_or_timeout() -> None:
+        def on_list_received_or_timeout() -> None:
             timer.cancel()
-            watch.on_list = lambda: None
+            watch.on_list_received = lambda: None
             self.skip_endpoint_list()
 
-        timer = asyncio.get_running_loop().call_later(FIRST_LIST_TIMEOUT_S, on_list_or_timeout)
-        watch.on_list = on_list_or_timeout
+        timer = asyncio.get_running_loop().call_later(FIRST_LIST_TIMEOUT_S, on_list_received_or_timeout)
+        watch.on_list_received = on_list_received_or_timeout
 
     def skip_endpoint_list(self) -> None:
         """The list that this process has is as new as it can be."""
--- a/harriertide/platform/endpoint_watch.py
+++ b/harriertide/platform/endpoint_watch.py
@@ -55,7 +55,7 @@
     def __init__(self, address: str, directory: EndpointDirectory, post: Callable[[ev.Event], None]) -> None:
         self.counts: Counter[str] = Counter()
         self.address = address
-        self.on_list: Callable[[], None] = lambda: None  # called after each received list
+        self.on_list_received: Callable[[], None] = lambda: None  # called after each received list
         self._directory = directory
         self._post = post
         self._task: asyncio.Task[None] | None = None
@@ -228,7 +228,7 @@
         )
         is_outdated = kind is None and self._directory.is_outdated(page)
         self._post(ev.EndpointsUpdated(self._directory.apply(page, kind)))
-        self.on_list()
+        self.on_list_received()
         if is_outdated:
             raise OutdatedPageError(
                 f"changes have version {page.version}, the current list has version {self._directory.version}"
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self.ready_count = 0
         self.readiness = Readiness(self.on_ready)
-        self.watch: Any = SimpleNamespace(on_list=lambda: None)
+        self.watch: Any = SimpleNamespace(on_list_received=lambda: None)
 
     def on_ready(self) -> None:
         self.ready_count += 1
@@ -38,13 +38,13 @@
     async def main() -> None:
         recorder = ReadinessRecorder()
         recorder.readiness.await_endpoint_list(recorder.watch)
-        steps = [recorder.readiness.listeners_opened, recorder.watch.on_list]
+        steps = [recorder.readiness.listeners_opened, recorder.watch.on_list_received]
         first, second = reversed(steps) if list_first else steps
         first()
         assert not recorder.ready_count
         second()
         assert recorder.ready_count == 1
-        recorder.watch.on_list()  # further lists do not report readiness again
+        recorder.watch.on_list_received()  # further lists do not report readiness again
         assert recorder.ready_count == 1
 
     asyncio.run(main())
