--- a/harriertide/platform/endpoint_directory.py
+++ b/harriertide/platform/endpoint_directory.py
@@ -63,7 +63,7 @@
         return parse_page(raw, self.zones, version)
 
     def is_outdated(self, page: EndpointPage) -> bool:
-        """Whether a page holds changes older than the current version, late or after a restarted count."""
+        """Whether a page holds changes older than the current version of the list."""
         return not page.is_complete and page.version < self.version
 
     def apply(self, page: EndpointPage, kind: PageKind | None = None) -> api.EndpointUpdate:
--- a/harriertide/platform/endpoint_watch.py
+++ b/harriertide/platform/endpoint_watch.py
@@ -55,7 +55,7 @@
     def __init__(self, address: str, directory: EndpointDirectory, post: Callable[[ev.Event], None]) -> None:
         self.counts: Counter[str] = Counter()
         self.address = address
-        self.on_list_received: Callable[[], None] = lambda: None  # called after each received list
+        self.on_list_received: Callable[[], None] = lambda: None
         self._directory = directory
         self._post = post
         self._task: asyncio.Task[None] | None = None
--- a/harriertide/platform/json_stream.py
+++ b/harriertide/platform/json_stream.py
@@ -61,8 +61,8 @@
         self._object_bytes += len(line)
 
     def _take_object(self) -> bytes:
-        text = b"\n".join(self._object_lines)
+        object_json = b"\n".join(self._object_lines)
         self._object_lines = []
         self._object_bytes = 0
         self._open_bracket_count = 0
-        return text
+        return object_json
