--- a/harriertide/core/__init__.py
+++ b/harriertide/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core of a broker: requests, their attempts and their final answers. It knows no wire or thread."""
+"""The core of a broker: requests, their attempts and their final answers, without I/O or threads."""
--- a/harriertide/core/decision_module.py
+++ b/harriertide/core/decision_module.py
@@ -1,4 +1,4 @@
-"""What the core asks of a decision module, whether it is the scheduler of this project or a scripted one."""
+"""The interface between the core and its decision module: the scheduler, or a scripted module in tests."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
     """Decides which requests are admitted, and which node each attempt goes to."""
 
     def decide(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
-        """Take what has happened by now.
+        """Handle the events that have occurred since the last call.
 
-        :returns: what is to be done, in this order
+        :returns: the actions to perform, in this order
         """
 
 
 @runtime_checkable
 class ReportsCapacity(Protocol):
-    """A decision module that learns what nodes can do; scripted ones do not."""
+    """A decision module that estimates the capacity of nodes; scripted modules do not."""
 
     def learned_capacity_by_node(self) -> dict[str, float]:
-        """The capacity of the live nodes of overloaded shards, in units a second, by node id."""
+        """The capacity of the live nodes of overloaded shards, in units per second, by node id."""
 
 
 DecisionModuleFactory: TypeAlias = Callable[[api.Settings, int], DecisionModule]
-"""Makes a decision module from its settings and the seed of its random numbers."""
+"""Creates a decision module from its settings and the seed of its random number generator."""
 
 
 def settings_for_decision_module(settings: api.Settings) -> api.Settings:
-    """The settings as the decision module is given them: with a longer collapse window.
+    """Return the settings for the decision module, with a longer collapse window.
 
-    Guards against a warming node that collapses although its budget was kept. The decision module books units
-    of that budget when it decides, but their bytes leave up to SLOW_START_WRITE_DELAY_MAX_US later: the
-    budgets of two windows of decisions could meet in one window of writes. The longer window keeps them
-    apart.
+    Prevents the collapse of a node in slow start whose budget was respected. The decision module charges
+    units to that budget when it decides, but their bytes are written up to SLOW_START_WRITE_DELAY_MAX_US
+    later, so the budgets of two decision windows could be written within one window. The longer window
+    prevents that.
     """
     if not settings.collapse_window_us:
         return settings
--- a/harriertide/core/endpoints.py
+++ b/harriertide/core/endpoints.py
@@ -1,4 +1,4 @@
-"""The nodes of the endpoint list, and for how many attempts in a row each has been unresponsive."""
+"""The nodes of the endpoint list, and the number of consecutive unresponsive attempts at each node."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 
 from harriertide.decide import api
 
-# A node that cannot be reached is attempted seldom from then on, so that one failure to connect says as much
-# to maintenance as two attempts that were not answered.
+# An unreachable node gets few further attempts, so maintenance counts one failure to connect as much as two
+# attempts without a response.
 _CONNECT_FAILURE_WEIGHT = 2
 
 
 class EndpointTable:
-    """The endpoint list as last updated; nodes that drain are part of it."""
+    """The endpoint list as of the last update, including draining nodes."""
 
     def __init__(self) -> None:
         self._nodes: dict[str, api.NodeEntry] = {}
-        # By node: how many attempts in a row had no response.
+        # The number of consecutive attempts without a response, by node id.
         self.consecutive_unresponsive: Counter[str] = Counter()
 
     def __contains__(self, node_id: str) -> bool:
         return node_id in self._nodes
 
     def get(self, node_id: str) -> api.NodeEntry | None:
-        """The node as listed."""
+        """Return the entry of the node, or None if the node is not listed."""
         return self._nodes.get(node_id)
 
     def is_live(self, node_id: str) -> bool:
-        """Whether the node is listed and takes new requests."""
+        """Whether the node is listed and accepts new requests."""
         node = self._nodes.get(node_id)
         return node is not None and node.state == "live"
 
     def entries(self) -> dict[str, api.NodeEntry]:
-        """All listed nodes, by id: a copy."""
+        """Return a copy of all listed nodes, by node id."""
         return dict(self._nodes)
 
     def update(self, update: api.EndpointUpdate) -> None:
-        """Apply an update of the list: the whole list, or changes of it."""
+        """Apply an update of the endpoint list: a full list or a set of changes."""
         if update.kind in ("full", "cached"):
             self._nodes = {}
             self.consecutive_unresponsive.clear()
@@ -48,9 +48,9 @@
                 self._nodes[entry.node_id] = entry
 
     def count_outcome(self, node_id: str, kind: api.OutcomeKind) -> None:
-        """Count an attempt without a response; any response starts the count again.
+        """Count an attempt without a response; any response resets the count.
 
-        An attempt that never reached the node and was not refused by its connection says neither.
+        An attempt that was never executed and did not fail to connect leaves the count unchanged.
         """
         if node_id not in self._nodes:
             return
--- a/harriertide/core/events.py
+++ b/harriertide/core/events.py
@@ -1,4 +1,4 @@
-"""What the core gets (events) and what it asks for (effects). All times are microseconds of one clock."""
+"""The inputs (events) and outputs (effects) of the core. All times are microseconds of one clock."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A front has taken a request.
+    """A frontend has received a request.
 
-    streams_body: its body is forwarded as it comes, and its last byte may be far.
+    streams_body: the body is forwarded as it arrives, and its last byte may arrive much later.
     """
 
     arrival: api.Arrival
@@ -25,8 +25,8 @@
 class AttemptFinished:
     """An attempt has ended.
 
-    reply: what the front may give to the client; the core does not read it. body_written_us: when the last
-    byte of the request's body was written, where that may be long after the first; else 0.
+    reply: the reply that the frontend may pass to the client; the core does not read it. body_written_us:
+    when the last byte of a streamed request body was written; 0 if the body was not streamed.
     """
 
     request_id: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The response of an attempt has begun to go to the client: it is final, and no other attempt follows."""
+    """The frontend has begun to send the response of an attempt to the client; no further attempt follows."""
 
     request_id: str
     attempt: int
@@ -46,28 +46,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client is gone; nobody waits for an answer any more."""
+    """The client has disconnected and no longer waits for an answer."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """The endpoint list has changed, or a poll of it has failed."""
+    """The endpoint list has changed, or a poll of the list has failed."""
 
     update: api.EndpointUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer has run out."""
+    """A timer has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Bytes from another broker."""
+    """A message from another broker has arrived."""
 
     sender_index: int
     body: bytes
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeFinished:
-    """A health check of a node has ended."""
+    """A health check of a node has finished."""
 
     node_id: str
     kind: api.OutcomeKind
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process ends: all open requests are answered now."""
+    """The process is shutting down; all open requests are answered immediately."""
 
 
 Event: TypeAlias = (
@@ -112,9 +112,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the request to the node, once `Reducer.may_write` agrees right before the first byte leaves.
+    """Send the request to the node if `Reducer.may_write` permits it right before the first byte is written.
 
-    stop_at_us: when the attempt ends at the latest. not_before_us: no byte leaves before; 0: at once.
+    stop_at_us: when the attempt must end. not_before_us: the earliest time to write the first byte; 0 for
+    immediately.
     """
 
     request_id: str
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop an open attempt; it ends as cancelled, unless it has ended meanwhile."""
+    """Cancel an open attempt; its outcome is "cancelled", unless it finishes first."""
 
     request_id: str
     attempt: int
@@ -134,9 +135,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Respond:
-    """The one final answer of a request.
+    """Give the client the only final answer of its request.
 
-    reply: that of the attempt that served it. retry_after_us: when the client may come again; 0: no advice.
+    reply: the reply of the successful attempt. retry_after_us: the delay to advise to the client before a
+    retry; 0 for no advice.
     """
 
     request_id: str
@@ -147,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report TimerFired with this token at this time."""
+    """Post TimerFired with the token at the given time."""
 
     at_us: int
     token: int
@@ -155,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to another broker; they may be lost."""
+    """Send a message to another broker; delivery is not guaranteed."""
 
     recipient_index: int
     body: bytes
@@ -163,12 +165,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list for changes, from what is known on."""
+    """Watch the endpoint list for changes since its last known state."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartProbe:
-    """Check the health of a node beside all requests, and report ProbeFinished."""
+    """Check the health of a node independently of requests, and post ProbeFinished."""
 
     node_id: str
 
@@ -182,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardReply:
-    """Drop a reply that came too late to be the final answer, and free what it holds."""
+    """Discard a reply that is not the final answer, and free its resources."""
 
     reply: object
 
--- a/harriertide/core/reducer.py
+++ b/harriertide/core/reducer.py
@@ -1,8 +1,9 @@
 """The core's state machine: events in, effects out.
 
-What to do is decided by the decision module (`harriertide.decide.scheduler`). The reducer tells it what has
-happened and carries out its actions: those on requests through `RequestLifecycle`, which keeps the rules
-about attempts and final answers, the others as they are. It survives a failure of the decision module.
+The decision module (`harriertide.decide.scheduler`) decides; the reducer passes events to the decision module
+and performs its actions. Actions on requests go through `RequestLifecycle`, which enforces the rules about
+attempts and final answers; the other actions become effects directly. The reducer replaces a decision module
+that raises an exception.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
 
 
 class Reducer:
-    """The state of one broker. Single-threaded; `step` alone changes it.
+    """The state of one broker. Single-threaded; only `step` changes the state.
 
-    :param settings: of the broker and of its decision module
-    :param seed: of the decision module's random numbers
-    :param scheduler: makes a decision module, also in place of one that failed
+    :param settings: the settings of the broker and its decision module
+    :param seed: the seed of the decision module's random number generator
+    :param scheduler: creates the decision module, and its replacement after a failure
     """
 
     def __init__(
@@ -42,16 +43,16 @@
         self.settings = settings
         self.counts: Counter[str] = Counter()
         self.offered_units = 0.0
-        # Whether maintenance bars a node from new attempts; None: there is no maintenance. Asked right before
-        # a write, beside the endpoint list: guards against a broker that was stopped or partitioned and goes
-        # by an old list.
+        # Whether maintenance bars a node from new attempts; None without maintenance. Checked right before a
+        # write in addition to the endpoint list, which may be stale after the broker was
+        # suspended or partitioned.
         self.is_barred: Callable[[str], bool] | None = None
         self._make_decision_module = scheduler
         self._seed = seed
         self._decision_module = scheduler(settings_for_decision_module(settings), seed)
         self._effects: list[ev.Effect] = []
         self._endpoints = EndpointTable()
-        # By node; counted only where there is maintenance, which asks for it.
+        # By node id; counted only for maintenance, and empty without maintenance.
         self.consecutive_unresponsive = self._endpoints.consecutive_unresponsive
         self._lifecycle = RequestLifecycle(settings, self._endpoints, self.counts, self._emit)
         self._event_handlers: dict[type, Callable[[int, Any], list[api.Event]]] = {
@@ -78,7 +79,7 @@
             api.LogLine: self._write_log_line,
         }
 
-    # --- questions, which change nothing but counters ------------------------------------------
+    # --- queries, which change only counters ---------------------------------------------------
 
     @property
     def scheduler(self) -> DecisionModule:
@@ -86,42 +87,42 @@
         return self._decision_module
 
     def has_request(self, request_id: str) -> bool:
-        """Whether this id is in use."""
+        """Whether the request id is in use."""
         return request_id in self._lifecycle.requests
 
     def open_request_count(self) -> int:
-        """How many requests wait for their final answer."""
+        """The number of requests without a final answer."""
         return self._lifecycle.requests.open_count()
 
     def open_attempt_count_at(self, node_id: str) -> int:
-        """How many attempts are open at a node, those that were not written yet included."""
+        """The number of open attempts at a node, including attempts that are not written yet."""
         return self._lifecycle.requests.open_attempt_count_at(node_id)
 
     def learned_capacity_by_node(self) -> dict[str, float]:
-        """The learned capacity of the live nodes of overloaded shards, in units a second, by node id."""
+        """The learned capacity of the live nodes of overloaded shards, in units per second, by node id."""
         module = self._decision_module
         return module.learned_capacity_by_node() if isinstance(module, ReportsCapacity) else {}
 
     def nodes(self) -> dict[str, api.NodeEntry]:
-        """The nodes of the endpoint list by node id, those that drain included."""
+        """The nodes of the endpoint list by node id, including draining nodes."""
         return self._endpoints.entries()
 
     def may_write(self, request_id: str, attempt_number: int, now_us: int) -> api.OutcomeKind | None:
-        """Check an attempt right before its first byte leaves; see `harriertide.core.write_guard`.
+        """Check an attempt right before its first byte is written; see `harriertide.core.write_guard`.
 
-        :returns: None to write it now, else how the attempt ends with nothing written
+        :returns: None if the attempt may be written now, else its outcome, with nothing written
         """
         return self._lifecycle.may_write(request_id, attempt_number, now_us, self.is_barred)
 
-    # --- the one way to change state -----------------------------------------------------------
+    # --- state transition ----------------------------------------------------------------------
 
     def step(self, now_us: int, events: list[ev.Event]) -> list[ev.Effect]:
-        """Take what has happened, in order.
+        """Handle events in order.
 
-        :returns: what is to be done, in order
+        :returns: the effects to perform, in order
         """
         self._effects = []
-        self._lifecycle.requests.forget_gaps(now_us)
+        self._lifecycle.requests.drop_expired_gaps(now_us)
         pending: list[api.Event] = []
         for event in events:
             pending += self._event_handlers[type(event)](now_us, event)
@@ -132,10 +133,10 @@
     def _emit(self, effect: ev.Effect) -> None:
         self._effects.append(effect)
 
-    # --- events: each handler returns what the decision module is notified of --------------
+    # --- event handlers: each returns the events for the decision module -----------------------
 
     def _on_request_arrived(self, now_us: int, event: ev.RequestArrived) -> list[api.Event]:
-        if not self._lifecycle.take_request(event.arrival, event.streams_body):
+        if not self._lifecycle.accept_request(event.arrival, event.streams_body):
             return []
         self.offered_units += event.arrival.units
         return [event.arrival]
@@ -183,18 +184,18 @@
         self._lifecycle.answer_open_requests()
         return []
 
-    # --- actions: each handler returns what the decision module is notified of at once --
+    # --- action handlers: each returns follow-up events for the decision module ----------------
 
     def _decide(self, now_us: int, events: list[api.Event]) -> list[api.Event]:
-        """Ask the decision module, and do what it says.
+        """Pass events to the decision module, and perform the actions that it returns.
 
-        :returns: what it is to be notified of at once
+        :returns: follow-up events, which the decision module must handle in the same step
         """
         pending: list[api.Event] = []
         try:
             for action in self._decision_module.decide(now_us, events):
                 pending += self._perform(now_us, action)
-        except Exception:  # a fault of the decision module must not leave clients without an answer
+        except Exception:  # a failed decision module must not leave clients without an answer
             self._restart_decision_module(now_us, traceback.format_exc())
         return pending
 
@@ -202,26 +203,26 @@
         return self._action_handlers[type(action)](now_us, action)
 
     def _start_attempt(self, now_us: int, action: api.StartAttempt) -> list[api.Event]:
-        turned_back = self._lifecycle.start_attempt(now_us, action)
-        return [turned_back] if turned_back is not None else []
+        refusal = self._lifecycle.start_attempt(now_us, action)
+        return [refusal] if refusal is not None else []
 
     def _cancel_attempt(self, now_us: int, action: api.CancelAttempt) -> list[api.Event]:
         self._lifecycle.cancel_attempt(action)
         return []
 
     def _reject_request(self, now_us: int, action: api.Reject) -> list[api.Event]:
-        self._count_reason(action.reason)
+        self._count_give_up_reason(action.reason)
         answer = ev.Respond(action.request_id, "rejected", None, action.retry_after_us)
         self._lifecycle.give_final_answer(answer)
         return []
 
     def _fail_request(self, now_us: int, action: api.Fail) -> list[api.Event]:
-        self._count_reason(action.reason)
+        self._count_give_up_reason(action.reason)
         self._lifecycle.give_final_answer(ev.Respond(action.request_id, "failed"))
         return []
 
-    def _count_reason(self, reason: api.GiveUpReason | None) -> None:
-        """Count why the decision module gave a request up, for the engineer who asks why it was rejected."""
+    def _count_give_up_reason(self, reason: api.GiveUpReason | None) -> None:
+        """Count the reason for which the decision module gave up a request."""
         if reason is not None:
             self.counts[f"given_up_{reason}"] += 1
 
@@ -251,16 +252,16 @@
     # --- failure of the decision module ---------------------------------------------------------
 
     def _restart_decision_module(self, now_us: int, trace: str) -> None:
-        """Log the fault, answer all open requests, and start a fresh decision module on the list as known."""
+        """Log the failure, answer all open requests, and replace the decision module."""
         self.counts["module_faults"] += 1
         self._emit(ev.LogLine("the decision module failed; open requests are answered:\n" + trace))
         self._lifecycle.answer_open_requests()
-        self._seed += 1  # the same random numbers could lead to the same fault
+        self._seed += 1  # the same random numbers could cause the same failure
         settings = settings_for_decision_module(self.settings)
         self._decision_module = self._make_decision_module(settings, self._seed)
-        known = api.EndpointUpdate("cached", tuple(self._endpoints.entries().values()))
+        current_endpoints = api.EndpointUpdate("cached", tuple(self._endpoints.entries().values()))
         try:
-            for action in self._decision_module.decide(now_us, [known]):
+            for action in self._decision_module.decide(now_us, [current_endpoints]):
                 self._perform(now_us, action)
         except Exception:
-            self._emit(ev.LogLine("the fresh decision module failed too"))
+            self._emit(ev.LogLine("the replacement decision module failed as well"))
--- a/harriertide/core/request_lifecycle.py
+++ b/harriertide/core/request_lifecycle.py
@@ -1,10 +1,10 @@
-"""What becomes of a request: its attempts start and end, and it gets its one final answer.
+"""The lifecycle of a request: the start and end of its attempts, and its final answer.
 
-These rules hold even where the decision module or a front is wrong:
+These rules hold even if the decision module or a frontend is faulty:
 
 - a request has at most one open attempt, and no attempt starts after its final answer;
-- a request has one final answer, unless its client is gone;
-- no attempt starts at a node that is not listed as live, nor beyond the number of attempts that is allowed.
+- a request has exactly one final answer, or none if its client has disconnected;
+- no attempt starts at a node that is not listed as live, or beyond the maximum number of attempts.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from harriertide.core import events as ev
 from harriertide.core.endpoints import EndpointTable
 from harriertide.core.requests import ActiveRequest, RequestTable
-from harriertide.core.write_guard import PendingWrite, find_broken_rule
+from harriertide.core.write_guard import PendingWrite, find_violated_rule
 from harriertide.decide import api
 
 
 class RequestLifecycle:
     """The active requests of a broker.
 
-    :param endpoints: the endpoint list, which the owner keeps up to date
+    :param endpoints: the endpoint list, which the caller keeps up to date
     :param counts: the core's counters
-    :param emit: takes the effects, in order
+    :param emit: receives each effect, in order
     """
 
     def __init__(
@@ -40,22 +40,22 @@
         self._counts = counts
         self._emit = emit
 
-    def take_request(self, arrival: api.Arrival, streams_body: bool) -> bool:
-        """Take a request that has arrived.
+    def accept_request(self, arrival: api.Arrival, streams_body: bool) -> bool:
+        """Add a request that has arrived.
 
-        :returns: False if its id is in use; the request that has the id keeps its one final answer
+        :returns: False if the request id is in use; the active request with that id is unaffected
         """
         self._counts["taken"] += 1
         if arrival.request_id in self.requests:
-            self._counts["same_id"] += 1  # a fault of the front, which checks Reducer.has_request first
+            self._counts["same_id"] += 1  # a faulty frontend: it must check Reducer.has_request first
             return False
         self.requests.add(arrival, streams_body)
         return True
 
     def disconnect_client(self, request_id: str) -> bool:
-        """Give no final answer to a request whose client is gone; its open attempt ends in its own time.
+        """Close a request whose client has disconnected, without a final answer; its open attempt continues.
 
-        :returns: whether it waited for a final answer
+        :returns: whether the request was still without a final answer
         """
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
@@ -68,9 +68,9 @@
     # --- attempts -------------------------------------------------------------------------------
 
     def start_attempt(self, now_us: int, action: api.StartAttempt) -> api.AttemptFinished | None:
-        """Start an attempt, unless that would break a rule.
+        """Start an attempt, unless that would violate a rule.
 
-        :returns: the outcome of an attempt that was turned back, as the decision module is to be notified
+        :returns: the outcome of a refused attempt, for the decision module; None if the attempt was started
         """
         request = self.requests.get(action.request_id)
         if request is None:
@@ -112,46 +112,46 @@
         now_us: int,
         is_barred: Callable[[str], bool] | None,
     ) -> api.OutcomeKind | None:
-        """Check an attempt right before its first byte leaves; see `harriertide.core.write_guard`.
+        """Check an attempt right before its first byte is written; see `harriertide.core.write_guard`.
 
-        :param is_barred: whether maintenance bars a node; None: there is no maintenance
-        :returns: None to write it now, else how the attempt ends with nothing written
+        :param is_barred: whether maintenance bars a node; None without maintenance
+        :returns: None if the attempt may be written now, else its outcome, with nothing written
         """
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
-            return "not_sent"  # its client left, or its final answer was given
-        attempt = request.open_attempt_numbered(attempt_number)
+            return "not_sent"  # the client has disconnected or the final answer was given
+        attempt = request.find_open_attempt(attempt_number)
         if attempt is None:
             return "not_sent"
         node = self._endpoints.get(attempt.node_id)
-        broken = find_broken_rule(PendingWrite(now_us, request, attempt, node, self.settings, is_barred))
-        if broken is None:
+        violated = find_violated_rule(PendingWrite(now_us, request, attempt, node, self.settings, is_barred))
+        if violated is None:
             return None
-        if broken.counter:
-            self._counts[broken.counter] += 1
-        return broken.outcome
+        if violated.counter:
+            self._counts[violated.counter] += 1
+        return violated.outcome
 
     def is_attempt_open(self, request_id: str, attempt_number: int) -> bool:
-        """Whether this attempt was started and has not ended."""
+        """Whether the attempt was started and has not ended."""
         request = self.requests.get(request_id)
-        return request is not None and request.open_attempt_numbered(attempt_number) is not None
+        return request is not None and request.find_open_attempt(attempt_number) is not None
 
     def cancel_attempt(self, action: api.CancelAttempt) -> None:
-        """Cancel an open attempt, unless it carries a body that comes only once."""
+        """Cancel an open attempt, unless it streams the request body, which cannot be sent again."""
         request = self.requests.get(action.request_id)
         if request is None or request.streams_body:
             return
-        if request.open_attempt_numbered(action.attempt) is not None:
+        if request.find_open_attempt(action.attempt) is not None:
             self._counts["cancels"] += 1
             self._emit(ev.CancelAttempt(action.request_id, action.attempt))
 
     def finish_attempt(self, now_us: int, event: ev.AttemptFinished) -> api.AttemptFinished | None:
-        """End an attempt, and answer its request where it was served.
+        """End an attempt, and answer its request if the attempt succeeded.
 
-        :returns: the outcome as the decision module is to be notified; None if no such attempt was open
+        :returns: the outcome, for the decision module; None if no such attempt was open
         """
         request = self.requests.get(event.request_id)
-        attempt = request.open_attempt_numbered(event.attempt) if request is not None else None
+        attempt = request.find_open_attempt(event.attempt) if request is not None else None
         if request is None or attempt is None:
             self._counts["stray_outcome"] += 1
             self._discard(event.reply)
@@ -163,7 +163,7 @@
         else:
             self._discard(event.reply)
         self.requests.remove_if_finished(request)
-        # The time in which the body still came from the client says nothing about the node.
+        # Excludes the time that the client took to send the body, which does not depend on the node.
         latency_us = now_us - max(attempt.decided_at_us, event.body_written_us)
         return api.AttemptFinished(
             event.request_id,
@@ -177,14 +177,14 @@
     # --- final answers --------------------------------------------------------------------------
 
     def give_final_answer(self, answer: ev.Respond) -> None:
-        """Answer a request, unless it was answered before or its client is gone."""
+        """Answer a request, unless it was answered before or its client has disconnected."""
         request = self.requests.get(answer.request_id)
         if request is not None and not request.is_answered:
             self._answer(request, answer)
             self.requests.remove_if_finished(request)
 
     def answer_open_requests(self) -> None:
-        """Give a final answer to each open request: "rejected" where a retry by the client is harmless."""
+        """Answer each open request: "rejected" if the client can safely retry, else "failed"."""
         for request in self.requests:
             request_class = self.settings.classes[request.arrival.request_class]
             if request_class.idempotency == "idempotent" or not request.attempt_count:
@@ -199,6 +199,6 @@
         self._emit(answer)
 
     def _discard(self, reply: object) -> None:
-        """Drop a reply that is not the final answer."""
+        """Discard a reply that is not the final answer."""
         if reply is not None:
             self._emit(ev.DiscardReply(reply))
--- a/harriertide/core/write_guard.py
+++ b/harriertide/core/write_guard.py
@@ -1,8 +1,8 @@
-"""May an attempt be written now? Asked right before its first byte leaves.
+"""Rules that are checked right before the first byte of an attempt is written.
 
-Between the decision of an attempt and its write it may wait for a connection, or the broker may stand still.
-Each rule here is one way in which the decision can have become wrong meanwhile. The first rule that an
-attempt breaks says how the attempt ends, with nothing written.
+After an attempt is decided, it may wait for a connection, or the broker process may be suspended. Each rule
+covers one way in which the decision can become invalid before the write. The first violated rule determines
+the outcome of the attempt, with nothing written.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 from harriertide.decide import api
 from harriertide.decide.retry import DEDUPLICATION_MARGIN_US
 
-# How long after its decision an attempt at a warming node may be written. The node's budget is kept per
-# window of decisions; a slow connection could carry units of one window into the next and make the node
+# How long after its decision an attempt may be written to a node in slow start. The node's budget is enforced
+# per window of decisions; a slow connection could shift units of one window into the next and make the node
 # collapse.
 SLOW_START_WRITE_DELAY_MAX_US = 40_000
-# How long after its first decision a request under a rate limit may be written. Its units were taken from a
-# token bucket that has filled again since; the limit's rule allows so much delay and no more.
+# How long after its first decision a request under a rate limit may be written. The token bucket has refilled
+# since its units were taken; the rate limit tolerates writes that are late by this delay and no more.
 RATE_LIMIT_WRITE_DELAY_MAX_US = 150_000
 
 
-@dataclass(slots=True)  # not frozen, which makes it slower to make: there is one for each attempt
+@dataclass(slots=True)  # not frozen: one is created per attempt, and a frozen class is slower to create
 class PendingWrite:
-    """An attempt that is about to be written, and all that the rules look at."""
+    """An attempt that is about to be written, with all inputs of the rules."""
 
     now_us: int
     request: ActiveRequest
     attempt: OpenAttempt
-    node: api.NodeEntry | None  # as listed now
+    node: api.NodeEntry | None  # the current entry; None if the node is not listed
     settings: api.Settings
-    is_barred: Callable[[str], bool] | None  # whether maintenance bars a node; None: there is no maintenance
+    is_barred: Callable[[str], bool] | None  # whether maintenance bars a node; None without maintenance
 
     @property
     def is_under_rate_limit(self) -> bool:
-        """Whether its units count now: those of an attempt that may have executed are spent already."""
+        """Whether the write uses units of a rate limit; a request that may have executed has spent them."""
         plan = self.settings.plans[self.request.arrival.plan]
         return plan.rate_limit > 0 and not self.request.may_have_executed
 
     @property
-    def is_node_warming_up(self) -> bool:
-        """Whether the node is in its slow start."""
+    def is_node_in_slow_start(self) -> bool:
+        """Whether the node is in slow start."""
         if self.node is None or self.node.started_us <= 0:
             return False
         return self.now_us < self.node.started_us + self.settings.slow_start_us
@@ -52,7 +52,7 @@
 class WriteRule:
     """A reason not to write an attempt.
 
-    outcome: how the attempt ends; counter: the core's counter of such ends, "" for none.
+    outcome: the outcome of a forbidden attempt. counter: the core's counter of such outcomes; "" for none.
     """
 
     forbids: Callable[[PendingWrite], bool]
@@ -61,80 +61,82 @@
 
 
 def _is_node_not_live(write: PendingWrite) -> bool:
-    """Guards against a write to a node that was drained or removed after the decision."""
+    """Prevents a write to a node that was drained or removed after the decision."""
     return write.node is None or write.node.state != "live"
 
 
 def _is_node_barred(write: PendingWrite) -> bool:
-    """Guards against a broker that was stopped or partitioned and goes by the endpoint list of before.
+    """Prevents writes that rely on a stale endpoint list after the broker was suspended or partitioned.
 
-    Maintenance answers by its lease, which has run out by then; the list alone would not show it.
+    The maintenance lease has expired by then, so maintenance bars the node; the list alone does not show
+    that.
     """
     return write.is_barred is not None and write.is_barred(write.attempt.node_id)
 
 
 def _is_retry_unsafe(write: PendingWrite) -> bool:
-    """Guards against a request that executes twice.
+    """Prevents a request from executing twice.
 
-    A retry with an idempotency key was within the deduplication window when it was decided, but has waited
-    for a connection since. DEDUPLICATION_MARGIN_US is what a write may take to arrive.
+    A retry with an idempotency key may have left the deduplication window while it waited for a connection.
+    DEDUPLICATION_MARGIN_US allows for the time that a write takes to arrive at the node.
     """
     executed_at_us = write.request.first_executed_at_us
     if executed_at_us is None:
         return False
-    kind = write.settings.classes[write.request.arrival.request_class]
-    if kind.idempotency == "keyed":
-        return write.now_us + DEDUPLICATION_MARGIN_US > executed_at_us + kind.deduplication_window_us
-    return kind.idempotency == "non_idempotent"
+    request_class = write.settings.classes[write.request.arrival.request_class]
+    if request_class.idempotency == "keyed":
+        return write.now_us + DEDUPLICATION_MARGIN_US > executed_at_us + request_class.deduplication_window_us
+    return request_class.idempotency == "non_idempotent"
 
 
-def _is_out_of_time(write: PendingWrite) -> bool:
-    """Guards against a request written right before its own end, which may execute beside its retry."""
+def _is_past_stop_time(write: PendingWrite) -> bool:
+    """Prevents a write at or after the stop time, which may execute concurrently with the retry."""
     return write.now_us >= write.attempt.stop_at_us
 
 
 def _is_late_for_rate_limit(write: PendingWrite) -> bool:
-    """Guards against a rate limit that is exceeded by units taken earlier and written now.
+    """Prevents units that were taken earlier from exceeding the rate limit when they are written late.
 
-    That is seen where the broker stood still, or where a first attempt could not reach its node.
+    Such delays occur if the broker was suspended, or if the first attempt could not reach its node.
     """
     first_attempt_at_us = write.request.first_attempt_at_us
-    assert first_attempt_at_us is not None  # an open attempt is one
+    assert first_attempt_at_us is not None  # an open attempt implies a first attempt
     return write.is_under_rate_limit and write.now_us - first_attempt_at_us > RATE_LIMIT_WRITE_DELAY_MAX_US
 
 
-def _is_stream_on_a_budget(write: PendingWrite) -> bool:
-    """Guards against a streamed body that finishes long after its units were granted.
+def _is_budgeted_stream(write: PendingWrite) -> bool:
+    """Prevents a streamed body from finishing long after its units were granted.
 
-    A node executes a request with its last byte, and the last byte of a body that is forwarded as it comes
-    may be far. So such a request goes neither to a warming node nor against a rate limit.
+    A node executes a request when the last byte arrives, which may be much later for a body that is forwarded
+    as it arrives. Such a request is written neither to a node in slow start nor under a rate limit.
     """
-    return write.request.streams_body and (write.is_node_warming_up or write.is_under_rate_limit)
+    return write.request.streams_body and (write.is_node_in_slow_start or write.is_under_rate_limit)
 
 
 def _is_late_for_slow_start(write: PendingWrite) -> bool:
-    """Guards against budgets of two windows that meet in one window of writes: the node would collapse."""
+    """Prevents the budgets of two decision windows from meeting in one window: the node would collapse."""
     delay_us = write.now_us - write.attempt.decided_at_us
-    return write.is_node_warming_up and delay_us > SLOW_START_WRITE_DELAY_MAX_US
+    return write.is_node_in_slow_start and delay_us > SLOW_START_WRITE_DELAY_MAX_US
 
 
-# The first that forbids the write counts. What the decision module makes of each outcome: "rejected", the
-# request is placed again and nothing counts against the node's health; "not_sent", the request is given up,
-# unless its object is known to be in another shard; "withheld", the request is placed again and nothing is
-# said about the node: its connection is up, late or after a moment in which the broker stood still.
+# The first rule that forbids the write applies. The decision module handles the outcomes as follows:
+# - "rejected": the request is placed again; nothing counts against the node's health.
+# - "not_sent": the request is given up, unless its object is known to be in another shard.
+# - "withheld": the request is placed again; the outcome implies nothing about the node, whose connection was
+#   established late or whose write was delayed because the broker was suspended.
 WRITE_RULES = (
     WriteRule(_is_node_not_live, "rejected"),
     WriteRule(_is_node_barred, "rejected", "barred"),
     WriteRule(_is_retry_unsafe, "not_sent", "window_over"),
-    WriteRule(_is_out_of_time, "rejected"),
+    WriteRule(_is_past_stop_time, "rejected"),
     WriteRule(_is_late_for_rate_limit, "not_sent"),
-    WriteRule(_is_stream_on_a_budget, "rejected"),
+    WriteRule(_is_budgeted_stream, "rejected"),
     WriteRule(_is_late_for_slow_start, "withheld"),
 )
 
 
-def find_broken_rule(write: PendingWrite) -> WriteRule | None:
-    """The first rule that forbids this write; None: write now."""
+def find_violated_rule(write: PendingWrite) -> WriteRule | None:
+    """Return the first rule that forbids the write, or None if the attempt may be written now."""
     for rule in WRITE_RULES:
         if rule.forbids(write):
             return rule
