--- a/harriertide/core/requests.py
+++ b/harriertide/core/requests.py
@@ -11,7 +11,7 @@
 # detects the close only when it reads that connection. A node reads connections in any order, and late if it
 # is short of processor time. Without a gap, nodes can hold both attempts at once and execute a non-idempotent
 # request twice. docs/measurements/second-copy.md lists the frequency by length of the gap.
-CUT_OFF_GAP_US = 12_000
+RETRY_GAP_US = 12_000
 _INTERRUPTED_OUTCOMES: frozenset[api.OutcomeKind] = frozenset({"timeout", "reset", "cancelled", "error"})
 
 
@@ -91,7 +91,7 @@
         if kind not in api.NOT_EXECUTED_OUTCOMES and self.first_executed_at_us is None:
             self.first_executed_at_us = attempt.decided_at_us
         if kind in _INTERRUPTED_OUTCOMES:
-            self.next_attempt_not_before_us = now_us + CUT_OFF_GAP_US
+            self.next_attempt_not_before_us = now_us + RETRY_GAP_US
 
 
 class RequestTable:
--- a/harriertide/lab/experiments/duplicate_attempts.py
+++ b/harriertide/lab/experiments/duplicate_attempts.py
@@ -202,7 +202,7 @@
     """Print what was found; 1 where the broker itself made a duplicate attempt."""
     given = docopt(__doc__ or "", arguments)
     if given["--settle-ms"] is not None:
-        requests.CUT_OFF_GAP_US = int(1000 * float(given["--settle-ms"]))
+        requests.RETRY_GAP_US = int(1000 * float(given["--settle-ms"]))
     figures = count_duplicates(
         int(given["--attempts"]), int(given["--width"]), float(given["--late-ms"]), int(given["--seed"])
     )
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -12,7 +12,7 @@
 
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
-from harriertide.core.requests import CUT_OFF_GAP_US
+from harriertide.core.requests import RETRY_GAP_US
 from harriertide.decide import api
 from tests.helpers import START_US
 from tests.scripted import (
@@ -55,7 +55,7 @@
     assert first == [ev.StartAttempt("r", 0, "n0", START_US + 500_000, 0)]
     now = START_US + 30_000
     again = of_kind(core.step(now, [ev.AttemptFinished("r", 0, kind)]), ev.StartAttempt)
-    assert [start.not_before_us for start in again] == [now + CUT_OFF_GAP_US]
+    assert [start.not_before_us for start in again] == [now + RETRY_GAP_US]
     # The final answer does not wait for the gap.
     assert [e.kind for e in of_kind(core.step(now, [ev.AttemptFinished("r", 1, kind)]), ev.Respond)] == [
         "failed"
@@ -71,9 +71,9 @@
     core.step(START_US, [ev.ClientDisconnected("r")])
     core.step(START_US + 1, [ev.AttemptFinished("r", 0, "cancelled")])
     again = of_kind(core.step(START_US + 2, [request_arrived()]), ev.StartAttempt)
-    assert [start.not_before_us for start in again] == [START_US + 1 + CUT_OFF_GAP_US]
+    assert [start.not_before_us for start in again] == [START_US + 1 + RETRY_GAP_US]
     core.step(START_US + 3, [ev.AttemptFinished("r", 0, "ok", b"")])
-    later = of_kind(core.step(START_US + 2 * CUT_OFF_GAP_US, [request_arrived()]), ev.StartAttempt)
+    later = of_kind(core.step(START_US + 2 * RETRY_GAP_US, [request_arrived()]), ev.StartAttempt)
     assert [start.not_before_us for start in later] == [0]
 
 
--- a/tests/test_single_attempt.py
+++ b/tests/test_single_attempt.py
@@ -11,7 +11,7 @@
 
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
-from harriertide.core.requests import CUT_OFF_GAP_US
+from harriertide.core.requests import RETRY_GAP_US
 from harriertide.decide import api
 from harriertide.engine.clock import Clock
 from harriertide.engine.runtime import Attempt, AttemptResult, Runtime
@@ -125,7 +125,7 @@
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(make_arrival(runtime))])
-        not_before_us = runtime.clock.now_us() + 5 * CUT_OFF_GAP_US
+        not_before_us = runtime.clock.now_us() + 5 * RETRY_GAP_US
         result = asyncio.create_task(
             client.exchange(make_attempt(runtime, 0, not_before_us), "GET", "/api", {}, b"")
         )
