--- a/harriertide/engine/__init__.py
+++ b/harriertide/engine/__init__.py
@@ -1,1 +1,1 @@
-"""What runs a core on an event loop: runtime, clock, log. Nothing here is HTTP."""
+"""Runs a core on an event loop: runtime, clock, log and recorded workloads. Independent of HTTP."""
--- a/harriertide/engine/counters.py
+++ b/harriertide/engine/counters.py
@@ -1,4 +1,4 @@
-"""Counters, as the log and the operators' pages show them."""
+"""Counters in the form that the log and the admin pages show."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def counter_fields(parts: Mapping[str, Counter[str]]) -> dict[str, int]:
-    """All counters as the fields of one log event.
+    """Return all counters as the fields of one log event.
 
-    :param parts: the counters of each part of the process, by its name
-    :returns: counts by "part.counter"
+    :param parts: the counters of each part of the process, by the name of the part
+    :returns: the counts by "part.counter"
     """
     return {
         f"{part}.{counter}": count
--- a/harriertide/engine/log.py
+++ b/harriertide/engine/log.py
@@ -1,4 +1,4 @@
-"""The log: structured events on standard error, as key=value or JSON, at a bounded rate."""
+"""The log: structured events on standard error, as key=value or JSON, with a rate limit."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import structlog
 from structlog.typing import EventDict, Processor, WrappedLogger
 
-# A failure that shows in each request must not fill the disk or slow the broker down: beyond a burst, events
-# are left out and counted.
+# A failure that affects every request must not fill the disk or slow down the broker, so events beyond the
+# rate limit are dropped and counted.
 BURST_EVENT_COUNT = 40.0
 EVENTS_PER_S = 10.0
 
@@ -19,10 +19,10 @@
 
 
 class Log:
-    """Writes events, at most BURST_EVENT_COUNT at once and EVENTS_PER_S in the long run.
+    """Writes events at a rate of at most EVENTS_PER_S, with bursts of up to BURST_EVENT_COUNT.
 
-    An event is named by a constant phrase, which can be searched for; what varies goes into fields. The first
-    event after others were left out has their number in its field left_out.
+    The name of an event is a constant, searchable phrase; variable values go into fields. The first event
+    after dropped events has their number in the field left_out.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         self.set_format("text")
 
     def set_format(self, log_format: LogFormat) -> None:
-        """Write events in this format from now on."""
+        """Set the format of all subsequent events."""
         render: Processor
         if log_format == "json":
             render = structlog.processors.JSONRenderer()
@@ -43,7 +43,7 @@
         self._logger = structlog.wrap_logger(None, processors, wrapper_class=_StandardErrorLogger)
 
     def _limit_rate(self, logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
-        """A token bucket of events."""
+        """Drop the event if the token bucket is empty."""
         now_s = time.monotonic()
         refill = EVENTS_PER_S * (now_s - self._refilled_at_s)
         self._available_events = min(BURST_EVENT_COUNT, self._available_events + refill)
@@ -60,21 +60,21 @@
     def __call__(self, event: str, **fields: Any) -> None:
         """Write an event.
 
-        :param fields: strings and numbers
+        :param fields: string and number values
         """
         self._logger.msg(event, **fields)
 
     def log_final(self, event: str, **fields: Any) -> None:
-        """Write an event at the end of the process, whatever was written before it."""
+        """Write an event at the end of the process, regardless of the rate limit."""
         self._available_events = max(self._available_events, 1.0)
         self(event, **fields)
 
 
 class _StandardErrorLogger(structlog.BoundLoggerBase):
-    """Writes to what standard error is at that moment: tests and supervisors replace it."""
+    """Writes to the current `sys.stderr`, which tests and supervisors replace."""
 
     def msg(self, event: str, **fields: Any) -> None:
-        """Write one event, unless it is left out."""
+        """Write an event, unless the rate limit drops the event."""
         try:
             rendered, _ = self._process_event("msg", event, fields)
         except structlog.DropEvent:
@@ -86,13 +86,13 @@
 
 
 class _LibraryHandler(logging.Handler):
-    """Takes what libraries log, so that it has the same format and is bounded by the same rate."""
+    """Forwards log records of libraries to this log, which applies the same format and rate limit."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record as an event."""
+        """Write a log record as an event."""
         log("library", logger=record.name, text=self.format(record))
 
 
 def adopt_libraries() -> None:
-    """Send warnings and errors of libraries to this log."""
+    """Forward warnings and errors of libraries to this log."""
     logging.basicConfig(level=logging.WARNING, handlers=[_LibraryHandler()], force=True)
--- a/harriertide/engine/runtime.py
+++ b/harriertide/engine/runtime.py
@@ -1,4 +1,4 @@
-"""Runs a core on an event loop: collects the events of a turn of the loop, and performs the effects."""
+"""Runs a core on an event loop: batches the events of a loop iteration and performs the resulting effects."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from harriertide.engine.clock import Clock, until
 from harriertide.engine.log import log
 
-CLOSE_POLL_S = 0.005  # how often a runtime that is closing looks whether its attempts have ended
+CLOSE_POLL_S = 0.005  # how often `Runtime.close` checks whether all attempts have ended
 
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt, as the job that performs it sees it."""
+    """An attempt, as passed to the job that performs it."""
 
     runtime: Runtime
     request_id: str
     number: int
     node_id: str
     stop_at_us: int
-    not_before_us: int = 0  # no byte may be written before; 0: at once
-    body_written_us: int = 0  # set by who forwards a body as it comes: when its last byte was written
+    not_before_us: int = 0  # the earliest time to write the first byte; 0: immediately
+    body_written_us: int = 0  # when the last byte of a streamed body was written; set by the job
 
     def may_write(self) -> api.OutcomeKind | None:
         """Check the attempt right before its first byte is written.
 
-        :returns: None to write it now, else how it ends with nothing written
+        :returns: None if the attempt may be written now, else its outcome, with nothing written
         """
         runtime = self.runtime
         if runtime.has_client_disconnected(self.request_id):
@@ -44,57 +44,57 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, and the reply that its client may be given."""
+    """The outcome of an attempt, and the reply that may be passed to the client."""
 
     kind: api.OutcomeKind
     reply: object = None
 
 
 class Job(Protocol):
-    """A request that was taken, as its front performs and answers it."""
+    """An accepted request, whose frontend performs the attempts and sends the answer."""
 
     @property
     def context(self) -> Context | None:
-        """The context of who asked, in a copy of which attempts run; None: that of the runtime."""
+        """The caller's context, a copy of which each attempt runs in; None for the runtime's context."""
 
     async def perform(self, attempt: Attempt) -> AttemptResult:
         """Perform one attempt."""
 
     def has_client_disconnected(self) -> bool:
-        """Whether the client is gone as the system knows it now: the loop may not have been notified yet."""
+        """Whether the client has disconnected, even if the event loop was not notified yet."""
 
     def respond(self, answer: ev.Respond) -> None:
-        """Give the client its final answer."""
+        """Send the final answer to the client."""
 
 
 @runtime_checkable
 class Disposable(Protocol):
-    """A reply that holds a resource, which has to be freed where nobody takes the reply."""
+    """A reply that holds a resource, which must be freed if the reply is discarded."""
 
     def dispose(self) -> None:
         """Free the resource."""
 
 
-def _do_nothing(*_: object) -> None:
-    """A hook that nobody has set."""
+def _no_op(*_: object) -> None:
+    """The default of a hook that is not set."""
 
 
 class Runtime:
-    """The event loop's side of a core, which all fronts of a process share.
+    """Connects a core to the event loop; shared by all frontends of a process.
 
-    Its owner sets the hooks that the process has a use for, before the first event is posted.
+    The owner sets the hooks that the process needs before the first event is posted.
     """
 
     def __init__(self, core: Reducer, clock: Clock) -> None:
         self.core = core
         self.clock = clock
-        self.send_peer_message: Callable[[int, bytes], None] = _do_nothing  # to a broker, by its index
-        self.watch_endpoints: Callable[[], None] = _do_nothing
-        self.start_probe: Callable[[str], None] = _do_nothing  # of a node, by its id
-        self.record_event: Callable[[int, ev.Event], None] | None = None  # each event, before it is handled
-        # Called before posted events are handled: guards against a process that was suspended, was replaced
-        # by another meanwhile, and acts on what it held (an upgrade in place sets it).
-        self.check_fence: Callable[[], None] = _do_nothing
+        self.send_peer_message: Callable[[int, bytes], None] = _no_op  # to a broker, by broker index
+        self.watch_endpoints: Callable[[], None] = _no_op
+        self.start_probe: Callable[[str], None] = _no_op  # of a node, by node id
+        self.record_event: Callable[[int, ev.Event], None] | None = None  # called before an event is handled
+        # Called before posted events are handled; set by an in-place upgrade. Keeps a process that was
+        # suspended and then replaced by another process from acting on its outdated state.
+        self.check_fence: Callable[[], None] = _no_op
         self._loop = asyncio.get_running_loop()
         self._is_closed = False
         self._posted: list[ev.Event] = []
@@ -113,13 +113,13 @@
             ev.LogLine: self._write_log_line,
         }
 
-    # --- for fronts -----------------------------------------------------------------------------
+    # --- interface for frontends ----------------------------------------------------------------
 
     def submit(self, arrival: api.Arrival, job: Job, streams_body: bool = False) -> bool:
-        """Give a request to the core.
+        """Submit a request to the core.
 
-        :param streams_body: its body is forwarded as it comes
-        :returns: False if its id is in use
+        :param streams_body: whether the body is forwarded as it arrives
+        :returns: False if the request id is in use
         """
         if arrival.request_id in self._jobs or self.core.has_request(arrival.request_id):
             return False
@@ -128,14 +128,15 @@
         return True
 
     def client_disconnected(self, request_id: str) -> None:
-        """Report that the client of a request is gone."""
+        """Report that the client of a request has disconnected."""
         self.post(ev.ClientDisconnected(request_id))
 
     def has_client_disconnected(self, request_id: str) -> bool:
-        """Look up now whether the client of a request is gone, and report it if so.
+        """Check whether the client of a request has disconnected, and report a disconnect.
 
-        Guards against an attempt that begins after its client has closed the connection. The close lies
-        behind bytes that were not read yet, or came in a turn of the loop that has much else to do.
+        Prevents an attempt from starting after its client has closed the connection. The event loop may not
+        have seen the close yet, because unread bytes precede it or other events of the same loop iteration
+        are handled first.
         """
         job = self._jobs.get(request_id)
         if job is None or not job.has_client_disconnected():
@@ -144,20 +145,20 @@
         return True
 
     def response_started(self, attempt: Attempt) -> None:
-        """Report that the response of an attempt has begun to go to the client."""
+        """Report that the frontend has begun to send the response of an attempt to the client."""
         self.post(ev.ResponseStarted(attempt.request_id, attempt.number))
 
     def cancel_attempts(self, request_id: str) -> None:
-        """Cancel what runs for a request whose client is gone; it ends as cancelled."""
+        """Cancel the running attempts of a request whose client has disconnected."""
         for number in range(self.core.settings.max_attempts):
             task = self._attempt_tasks.get((request_id, number))
             if task is not None:
                 task.cancel()
 
     async def close(self, deadline_s: float) -> None:
-        """Answer open requests, cancel their attempts, and wait for the end of these.
+        """Answer open requests, cancel their attempts, and wait until the attempts have ended.
 
-        :param deadline_s: the moment of the loop's clock until which to wait
+        :param deadline_s: when to stop waiting, as a time of the event loop
         """
         self.post(ev.ShutdownStarted())
         for task in self._attempt_tasks.values():
@@ -172,9 +173,9 @@
     # --- events ---------------------------------------------------------------------------------
 
     def post(self, event: ev.Event) -> None:
-        """Have the core handle an event at the end of this turn of the loop, with all others of the turn.
+        """Queue an event; the core handles all events of a loop iteration in one step.
 
-        Once the runtime is closed, events change nothing any more.
+        Events are ignored once the runtime is closed.
         """
         if self._is_closed:
             return
@@ -183,14 +184,14 @@
         self._posted.append(event)
 
     def flush(self) -> None:
-        """Have the core handle all posted events now."""
+        """Let the core handle all posted events immediately."""
         self.check_fence()
         events = self._posted
         self._posted = []
         self._step(events)
 
     def handle_now(self, event: ev.Event) -> None:
-        """Have the core handle an event now, before those that were posted."""
+        """Let the core handle an event immediately, before any posted events."""
         self._step([event])
 
     def _step(self, events: list[ev.Event]) -> None:
@@ -201,7 +202,7 @@
         for effect in self.core.step(now_us, events):
             try:
                 self._effect_handlers[type(effect)](effect)
-            except Exception:  # guards against one broken effect taking the answers of others with it
+            except Exception:  # one failed effect must not prevent the answers of other requests
                 log("an effect failed in the broker itself", trace=traceback.format_exc())
         for event in events:
             if isinstance(event, (ev.AttemptFinished, ev.ClientDisconnected)):
@@ -267,13 +268,13 @@
     async def _run_attempt(self, job: Job, attempt: Attempt) -> None:
         try:
             result = await job.perform(attempt)
-        except Exception:  # guards against a fault of a front leaving its request without an answer
+        except Exception:  # a faulty frontend must not leave its request without an answer
             log("an attempt failed in the broker itself", trace=traceback.format_exc())
             result = AttemptResult("reset")
         self._finish_attempt(attempt, result)
 
     def _finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Report the end of an attempt: exactly once, whatever its job does."""
+        """Report the end of an attempt exactly once, regardless of how its job behaves."""
         if self._attempt_tasks.pop((attempt.request_id, attempt.number), None) is None:
             return
         self.post(
@@ -287,6 +288,6 @@
         )
 
     def _on_task_done(self, attempt: Attempt, task: asyncio.Task[None]) -> None:
-        """Report the end of an attempt that was cancelled, maybe before it began to run."""
+        """Report the end of a cancelled attempt, including one that was cancelled before its task ran."""
         if task.cancelled():
             self._finish_attempt(attempt, AttemptResult("cancelled"))
--- a/harriertide/engine/workload.py
+++ b/harriertide/engine/workload.py
@@ -1,8 +1,8 @@
-"""Recorded workloads: the requests and endpoint updates that a core was given, to be played again.
+"""Recorded workloads: the requests and endpoint updates that a core received, for replay.
 
-A recording is a file of JSON Lines: a header with format version, settings and seed, then one event a line,
-each with its time in microseconds since the header. A file that a crash cut off is good up to its last
-complete line. `harriertide.engine.workload_records` has the stored form.
+A recording is a JSON Lines file: a header with format version, settings and seed, then one event per line
+with its time in microseconds since the header. A file that was truncated by a crash is usable up to its last
+complete line. `harriertide.engine.workload_records` defines the stored form.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from harriertide.decide.settings import SettingsError
 from harriertide.engine import workload_records as records
 
-VERSION = 1  # of the stored form
+FORMAT_VERSION = 1
 
 
 class WorkloadError(SettingsError):
-    """A recorded workload cannot be used; the message names the file and the line."""
+    """A recorded workload is unusable; the message names the file and the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkloadHeader:
-    """What a recording was made with. seed: of the decision module's random numbers."""
+    """The settings of a recording. seed: the seed of the decision module's random number generator."""
 
     settings: api.Settings
     seed: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkloadEvent:
-    """An arrival or an endpoint update. at_us, and all times within it, count from the header."""
+    """An arrival or an endpoint update. at_us and all times within the event are relative to the header."""
 
     at_us: int
     arrival: api.Arrival | None = None
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """A recording in memory. truncated: its last line was not complete, and was left out."""
+    """A recording in memory. truncated: whether an incomplete last line was omitted."""
 
     header: WorkloadHeader
     events: list[WorkloadEvent]
@@ -53,21 +53,21 @@
 
 
 class Recorder:
-    """Writes what a core gets to a file, line by line as it comes."""
+    """Writes the events that a core receives to a file, one line per event."""
 
     def __init__(self, file: BinaryIO, settings: api.Settings, seed: int, start_us: int) -> None:
         self._file, self._start_us = file, start_us
         self._file.write(_header_line(WorkloadHeader(settings, seed)))
 
     def take(self, now_us: int, event: ev.Event) -> None:
-        """Record an event of the core; events other than arrivals and endpoint updates are left out."""
+        """Record an arrival or an endpoint update; other events are ignored."""
         recorded = _relative_event(now_us, event, self._start_us)
         if recorded is not None:
             self._file.write(_event_line(recorded))
 
 
 def _relative_event(now_us: int, event: ev.Event, start_us: int) -> WorkloadEvent | None:
-    """The event with all its times counted from start_us; None if it is of no kind that is recorded."""
+    """Return the event with times relative to start_us, or None if events of its kind are not recorded."""
     if isinstance(event, ev.RequestArrived):
         deadline_at_us = event.arrival.deadline_at_us - start_us
         return WorkloadEvent(now_us - start_us, replace(event.arrival, deadline_at_us=deadline_at_us))
@@ -77,9 +77,9 @@
 
 
 def absolute_event(recorded: WorkloadEvent, start_us: int) -> tuple[int, ev.Event]:
-    """A recorded event on a clock that showed start_us at the header.
+    """Convert a recorded event to absolute times, with start_us as the time of the header.
 
-    :returns: when it comes, in microseconds of that clock, and the event for the core
+    :returns: the time of the event in microseconds, and the event for the core
     """
     at_us = recorded.at_us + start_us
     if recorded.arrival is not None:
@@ -89,43 +89,45 @@
     return at_us, ev.EndpointsUpdated(_shift_update(recorded.endpoint_update, start_us))
 
 
-def _shift_update(update: api.EndpointUpdate, by_us: int) -> api.EndpointUpdate:
-    return replace(update, entries=tuple(_shift_start(entry, by_us) for entry in update.entries))
+def _shift_update(update: api.EndpointUpdate, offset_us: int) -> api.EndpointUpdate:
+    return replace(update, entries=tuple(_shift_start(entry, offset_us) for entry in update.entries))
 
 
-def _shift_start(entry: api.NodeEntry, by_us: int) -> api.NodeEntry:
-    """The entry with its start on another clock; 0 stands for long ago and stays."""
-    return replace(entry, started_us=entry.started_us + by_us) if entry.started_us else entry
+def _shift_start(entry: api.NodeEntry, offset_us: int) -> api.NodeEntry:
+    """Shift the start time of the node; a start time of 0 means long ago and is not shifted."""
+    return replace(entry, started_us=entry.started_us + offset_us) if entry.started_us else entry
 
 
 def load(path: str) -> Workload:
-    """Read and check a recording.
+    """Read and validate a recording.
 
-    :raises WorkloadError: the file cannot be read, or a line of it cannot be used
+    :raises WorkloadError: the file cannot be read, or a line is invalid
     """
     try:
-        text = Path(path).read_bytes()
-    except OSError as fault:
-        raise WorkloadError(f"{path}: {fault.strerror}") from None
-    *lines, rest = text.split(b"\n")
+        content = Path(path).read_bytes()
+    except OSError as error:
+        raise WorkloadError(f"{path}: {error.strerror}") from None
+    *lines, incomplete_line = content.split(b"\n")
     if not lines:
-        raise WorkloadError(f"{path}: line 1: is missing or cut off")
+        raise WorkloadError(f"{path}: line 1: the header is missing or truncated")
     try:
         header = _read_header(lines[0])
         events = list(_read_events(lines[1:]))
-    except WorkloadError as fault:
-        raise WorkloadError(f"{path}: {fault}") from None
-    return Workload(header, events, truncated=bool(rest))
+    except WorkloadError as error:
+        raise WorkloadError(f"{path}: {error}") from None
+    return Workload(header, events, truncated=bool(incomplete_line))
 
 
 def _read_header(line: bytes) -> WorkloadHeader:
     try:
         record = records.decode_header(line)
         settings = records.load_settings(record.settings)
-    except (msgspec.DecodeError, ValueError) as fault:
-        raise WorkloadError(f"line 1: {fault}") from None
-    if record.version != VERSION:
-        raise WorkloadError(f"line 1: v: version {record.version} is not {VERSION}")
+    except (msgspec.DecodeError, ValueError) as error:
+        raise WorkloadError(f"line 1: {error}") from None
+    if record.version != FORMAT_VERSION:
+        raise WorkloadError(
+            f"line 1: v: version {record.version} is not supported; expected {FORMAT_VERSION}"
+        )
     return WorkloadHeader(settings, record.seed)
 
 
@@ -134,12 +136,14 @@
     for number, line in enumerate(lines, 2):
         try:
             event = _read_event(line)
-        except (msgspec.DecodeError, ValueError) as fault:
-            raise WorkloadError(f"line {number}: {fault}") from None
+        except (msgspec.DecodeError, ValueError) as error:
+            raise WorkloadError(f"line {number}: {error}") from None
         if (event.arrival is None) == (event.endpoint_update is None):
-            raise WorkloadError(f"line {number}: must have either arrival or news")
+            raise WorkloadError(f"line {number}: exactly one of arrival and news is required")
         if event.at_us < last_us:
-            raise WorkloadError(f"line {number}: at: goes back in time")
+            raise WorkloadError(
+                f"line {number}: at: {event.at_us} is before {last_us}, the time of the previous event"
+            )
         last_us = event.at_us
         yield event
 
@@ -155,13 +159,13 @@
 
 
 def save(path: str, workload: Workload) -> None:
-    """Write a recording, as one that was generated rather than recorded."""
+    """Write a workload that was generated rather than recorded to a file."""
     lines = [_header_line(workload.header), *map(_event_line, workload.events)]
     Path(path).write_bytes(b"".join(lines))
 
 
 def _header_line(header: WorkloadHeader) -> bytes:
-    record = records.HeaderRecord(VERSION, records.store_settings(header.settings), header.seed)
+    record = records.HeaderRecord(FORMAT_VERSION, records.store_settings(header.settings), header.seed)
     return records.encode(record) + b"\n"
 
 
--- a/harriertide/engine/workload_records.py
+++ b/harriertide/engine/workload_records.py
@@ -1,7 +1,7 @@
-"""The stored form of a recorded workload: JSON Lines whose field names and values never change.
+"""The stored form of a recorded workload: JSON Lines with stable field names and values.
 
-The names on disk are those of the first version of the format. They are mapped here, and only here, to the
-names that the code uses, so that a recording of any release can be read by every later one.
+The names on disk are those of the first format version. Only this module maps them to the names in the code,
+so every release can read the recordings of all earlier releases.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 _UPDATE_KIND_ON_DISK = {"delta": "changes", "full": "whole", "cached": "held", "failed": "failed"}
 
 
-def _inverse(names: Mapping[str, str]) -> dict[str, str]:
+def _invert(names: Mapping[str, str]) -> dict[str, str]:
     return {on_disk: in_code for in_code, on_disk in names.items()}
 
 
-_IDEMPOTENCY_IN_CODE = _inverse(_IDEMPOTENCY_ON_DISK)
-_SCOPE_IN_CODE = _inverse(_SCOPE_ON_DISK)
-_UPDATE_KIND_IN_CODE = _inverse(_UPDATE_KIND_ON_DISK)
+_IDEMPOTENCY_IN_CODE = _invert(_IDEMPOTENCY_ON_DISK)
+_SCOPE_IN_CODE = _invert(_SCOPE_ON_DISK)
+_UPDATE_KIND_IN_CODE = _invert(_UPDATE_KIND_ON_DISK)
 
 
 class RequestClassRecord(
@@ -41,7 +41,7 @@
         "deduplication_window_us": "window_us",
     },
 ):
-    """A class of requests, as `harriertide.decide.api.RequestClass`."""
+    """The stored form of `harriertide.decide.api.RequestClass`."""
 
     latency_objective_us: int
     deadline_us: int
@@ -62,7 +62,7 @@
         "burst_limit_units": "limit_burst",
     },
 ):
-    """A plan, as `harriertide.decide.api.Plan`."""
+    """The stored form of `harriertide.decide.api.Plan`."""
 
     reserved_rate: float = 0.0
     weight: float = 1.0
@@ -98,7 +98,7 @@
         "retry_budget_window_us": "extra_span_us",
     },
 ):
-    """The settings of a broker, as `harriertide.decide.api.Settings`."""
+    """The stored form of `harriertide.decide.api.Settings`."""
 
     broker_index: int
     broker_count: int
@@ -130,7 +130,7 @@
 
 
 class NodeEntryRecord(Struct, rename={"node_id": "node"}):
-    """One node of the endpoint list, as `harriertide.decide.api.NodeEntry`."""
+    """The stored form of `harriertide.decide.api.NodeEntry`."""
 
     node_id: str
     shard: int
@@ -140,7 +140,7 @@
 
 
 class EndpointUpdateRecord(Struct, rename={"entries": "nodes"}):
-    """A change of the endpoint list, as `harriertide.decide.api.EndpointUpdate`."""
+    """The stored form of `harriertide.decide.api.EndpointUpdate`."""
 
     kind: Literal["changes", "whole", "held", "failed"]
     entries: tuple[NodeEntryRecord, ...] = ()
@@ -155,7 +155,7 @@
         "is_retry": "repeated",
     },
 ):
-    """A request as it came, as `harriertide.decide.api.Arrival`."""
+    """The stored form of `harriertide.decide.api.Arrival`."""
 
     request_id: str
     request_class: int
@@ -170,7 +170,7 @@
 
 
 class HeaderRecord(Struct, rename={"version": "v"}, forbid_unknown_fields=True):
-    """The first line of a file."""
+    """The first line of a recording."""
 
     version: int
     settings: SettingsRecord
@@ -183,81 +183,81 @@
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """One line: an arrival or a change of the endpoint list. Times are microseconds since the header."""
+    """An event line: an arrival or an endpoint update. Times are microseconds since the header."""
 
     at_us: int
     arrival: ArrivalRecord | None = None
     endpoint_update: EndpointUpdateRecord | None = None
 
 
-def _copied(source: object, target: type[T], **converted: Any) -> T:
-    """An object of another type with fields of the same names; those that need a conversion are given."""
+def _convert_fields(source: object, target: type[T], **converted: Any) -> T:
+    """Create a `target` from the fields of `source` with the same names; `converted` overrides fields."""
     names = target.__struct_fields__ if issubclass(target, Struct) else target.__slots__  # type: ignore[attr-defined]
-    same = {name: getattr(source, name) for name in names if name not in converted}
-    return target(**same, **converted)
+    copied = {name: getattr(source, name) for name in names if name not in converted}
+    return target(**copied, **converted)
 
 
 def store_settings(settings: api.Settings) -> SettingsRecord:
-    """The stored form of a broker's settings."""
+    """Convert the settings of a broker to their stored form."""
     classes = tuple(
-        _copied(
-            each,
+        _convert_fields(
+            request_class,
             RequestClassRecord,
-            idempotency=_IDEMPOTENCY_ON_DISK[each.idempotency],
-            deduplication_scope=_SCOPE_ON_DISK[each.deduplication_scope],
+            idempotency=_IDEMPOTENCY_ON_DISK[request_class.idempotency],
+            deduplication_scope=_SCOPE_ON_DISK[request_class.deduplication_scope],
         )
-        for each in settings.classes
+        for request_class in settings.classes
     )
-    plans = tuple(_copied(plan, PlanRecord) for plan in settings.plans)
-    return _copied(settings, SettingsRecord, classes=classes, plans=plans)
+    plans = tuple(_convert_fields(plan, PlanRecord) for plan in settings.plans)
+    return _convert_fields(settings, SettingsRecord, classes=classes, plans=plans)
 
 
 def load_settings(record: SettingsRecord) -> api.Settings:
-    """The settings that a recording was made with.
+    """Convert stored settings to the settings of a broker.
 
-    :raises ValueError: a figure is out of its range; the message names the field
+    :raises ValueError: a value is out of range; the message names the field
     """
     classes = tuple(
-        _copied(
-            each,
+        _convert_fields(
+            request_class,
             api.RequestClass,
-            idempotency=_IDEMPOTENCY_IN_CODE[each.idempotency],
-            deduplication_scope=_SCOPE_IN_CODE[each.deduplication_scope],
+            idempotency=_IDEMPOTENCY_IN_CODE[request_class.idempotency],
+            deduplication_scope=_SCOPE_IN_CODE[request_class.deduplication_scope],
         )
-        for each in record.classes
+        for request_class in record.classes
     )
-    plans = tuple(_copied(plan, api.Plan) for plan in record.plans)
-    return _copied(record, api.Settings, classes=classes, plans=plans)
+    plans = tuple(_convert_fields(plan, api.Plan) for plan in record.plans)
+    return _convert_fields(record, api.Settings, classes=classes, plans=plans)
 
 
 def store_arrival(arrival: api.Arrival) -> ArrivalRecord:
-    """The stored form of a request's arrival."""
-    return _copied(arrival, ArrivalRecord)
+    """Convert an arrival to its stored form."""
+    return _convert_fields(arrival, ArrivalRecord)
 
 
 def load_arrival(record: ArrivalRecord) -> api.Arrival:
-    """The arrival that was recorded."""
-    return _copied(record, api.Arrival)
+    """Convert a stored arrival."""
+    return _convert_fields(record, api.Arrival)
 
 
 def store_node_entry(entry: api.NodeEntry) -> NodeEntryRecord:
-    """The stored form of one node of the endpoint list."""
-    return _copied(entry, NodeEntryRecord)
+    """Convert a node of the endpoint list to its stored form."""
+    return _convert_fields(entry, NodeEntryRecord)
 
 
 def load_node_entry(record: NodeEntryRecord) -> api.NodeEntry:
-    """The node of the endpoint list that was stored."""
-    return _copied(record, api.NodeEntry)
+    """Convert a stored node of the endpoint list."""
+    return _convert_fields(record, api.NodeEntry)
 
 
 def store_endpoint_update(update: api.EndpointUpdate) -> EndpointUpdateRecord:
-    """The stored form of a change of the endpoint list."""
+    """Convert an endpoint update to its stored form."""
     entries = tuple(map(store_node_entry, update.entries))
     return EndpointUpdateRecord(_UPDATE_KIND_ON_DISK[update.kind], entries)  # type: ignore[arg-type]
 
 
 def load_endpoint_update(record: EndpointUpdateRecord) -> api.EndpointUpdate:
-    """The change of the endpoint list that was recorded."""
+    """Convert a stored endpoint update."""
     entries = tuple(map(load_node_entry, record.entries))
     return api.EndpointUpdate(_UPDATE_KIND_IN_CODE[record.kind], entries)  # type: ignore[arg-type]
 
