--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -18,7 +18,7 @@
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api, handover
 from harriertide.decide.scheduler import Scheduler
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Runtime
 from harriertide.http.connection_table import ConnectionTable
@@ -245,7 +245,7 @@
                 await process.start_accepting()
             except OSError as error:
                 log("cannot accept again yet", reason=str(error), retry_s=ACCEPT_RETRY_S)
-                await until(loop.time() + ACCEPT_RETRY_S)
+                await sleep_until(loop.time() + ACCEPT_RETRY_S)
             else:
                 break
         if not self.lease.is_active:
--- a/harriertide/cli/node.py
+++ b/harriertide/cli/node.py
@@ -25,7 +25,7 @@
 from xxhash import xxh3_64_hexdigest
 
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 
 MAX_FIELD_BYTES = 16_384  # of a header: as long as the fronts accept a request line
 MIN_OPTION_VALUES = {"--slots": 1, "--queue": 0, "--took-ms": 0, "--most-mb": 1}
@@ -78,7 +78,7 @@
             self._waiting_count -= 1
         try:
             if self._min_latency_s:
-                await until(asyncio.get_running_loop().time() + self._min_latency_s)
+                await sleep_until(asyncio.get_running_loop().time() + self._min_latency_s)
             return await self._serve(request)
         finally:
             self._free_slots.release()
--- a/harriertide/cli/shutdown.py
+++ b/harriertide/cli/shutdown.py
@@ -14,7 +14,7 @@
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.engine.log import log
 from harriertide.engine.runtime import Runtime
 from harriertide.http.connection_table import ConnectionTable
@@ -93,7 +93,7 @@
 
 async def _accept_late_connections() -> None:
     """Accept for a moment more what clients send before they hear of the end."""
-    await until(asyncio.get_running_loop().time() + ACCEPT_GRACE_S)
+    await sleep_until(asyncio.get_running_loop().time() + ACCEPT_GRACE_S)
 
 
 def _is_busy(process: StoppingProcess) -> bool:
@@ -104,7 +104,7 @@
     """Serve requests on connections that clients keep, until there is none or it is this late."""
     loop = asyncio.get_running_loop()
     while _is_busy(process) and loop.time() < time_s:
-        await until(loop.time() + POLL_INTERVAL_S)
+        await sleep_until(loop.time() + POLL_INTERVAL_S)
 
 
 async def _send_final_responses(process: StoppingProcess, deadline: float) -> None:
@@ -116,7 +116,7 @@
         process.objects.front.ready = False
     while _is_busy(process) and loop.time() < deadline:
         process.clients.close_idle()  # also one whose request was about to be read in the turn before
-        await until(loop.time() + POLL_INTERVAL_S)
+        await sleep_until(loop.time() + POLL_INTERVAL_S)
 
 
 async def _reject_the_rest(process: StoppingProcess, deadline: float) -> None:
@@ -124,10 +124,10 @@
     loop = asyncio.get_running_loop()
     process.front.rejects_requests = True
     process.runtime.post(ev.ShutdownStarted())
-    await until(loop.time() + POLL_INTERVAL_S)
+    await sleep_until(loop.time() + POLL_INTERVAL_S)
     while len(process.clients) and loop.time() < deadline + LINGER_S:
         process.clients.close_idle()
-        await until(loop.time() + POLL_INTERVAL_S)
+        await sleep_until(loop.time() + POLL_INTERVAL_S)
 
 
 async def _close(process: StoppingProcess) -> None:
--- a/harriertide/consensus/transport.py
+++ b/harriertide/consensus/transport.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 
 _FRAME_HEAD = struct.Struct("<II")
 # Of one payload: four batches of entries, or sixteen chunks of a snapshot.
@@ -151,7 +151,7 @@
                     reader, writer = await asyncio.open_connection(*self.address)
             except (OSError, TimeoutError):
                 self._drop_queue()
-                await until(asyncio.get_running_loop().time() + backoff_s)
+                await sleep_until(asyncio.get_running_loop().time() + backoff_s)
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
                 continue
             backoff_s = FIRST_BACKOFF_S
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -21,7 +21,7 @@
 from harriertide.control.tree_updates import TreeUpdates
 from harriertide.control.voter import Voter
 from harriertide.control.wire import WireMessage, decode_message, encode_message
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 
 TICK_S = 0.025  # a quarter of a heartbeat: timers are late by no more
 TRANSFER_WAIT_S = 0.1  # time that a stopping leader allows for handing over leadership
@@ -176,7 +176,7 @@
         """Hand over, and close the network and the store."""
         if self.is_leader:
             self.transfer_leadership()
-            await until(asyncio.get_running_loop().time() + TRANSFER_WAIT_S)
+            await sleep_until(asyncio.get_running_loop().time() + TRANSFER_WAIT_S)
         no_write = nullcontext() if self._voter is None else self._voter.writer.busy
         async with no_write:
             self.cancel_tasks()
@@ -191,7 +191,7 @@
         loop = asyncio.get_running_loop()
         while True:
             self.tick()
-            await until(loop.time() + TICK_S)
+            await sleep_until(loop.time() + TICK_S)
 
     def tick(self) -> None:
         """Do what is due by time alone: the role's timers, a report or grant round, updates for children."""
--- a/harriertide/engine/clock.py
+++ b/harriertide/engine/clock.py
@@ -38,7 +38,7 @@
         return self._reference_s + (unix_us - self._reference_unix_us) / 1_000_000
 
 
-async def until(loop_time_s: float) -> None:
+async def sleep_until(loop_time_s: float) -> None:
     """Sleep until the given time of the event loop."""
     loop = asyncio.get_running_loop()
     reached = asyncio.Event()
--- a/harriertide/http/node_client.py
+++ b/harriertide/http/node_client.py
@@ -12,7 +12,7 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from harriertide.decide import api
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.engine.runtime import Attempt
 from harriertide.http.body_stream import ResponseRemainder
 from harriertide.http.errors import AttemptFailedError, AttemptWithheldError, NodeFailureError
@@ -190,7 +190,7 @@
         against one that is not: a second copy may run twice what may run once.
         """
         if attempt.not_before_us > attempt.runtime.clock.now_us():
-            await until(attempt.runtime.clock.loop_time(attempt.not_before_us))
+            await sleep_until(attempt.runtime.clock.loop_time(attempt.not_before_us))
         while (other := self.pool.active_connection(attempt.request_id)) is not None:
             self.counts["second_copy_held_back"] += 1
             if (closed := other.closed) is None:
--- a/harriertide/lab/benchmarks/library_overhead.py
+++ b/harriertide/lab/benchmarks/library_overhead.py
@@ -25,7 +25,7 @@
 from docopt import docopt
 from hdrh.histogram import HdrHistogram
 
-from harriertide.engine.clock import Clock, until
+from harriertide.engine.clock import Clock, sleep_until
 from harriertide.http.limits import Limits
 from harriertide.http.node_client import NodeClient
 from harriertide.lab.benchmarks.request_ways import (
@@ -95,7 +95,7 @@
     for index in range(int(rate * seconds)):
         intended_at_s = begin_s + index / rate
         if intended_at_s > loop.time():
-            await until(intended_at_s)
+            await sleep_until(intended_at_s)
         tasks.append(asyncio.create_task(send_one(first_number + index, intended_at_s)))
     await asyncio.gather(*tasks)
     return latencies, failed
--- a/harriertide/lab/benchmarks/maintenance_cost.py
+++ b/harriertide/lab/benchmarks/maintenance_cost.py
@@ -34,7 +34,7 @@
 from harriertide.consensus.messages import Entry
 from harriertide.consensus.store import Store
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.benchmarks.rolling_work import BROKER_COUNT, MIN_APPLIED_ENTRIES, compare_methods
 from harriertide.lab.rigs.maintenance_rig import Rig
 from harriertide.lab.simulation import virtual_time
@@ -134,7 +134,7 @@
             elected_at_s = await _wait_for_election(folder, rig.names, begun_s)
             gaps_s.append(elected_at_s - begun_s)
             await rig.start_again(leader_index)
-            await until(asyncio.get_running_loop().time() + RECOVERY_S)
+            await sleep_until(asyncio.get_running_loop().time() + RECOVERY_S)
         await rig.close()
     return {
         "kills": kills,
@@ -152,7 +152,7 @@
             rows = (folder / f"{name}.events").read_text().splitlines()
             times_s = [json.loads(row)["at"] for row in rows if '"leads"' in row]
             elected_at_s += [at_s for at_s in times_s if at_s > after_s]
-        await until(asyncio.get_running_loop().time() + ELECTION_POLL_S)
+        await sleep_until(asyncio.get_running_loop().time() + ELECTION_POLL_S)
         if elected_at_s:
             return max(elected_at_s)
 
@@ -165,10 +165,10 @@
     fleet = Fleet(1, broker_count, 5, 4, lease_ms=3_000, load_s=NO_LOAD_S)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
-    await until(loop.time() + FLEET_SETTLE_S)
+    await sleep_until(loop.time() + FLEET_SETTLE_S)
     before = {name: Counter(carrier.counts) for name, carrier in fleet.carriers.items()}
     cpu_before_s = time.process_time()
-    await until(loop.time() + FLEET_SPAN_S)
+    await sleep_until(loop.time() + FLEET_SPAN_S)
     cpu_s = time.process_time() - cpu_before_s
 
     def rate_per_s(name: str, counter: str) -> float:
--- a/harriertide/lab/benchmarks/operator_calls.py
+++ b/harriertide/lab/benchmarks/operator_calls.py
@@ -29,7 +29,7 @@
 from docopt import docopt
 
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.fault_script import HOST
 from harriertide.lab.rigs.folders import kept_or_temporary
 from harriertide.lab.rigs.processor import ProcessorTime, reserve_core
@@ -125,12 +125,12 @@
         busy_programs = await _share_core(core, busy)
         rig.clients.rate = rate
         load = asyncio.create_task(rig.clients.offer(stop))
-        await until(loop.time() + WARM_UP_S)
+        await sleep_until(loop.time() + WARM_UP_S)
         for _ in range(SILENT_CALLER_COUNT):
             silent_callers.append((await asyncio.open_connection(HOST, process.operator_port))[1])
         for _ in range(calls):
             answers.append(await _call_and_log(rig, process))
-            await until(loop.time() + CALL_INTERVAL_S)
+            await sleep_until(loop.time() + CALL_INTERVAL_S)
         stop.set()
         await load
     finally:
--- a/harriertide/lab/benchmarks/rolling_work.py
+++ b/harriertide/lab/benchmarks/rolling_work.py
@@ -11,7 +11,7 @@
 from statistics import median
 from typing import Any
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.experiments.maintenance import Run
 from harriertide.lab.rigs.maintenance_rig import Rig
 
@@ -41,7 +41,7 @@
         _, status = await rig.ask(0, "GET", "/maintenance")
         if status.get("leader") and status.get("applied", 0) >= MIN_APPLIED_ENTRIES:
             return rig
-        await until(asyncio.get_running_loop().time() + READY_POLL_S)
+        await sleep_until(asyncio.get_running_loop().time() + READY_POLL_S)
 
 
 async def measure_rolling_work(seed: int, method: str, rate: float) -> dict[str, float]:
@@ -53,10 +53,10 @@
         run = Run(rig, seed)
         loop = asyncio.get_running_loop()
         load = loop.create_task(run.load(rate))
-        await until(loop.time() + LOAD_START_S)
+        await sleep_until(loop.time() + LOAD_START_S)
         begun_s = time.monotonic()
         if method == NO_WORK:
-            await until(loop.time() + NO_WORK_S)
+            await sleep_until(loop.time() + NO_WORK_S)
         elif method in (AGREED, AGREED_NODES):
             await _work_by_agreement(run, with_brokers=method == AGREED)
         elif method == ONE_AT_A_TIME:
@@ -90,7 +90,7 @@
         batch = node_names[first : first + at_once]
         for name in batch:
             await _set_node_state(rig, name, "draining")
-        await until(loop.time() + drain_wait_s + WORK_S)
+        await sleep_until(loop.time() + drain_wait_s + WORK_S)
         for name in batch:
             await _set_node_state(rig, name, "up")
 
--- a/harriertide/lab/experiments/drains.py
+++ b/harriertide/lab/experiments/drains.py
@@ -21,7 +21,7 @@
 
 from docopt import docopt
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.checkers.upgrade_checker import (
     IDLE_S,
     LATE_REQUEST_S,
@@ -74,12 +74,12 @@
         if (await self.call_operator("POST /api/evacuate")).status != 200:
             logs.write("platform", "failed", what="evacuate was refused")
         while await self.is_healthy():
-            await until(loop.time() + HEALTH_CHECK_INTERVAL_S)
-        await until(loop.time() + FRONT_DELAY_S)
+            await sleep_until(loop.time() + HEALTH_CHECK_INTERVAL_S)
+        await sleep_until(loop.time() + FRONT_DELAY_S)
         clients.gets_new_connections = False
         while loop.time() < begun_s + IDLE_S:
             await self.call_operator("GET /api/ready")
-            await until(min(begun_s + IDLE_S, loop.time() + OPERATOR_CALL_INTERVAL_S))
+            await sleep_until(min(begun_s + IDLE_S, loop.time() + OPERATOR_CALL_INTERVAL_S))
         idle_count, late_count = clients.count_open(LATE_REQUEST_S)
         logs.write("platform", "open", idle=idle_count, late=late_count)
         if await self.is_healthy():
@@ -87,7 +87,7 @@
         begun_s = loop.time()
         await self.call_operator("POST /api/rejoin")
         while not await self.is_healthy() and loop.time() < begun_s + 2 * REJOIN_S:
-            await until(loop.time() + HEALTH_CHECK_INTERVAL_S)
+            await sleep_until(loop.time() + HEALTH_CHECK_INTERVAL_S)
         logs.write("platform", "rejoined", took_s=loop.time() - begun_s)
         clients.gets_new_connections = True
         for writer in self._incomplete_callers:
@@ -112,9 +112,9 @@
         rig.logs.write("platform", "ready", took_s=await rig.wait_ready(process))
         load = asyncio.create_task(rig.clients.offer(stop))
         for _ in range(runs):
-            await until(asyncio.get_running_loop().time() + SETTLE_S)
+            await sleep_until(asyncio.get_running_loop().time() + SETTLE_S)
             await DrainRun(rig, process).drain()
-        await until(asyncio.get_running_loop().time() + SETTLE_S)
+        await sleep_until(asyncio.get_running_loop().time() + SETTLE_S)
         stop.set()
         await load
         if not process.is_running:
--- a/harriertide/lab/experiments/fleet_run.py
+++ b/harriertide/lab/experiments/fleet_run.py
@@ -7,7 +7,7 @@
 import asyncio
 from random import Random
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.checkers.fleet_checker import Verdict, check_fleet
 from harriertide.lab.simulation import virtual_time
 from harriertide.lab.simulation.maintenance_fleet import Fleet
@@ -63,7 +63,7 @@
         if lose_disk:
             self._disk_whole_s = loop.time() + duration_s + WHOLE_AGAIN_S
             self._fleet.replace_disk(name)
-        await until(loop.time() + duration_s)
+        await sleep_until(loop.time() + duration_s)
         if name not in self._fleet.services:
             await self._fleet.start(name)
 
@@ -71,13 +71,13 @@
         fleet, loop = self._fleet, asyncio.get_running_loop()
         await asyncio.gather(*(fleet.kill(name) for name in fleet.names))
         for name in fleet.names:
-            await until(loop.time() + self._random.uniform(0.0, 0.2))
+            await sleep_until(loop.time() + self._random.uniform(0.0, 0.2))
             if name not in fleet.services:
                 await fleet.start(name)
 
     async def _cut(self, links: set[tuple[str, str]], duration_s: float) -> None:
         self._fleet.cut_links |= links
-        await until(asyncio.get_running_loop().time() + duration_s)
+        await sleep_until(asyncio.get_running_loop().time() + duration_s)
         self._fleet.cut_links -= links
 
     def heal(self) -> None:
@@ -101,7 +101,7 @@
     work = loop.create_task(operators.confirm_steps(end_s + FINISH_S))
     faults = DrawnFaults(fleet, random, voters)
     while loop.time() < end_s:
-        await until(loop.time() + random.uniform(0.3, 2.0))
+        await sleep_until(loop.time() + random.uniform(0.3, 2.0))
         await faults.play_one()
     faults.heal()
     await asyncio.gather(*requests)
--- a/harriertide/lab/experiments/maintenance.py
+++ b/harriertide/lab/experiments/maintenance.py
@@ -30,7 +30,7 @@
 from docopt import docopt
 
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.checkers.maintenance_checker import Verdict, check_logs
 from harriertide.lab.rigs.fault_player import VERBS, draw
 from harriertide.lab.rigs.fault_script import Fault, load_script
@@ -72,7 +72,7 @@
                 return True
             if status in (400, 409):
                 raise SettingsError(f"{order}: {answer.get('reason')}")
-            await until(asyncio.get_running_loop().time() + REQUEST_RETRY_S)
+            await sleep_until(asyncio.get_running_loop().time() + REQUEST_RETRY_S)
         return False
 
     async def operate(self, until_s: float) -> bool:
@@ -93,7 +93,7 @@
                     is_node = step["machine"].startswith("x")
                     if is_node and step["phase"] == "out" and step["for_s"] >= MIN_WORK_S:
                         await self._report_done(step["machine"])
-            await until(asyncio.get_running_loop().time() + OPERATOR_POLL_S)
+            await sleep_until(asyncio.get_running_loop().time() + OPERATOR_POLL_S)
         return False
 
     async def _report_done(self, machine: str) -> None:
@@ -109,7 +109,7 @@
         loop = asyncio.get_running_loop()
         try:
             while True:
-                await until(loop.time() + self.random.expovariate(rate))
+                await sleep_until(loop.time() + self.random.expovariate(rate))
                 self.write_count += 1
                 task = loop.create_task(
                     self._write(self.random.randrange(self.rig.number), f"k{self.write_count}")
@@ -145,7 +145,7 @@
         await fault_run
         rig.heal()
         finished = finished or await run.operate(time.monotonic() + FINISH_TIMEOUT_S)
-        await until(asyncio.get_running_loop().time() + SETTLE_S)
+        await sleep_until(asyncio.get_running_loop().time() + SETTLE_S)
     finally:
         if load is not None:
             load.cancel()
--- a/harriertide/lab/experiments/soak_run.py
+++ b/harriertide/lab/experiments/soak_run.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.experiments.soak_plan import Restart, SignalAt, SoakPlan, Step
 from harriertide.lab.rigs.clients import DEADLINE_MS
 from harriertide.lab.rigs.single_broker import COLD_S, BrokerProcess, SingleBrokerRig
@@ -139,9 +139,9 @@
         signalling = asyncio.create_task(self._send(self.serving, restart.stop))
         until_term_s = sum(each.after_s for each in restart.stop[: _index_of_term(restart.stop) + 1])
         told_at_s = loop.time() + until_term_s
-        await until(told_at_s + restart.new_connections_s)
+        await sleep_until(told_at_s + restart.new_connections_s)
         clients.gets_new_connections = False
-        await until(told_at_s + EARLIEST_KILL_S)
+        await sleep_until(told_at_s + EARLIEST_KILL_S)
         await signalling
         await self._kill(self.serving)
         for node in self._rig.nodes:
@@ -248,7 +248,7 @@
 
 async def _pause(seconds: float) -> None:
     """Wait while the load goes on."""
-    await until(asyncio.get_running_loop().time() + seconds)
+    await sleep_until(asyncio.get_running_loop().time() + seconds)
 
 
 async def carry_out(folder: Path, plan: SoakPlan) -> None:
--- a/harriertide/lab/experiments/upgrade_cases.py
+++ b/harriertide/lab/experiments/upgrade_cases.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.single_broker import COLD_S, BrokerProcess, SingleBrokerRig, call_operator
 
 SETTLE_S = 0.3  # of load between upgrades
@@ -36,7 +36,7 @@
 
     async def pause(self, seconds: float) -> None:
         """Wait while the load goes on."""
-        await until(asyncio.get_running_loop().time() + seconds)
+        await sleep_until(asyncio.get_running_loop().time() + seconds)
 
     async def start_first_process(self) -> None:
         """Start the first process of the broker."""
--- a/harriertide/lab/rigs/clients.py
+++ b/harriertide/lab/rigs/clients.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.nodes import LONG_BYTES, RigLogs
 
 SLOW_READ_COUNT = 64  # parts in which a slow client reads a long response
@@ -112,7 +112,7 @@
         """Send requests until the event is set; then wait for all responses."""
         loop = asyncio.get_running_loop()
         while not stop.is_set():
-            await until(loop.time() + self._random.expovariate(self.rate))
+            await sleep_until(loop.time() + self._random.expovariate(self.rate))
             if not (self.gets_new_connections or self.idle):
                 continue  # the front sends it to another broker
             task = loop.create_task(self._send_one())
@@ -192,7 +192,7 @@
         planned = self._plan_request()
         connection = await self._connect()
         connection.writer.write(planned.encode(0))
-        await until(asyncio.get_running_loop().time() + after_s)
+        await sleep_until(asyncio.get_running_loop().time() + after_s)
         connection.writer.transport.abort()
         self._logs.write("clients", "left", request=planned.request_id(0))
 
@@ -211,7 +211,7 @@
             if not part:
                 break
             remaining_bytes -= len(part)
-            await until(loop.time() + over_s / SLOW_READ_COUNT)
+            await sleep_until(loop.time() + over_s / SLOW_READ_COUNT)
         connection.writer.close()
         if status == 200 and remaining_bytes > 0:
             self._logs.write("clients", "ended", request=request, begun=True)
--- a/harriertide/lab/rigs/fault_player.py
+++ b/harriertide/lab/rigs/fault_player.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.fault_script import Fault
 from harriertide.lab.rigs.frame_relay import FrameFaults, FrameRelay
 
@@ -109,7 +109,7 @@
         rows = [asdict(fault) for fault in faults]
         (self._rig.folder / "script.json").write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
         for fault in faults:
-            await until(begun + fault.at_s)
+            await sleep_until(begun + fault.at_s)
             self._rig.write("rig", event="fault", **asdict(fault))
             tasks.append(asyncio.ensure_future(self.play_one(fault)))
         await asyncio.gather(*tasks)
@@ -119,7 +119,7 @@
         await self._players[fault.verb](fault)
 
     async def _last(self, fault: Fault) -> None:
-        await until(asyncio.get_running_loop().time() + fault.for_s)
+        await sleep_until(asyncio.get_running_loop().time() + fault.for_s)
 
     async def _play_kill(self, fault: Fault) -> None:
         await self._rig.kill(fault.a)
--- a/harriertide/lab/rigs/frame_relay.py
+++ b/harriertide/lab/rigs/frame_relay.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from random import Random
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.fault_script import HOST
 
 SHORTEST_DELAY_S, LONGEST_DELAY_S = 0.001, 0.04
@@ -74,7 +74,7 @@
             if self.is_cut or faults.strikes(0.5):
                 continue  # lost: what comes behind it goes on
             if faults.strikes():
-                await until(loop.time() + faults.delay_s())
+                await sleep_until(loop.time() + faults.delay_s())
             if not held_back and faults.strikes():
                 held_back = frame  # behind the next one
                 continue
--- a/harriertide/lab/rigs/maintenance_rig.py
+++ b/harriertide/lab/rigs/maintenance_rig.py
@@ -22,7 +22,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.fault_player import FaultPlayer
 from harriertide.lab.rigs.fault_script import HOST, free_ports
 from harriertide.lab.rigs.frame_relay import FrameFaults, FrameRelay
@@ -159,7 +159,7 @@
                 if self._is_ending or place in self.stopped:
                     return
                 raise SettingsError(f"broker {name} did not get ready; see {stderr.name}")
-            await until(asyncio.get_running_loop().time() + 0.05)
+            await sleep_until(asyncio.get_running_loop().time() + 0.05)
 
     async def _supervise(self, place: int, process: asyncio.subprocess.Process) -> None:
         """Start a process again that ended in order by itself (its turn of maintenance)."""
@@ -171,7 +171,7 @@
             and self.processes.get(place) is process
             and place not in self.stopped
         ):
-            await until(asyncio.get_running_loop().time() + RESTART_S)
+            await sleep_until(asyncio.get_running_loop().time() + RESTART_S)
             await self.launch(place, wait=False)
 
     async def ask(
--- a/harriertide/lab/rigs/nodes.py
+++ b/harriertide/lab/rigs/nodes.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import IO, Any, Literal
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.fault_script import HOST
 
 SERVICE_S = 0.008  # of each request
@@ -101,7 +101,7 @@
         if self.fault == "hang":
             with suppress(ConnectionError):
                 await reader.read()  # until the broker gives the attempt up
-        await until(asyncio.get_running_loop().time() + SERVICE_S)
+        await sleep_until(asyncio.get_running_loop().time() + SERVICE_S)
         if self.fault in ("hang", "reset") or reader.at_eof():
             self.logs.write("nodes", "left", **row)
             return False
@@ -174,7 +174,7 @@
                 self._log_list()
                 self._send_list(writer)
                 while not writer.is_closing():
-                    await until(asyncio.get_running_loop().time() + KEEPALIVE_S)
+                    await sleep_until(asyncio.get_running_loop().time() + KEEPALIVE_S)
                     self._write_chunk(writer, b"\n")
         self._watches.discard(writer)
         writer.transport.abort()
--- a/harriertide/lab/rigs/object_node.py
+++ b/harriertide/lab/rigs/object_node.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from xxhash import xxh3_64_hexdigest
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.fault_script import HOST
 
 
@@ -40,7 +40,7 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         path = request.raw_path
         self._on_request(self.name, request.method, path)
-        await until(asyncio.get_running_loop().time() + self._service_s)
+        await sleep_until(asyncio.get_running_loop().time() + self._service_s)
         if request.method == "PUT":
             self._blobs[path] = await request.read()
         elif request.method == "DELETE":
--- a/harriertide/lab/rigs/process_rig.py
+++ b/harriertide/lab/rigs/process_rig.py
@@ -15,7 +15,7 @@
 from typing import IO, Any
 
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs.broker_settings import DEADLINE_MS, MAX_REQUEST_UNITS, SETTINGS
 from harriertide.lab.rigs.datagram_relays import Relays
 from harriertide.lab.rigs.fault_script import HOST, Fault, free_ports
@@ -97,7 +97,7 @@
                 return
             if loop.time() > end_s or self._brokers[place].returncode is not None:
                 raise SettingsError(f"broker {place} did not get ready; see {stderr.name}")
-            await until(loop.time() + 0.02)
+            await sleep_until(loop.time() + 0.02)
 
     async def _serve_node(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -106,7 +106,7 @@
                 fields = dict(row.lower().split(": ", 1) for row in head.split("\r\n")[1:-2])
                 units = float(fields["x-extent"].partition("units=")[2].partition(",")[0])
                 self._write("box", event="came", request=fields["x-call-id"], units=units)
-                await until(asyncio.get_running_loop().time() + SERVICE_S)
+                await sleep_until(asyncio.get_running_loop().time() + SERVICE_S)
                 self._write("box", event="answered", request=fields["x-call-id"])
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         writer.close()
@@ -118,7 +118,7 @@
         loop, tasks = asyncio.get_running_loop(), []
         began_s = loop.time()
         while (past_s := loop.time() - began_s) < seconds:
-            await until(loop.time() + self._random.expovariate(rate))
+            await sleep_until(loop.time() + self._random.expovariate(rate))
             busiest = int(past_s / TURN_S) % self._number
             is_busiest = self._random.random() < BUSIEST_RATIO
             place = busiest if is_busiest else self._random.randrange(self._number)
@@ -158,13 +158,13 @@
             "lose": self._play_losses,
         }
         for fault in faults:
-            await until(began_s + fault.at_s)
+            await sleep_until(began_s + fault.at_s)
             self._write("clients", event="fault", **asdict(fault))
             tasks.append(asyncio.ensure_future(players[fault.verb](fault)))
         await asyncio.gather(*tasks)
 
     async def _last(self, fault: Fault) -> None:
-        await until(asyncio.get_running_loop().time() + fault.for_s)
+        await sleep_until(asyncio.get_running_loop().time() + fault.for_s)
 
     async def _play_kill(self, fault: Fault) -> None:
         self._brokers[fault.a].kill()
--- a/harriertide/lab/rigs/processor.py
+++ b/harriertide/lab/rigs/processor.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 
 NANOSECONDS_PER_S = 1e9
 CORE_POLL_S = 0.1  # between looks for a core that has become free
@@ -68,4 +68,4 @@
             finally:
                 os.close(descriptor)
             return
-        await until(asyncio.get_running_loop().time() + CORE_POLL_S)
+        await sleep_until(asyncio.get_running_loop().time() + CORE_POLL_S)
--- a/harriertide/lab/rigs/single_broker.py
+++ b/harriertide/lab/rigs/single_broker.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import Any
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.rigs import broker_settings
 from harriertide.lab.rigs.clients import DEADLINE_MS, Clients
 from harriertide.lab.rigs.fault_script import HOST, free_ports
@@ -152,7 +152,7 @@
         loop = asyncio.get_running_loop()
         while True:
             check_at_s = loop.time() + STALL_CHECK_S
-            await until(check_at_s)
+            await sleep_until(check_at_s)
             late_s = loop.time() - check_at_s
             if late_s > STALL_S:
                 self.logs.write("platform", "stalled", took_s=late_s)
@@ -203,7 +203,7 @@
         while process.is_running and loop.time() < begun_s + READY_TIMEOUT_S:
             if (await call_operator(process.operator_port, "GET /api/ready")).status == 200:
                 return loop.time() - begun_s
-            await until(loop.time() + READY_POLL_S)
+            await sleep_until(loop.time() + READY_POLL_S)
         return -1.0
 
     async def wait_ended(self, process: BrokerProcess) -> bool:
--- a/harriertide/lab/simulation/maintenance_fleet.py
+++ b/harriertide/lab/simulation/maintenance_fleet.py
@@ -21,7 +21,7 @@
 from harriertide.config.operator_file import State
 from harriertide.control.environment import Environment
 from harriertide.control.maintenance_service import MaintenanceService
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.simulation.maintenance_stand_ins import (
     MAX_ATTEMPT_S,
     MemoryCarrier,
@@ -182,7 +182,7 @@
     def _environment(self, name: str, random: Random) -> Environment:
         async def write_to_disk(work: Callable[[], None]) -> None:
             loop = asyncio.get_running_loop()
-            await until(max(loop.time() + WRITE_S, self.paused_until_s.get(name, 0.0)))
+            await sleep_until(max(loop.time() + WRITE_S, self.paused_until_s.get(name, 0.0)))
             work()
 
         def open_disk(folder: Path) -> MemoryDisk:
@@ -232,9 +232,9 @@
 
     async def _restart(self, name: str) -> None:
         loop = asyncio.get_running_loop()
-        await until(loop.time() + SHUTDOWN_S)
+        await sleep_until(loop.time() + SHUTDOWN_S)
         await self.kill(name)
-        await until(loop.time() + STARTUP_S)
+        await sleep_until(loop.time() + STARTUP_S)
         self._restarting.discard(name)
         if name not in self.services:
             await self.start(name)
@@ -243,9 +243,9 @@
         """Attempt requests at drawn nodes, each unless the node is barred at that moment."""
         loop = asyncio.get_running_loop()
         while True:
-            await until(loop.time() + self.random.expovariate(1 / self._load_s))
+            await sleep_until(loop.time() + self.random.expovariate(1 / self._load_s))
             if self._is_paused(name):
-                await until(self.paused_until_s[name])  # a write is the first thing that it does then
+                await sleep_until(self.paused_until_s[name])  # a write is the first thing that it does then
             node = self.random.choice(self.nodes)
             if core.may_send(node):
                 duration_s = self.random.uniform(MIN_ATTEMPT_S, MAX_ATTEMPT_S)
--- a/harriertide/lab/simulation/maintenance_operators.py
+++ b/harriertide/lab/simulation/maintenance_operators.py
@@ -7,7 +7,7 @@
 
 from harriertide.control.maintenance_service import MaintenanceService
 from harriertide.control.pending_calls import CallError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.simulation.maintenance_fleet import Fleet
 from harriertide.maintenance.commands import SubmitOrder, decode_result, encode_command
 from harriertide.maintenance.orders import Order
@@ -51,7 +51,7 @@
             if service is not None and await self._submit_once(service, order):
                 self.agreed_orders[order.id] = order
                 return True
-            await until(loop.time() + POLL_S)
+            await sleep_until(loop.time() + POLL_S)
         return False
 
     async def _submit_once(self, service: MaintenanceService, order: Order) -> bool:
@@ -78,7 +78,7 @@
                 for step in service.machine.state.active_steps():
                     if step.phase == "out" and step.machine in self._fleet.nodes:
                         await service.handle(_DoneRequest(step.machine))  # type: ignore[arg-type]
-            await until(loop.time() + POLL_S)
+            await sleep_until(loop.time() + POLL_S)
         return False
 
     def _draw_broker(self) -> str:
--- a/harriertide/lab/simulation/workload_runs.py
+++ b/harriertide/lab/simulation/workload_runs.py
@@ -17,7 +17,7 @@
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
 from harriertide.decide.settings import Names
-from harriertide.engine.clock import Clock, until
+from harriertide.engine.clock import Clock, sleep_until
 from harriertide.engine.runtime import Runtime
 from harriertide.engine.workload import Workload, absolute_event
 from harriertide.lab.simulation.stand_in_nodes import StandInNode
@@ -217,7 +217,7 @@
     for row in workload.events:
         at_us, event = absolute_event(row, start_us)
         if at_us > clock.now_us():
-            await until(clock.loop_time(at_us))
+            await sleep_until(clock.loop_time(at_us))
         if isinstance(event, ev.RequestArrived):
             tasks.append(asyncio.ensure_future(submit(event.arrival)))
         else:
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -17,7 +17,7 @@
 from harriertide.core import events as ev
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
-from harriertide.engine.clock import Clock, until
+from harriertide.engine.clock import Clock, sleep_until
 from harriertide.engine.counters import counter_fields
 from harriertide.engine.runtime import Runtime
 from harriertide.http.limits import Limits
@@ -219,7 +219,7 @@
         if deadline_s is None:
             deadline_s = loop.time() + STOP_TIMEOUT_S
         while self._open_calls and loop.time() < deadline_s:
-            await until(min(deadline_s, loop.time() + STOP_POLL_S))
+            await sleep_until(min(deadline_s, loop.time() + STOP_POLL_S))
         if self.peers is not None:
             await self.peers.leave()
         await self.source.close()
--- a/harriertide/library/call.py
+++ b/harriertide/library/call.py
@@ -11,7 +11,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine import runtime as engine
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.engine.runtime import AttemptResult, Runtime
 from harriertide.library.attempt import Attempt
 from harriertide.library.errors import AttemptError, FailedError, RejectedError
@@ -61,7 +61,7 @@
         own_attempt = Attempt(attempt, self._find_address(attempt.node_id))
         runtime = attempt.runtime
         if attempt.not_before_us:
-            await until(runtime.clock.loop_time(attempt.not_before_us))
+            await sleep_until(runtime.clock.loop_time(attempt.not_before_us))
         if runtime.has_client_disconnected(attempt.request_id):
             return AttemptResult("not_sent")
         try:
--- a/harriertide/library/node_sources.py
+++ b/harriertide/library/node_sources.py
@@ -13,7 +13,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.engine.log import log
 from harriertide.library.peer_transport import PostEvent
 from harriertide.platform.endpoint_directory import EndpointDirectory
@@ -141,7 +141,7 @@
     async def _poll(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await until(loop.time() + self._poll_interval_s)
+            await sleep_until(loop.time() + self._poll_interval_s)
             version = self._read_version()
             if version != self._version:
                 self._version = version
--- a/harriertide/lifecycle/active_process.py
+++ b/harriertide/lifecycle/active_process.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.engine.log import log
 from harriertide.lifecycle.process_registry import ACTIVE_LEASE_S, ProcessRegistry
 
@@ -66,7 +66,7 @@
         """
         registry = self._registry
         while not registry.try_lock_takeover():
-            await until(self._loop.time() + TAKEOVER_POLL_INTERVAL_S)
+            await sleep_until(self._loop.time() + TAKEOVER_POLL_INTERVAL_S)
         try:
             registry.raise_epoch()
             before = registry.active_epoch()
@@ -80,7 +80,7 @@
                     epoch=before,
                     lease_s=ACTIVE_LEASE_S,
                 )
-                await until(self._loop.time() + ACTIVE_LEASE_S)
+                await sleep_until(self._loop.time() + ACTIVE_LEASE_S)
         finally:
             registry.end_takeover()
         self._begin_lease()
@@ -95,7 +95,7 @@
         while (data := registry.read_handover_record()) is None:
             if self._loop.time() >= deadline or not registry.is_alive(before):
                 return registry.read_handover_record()  # it may have answered just before it died
-            await until(self._loop.time() + TAKEOVER_POLL_INTERVAL_S)
+            await sleep_until(self._loop.time() + TAKEOVER_POLL_INTERVAL_S)
         return data
 
     def _begin_lease(self) -> None:
--- a/harriertide/objects/orphan_sweep.py
+++ b/harriertide/objects/orphan_sweep.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.engine.log import log
 from harriertide.objects.records import Orphan
 from harriertide.objects.store import ORPHAN_MARGIN_MS, ObjectStore
@@ -18,7 +18,7 @@
     """Sweep at the interval, until it is cancelled."""
     loop = asyncio.get_running_loop()
     while True:
-        await until(loop.time() + SWEEP_INTERVAL_S)
+        await sleep_until(loop.time() + SWEEP_INTERVAL_S)
         try:
             _abort_expired_uploads(store)
             for orphan in store.catalogue.due_orphans(store.now_ms(), MAX_SWEPT_COUNT):
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -13,7 +13,7 @@
 from harriertide.core.reducer import Reducer
 from harriertide.decide import api
 from harriertide.decide.derived import POLL_MAX_WAIT_US
-from harriertide.engine.clock import Clock, until
+from harriertide.engine.clock import Clock, sleep_until
 from harriertide.engine.runtime import Runtime
 from harriertide.lab.simulation import virtual_time
 from harriertide.platform.endpoint_directory import EndpointDirectory
@@ -64,7 +64,7 @@
         port = server.sockets[0].getsockname()[1]
         watch = EndpointWatch(f"127.0.0.1:{port}", EndpointDirectory({}), post)
         watch.open()
-        await until(asyncio.get_running_loop().time() + seconds)
+        await sleep_until(asyncio.get_running_loop().time() + seconds)
         await watch.close()
         server.close()
         return discovery.call_times
@@ -155,7 +155,7 @@
         if self.failure in ("503", "reset", "hangs", "ends", "stays"):
             await asyncio.sleep(0.5)
             if self.failure == "stays":
-                await until(self.started_at + self.fails_until_s)
+                await sleep_until(self.started_at + self.fails_until_s)
                 write_chunk(encode_page(8, "draining", whole=False) + b"\n")
             elif self.failure == "ends":
                 writer.write(b"0\r\n\r\n")
@@ -198,13 +198,13 @@
         watch = EndpointWatch(await self.serve(discovery), EndpointDirectory({}), self.runtime.post)
         self.runtime.watch_endpoints = watch.open
         self.runtime.post(ev.EndpointsUpdated(api.EndpointUpdate("cached", (api.NodeEntry("n1", 0),))))
-        await until(self.loop.time() + 0.01)
+        await sleep_until(self.loop.time() + 0.01)
         return watch
 
     async def wait_for_drain(self, deadline: float) -> float:
         """Wait until the core knows of the drain; return the time of the loop's clock."""
         while self.loop.time() < deadline and self.core.nodes()["n1"].state == "live":
-            await until(self.loop.time() + 0.05)
+            await sleep_until(self.loop.time() + 0.05)
         return self.loop.time()
 
     async def close(self, watch: EndpointWatch) -> None:
@@ -247,7 +247,7 @@
     async def measure_delay(seed: int) -> float:
         process = BrokerProcess(broker_count, seed)
         watch = await process.watch(FaultyDiscovery(failure, 1e6))
-        await until(process.loop.time() + DRAIN_AT_S + seed * 0.37)
+        await sleep_until(process.loop.time() + DRAIN_AT_S + seed * 0.37)
         moved_at = process.loop.time()
         new_discovery = FaultyDiscovery(failure, 0.5)
         new_discovery.call_count = 1  # makes the first call fail as well
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -15,7 +15,7 @@
 
 from harriertide.config.errors import OperatorFileError
 from harriertide.decide import api
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.library import (
     Attempt,
     Broker,
@@ -305,10 +305,10 @@
         async with Broker.from_file(str(file), poll_interval_s=0.02, seed=1) as broker:
             assert await broker.call(RequestSpec("v", shard=0), where) == "box-1 127.0.0.1:9201"
             file.write_text(good.replace("shard = 0", "shard = x"))
-            await until(loop.time() + 0.1)
+            await sleep_until(loop.time() + 0.1)
             assert await broker.call(RequestSpec("v", shard=0), where) == "box-1 127.0.0.1:9201"
             file.write_text(good.replace("shard = 0", 'shard = 0\nstate = "draining"'))
-            await until(loop.time() + 0.1)
+            await sleep_until(loop.time() + 0.1)
             with pytest.raises(RejectedError):
                 await broker.call(RequestSpec("v", shard=0), where)
             assert (await broker.call(RequestSpec("v", plan="gold", request_class="write"), where))[
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -18,7 +18,7 @@
 from harriertide.consensus.messages import Member, Membership
 from harriertide.consensus.replica import CallCompleted, Replica
 from harriertide.decide.settings import SettingsError
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.checkers.fleet_checker import Verdict, check_fleet
 from harriertide.lab.experiments.fleet_run import play
 from harriertide.lab.simulation import virtual_time
@@ -553,7 +553,7 @@
     operators = Operators(fleet)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
-    await until(loop.time() + 3.0)
+    await sleep_until(loop.time() + 3.0)
     side = {"b4", "b5"}
     fleet.cut_links |= fleet.links_between(side)
     zone = tuple(fleet.nodes[:4])
@@ -563,7 +563,7 @@
     ]
     work = loop.create_task(operators.confirm_steps(loop.time() + 60.0))
     tried = len(fleet.attempts)
-    await until(loop.time() + 6.0)
+    await sleep_until(loop.time() + 6.0)
     lone = fleet.services["b5"]
     assert lone.member.now_us() > lone.member.lease_end_us and not lone.member.is_leader
     assert not lone.machine.state.orders  # it permits nothing, and does not know what was agreed on
@@ -600,18 +600,18 @@
     operators = Operators(fleet)
     loop = asyncio.get_running_loop()
     await asyncio.gather(*(fleet.start(name) for name in fleet.names))
-    await until(loop.time() + 6.0)
+    await sleep_until(loop.time() + 6.0)
     leased = sum(s.member.lease_end_us > s.member.now_us() for s in fleet.services.values())
     sent = {name: carrier.counts["frames_out"] for name, carrier in fleet.carriers.items()}
-    await until(loop.time() + 1.0)
+    await sleep_until(loop.time() + 1.0)
     rates = {name: carrier.counts["frames_out"] - sent[name] for name, carrier in fleet.carriers.items()}
     assert await operators.submit(Order("fw", tuple(fleet.nodes[:6]), "restart", 0.3, at_once=3))
     work = loop.create_task(operators.confirm_steps(loop.time() + 60.0))
-    await until(loop.time() + 0.5)
+    await sleep_until(loop.time() + 0.5)
     away = {name for name in fleet.names if fleet.zone[name] == "z3"}
     links = fleet.links_between(away)
     fleet.cut_links |= links
-    await until(loop.time() + 5.0)
+    await sleep_until(loop.time() + 5.0)
     fleet.cut_links -= links
     finished = await work
     verdict = check_fleet(fleet, len(operators.agreed_orders), finished)
--- a/tests/test_middlewares.py
+++ b/tests/test_middlewares.py
@@ -17,7 +17,7 @@
 from starlette.routing import Route
 from starlette.testclient import TestClient
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.library import (
     Attempt,
     Broker,
@@ -240,7 +240,7 @@
                 await session.get("/node/0")
         loop = asyncio.get_running_loop()
         while broker.core.counts["left"] == 0:
-            await until(loop.time() + 0.01)
+            await sleep_until(loop.time() + 0.01)
 
     broker = Broker(ALONE, NODES, seed=1)
 
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -9,7 +9,7 @@
 import pytest
 
 from harriertide.engine import workload as workloads
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.experiments import parity
 from harriertide.lab.simulation import random_workloads, stand_in_nodes, virtual_time, workload_runs
 from harriertide.lab.simulation.memory_network import Network
@@ -92,7 +92,7 @@
     async def main() -> float:
         loop = asyncio.get_running_loop()
         begin = loop.time()
-        await until(begin + 3_600)
+        await sleep_until(begin + 3_600)
         return loop.time() - begin
 
     assert virtual_time.run(main()) == pytest.approx(3_600)
@@ -124,7 +124,7 @@
         begin = loop.time()
         for word in (b"a", b"b"):
             writer.write(word)
-            await until(loop.time() + 0.1)
+            await sleep_until(loop.time() + 0.1)
         writer.write_eof()
         assert await reader.read() == b""
         server.close()
@@ -148,7 +148,7 @@
             transport, _ = await loop.create_datagram_endpoint(Ear, ("127.0.0.1", port))
         transport.sendto(b"x", ("127.0.0.1", 1))
         transport.sendto(b"y", ("127.0.0.1", 9))
-        await until(loop.time() + 1)
+        await sleep_until(loop.time() + 1)
 
     virtual_time.run(main())
     assert got == [(b"x", ("127.0.0.1", 2))]
--- a/tests/test_pushed_endpoints.py
+++ b/tests/test_pushed_endpoints.py
@@ -11,7 +11,7 @@
 
 from harriertide.core import events as ev
 from harriertide.decide import api
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.simulation import virtual_time
 from harriertide.platform.endpoint_directory import EndpointDirectory
 from harriertide.platform.endpoint_watch import EndpointWatch
@@ -178,7 +178,7 @@
     async def send_heartbeats(self) -> None:
         """Send an empty line every 2 s while the agent is not silent."""
         while True:
-            await until(asyncio.get_running_loop().time() + 2.0)
+            await sleep_until(asyncio.get_running_loop().time() + 2.0)
             for writer in self.open_writers if not self.is_silent else ():
                 self.push(writer, "")
 
@@ -200,16 +200,16 @@
     address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
     watch = EndpointWatch(address, directory, post)
     watch.set_pushed(True)
-    await until(loop.time() + 10.0)
+    await sleep_until(loop.time() + 10.0)
     assert agent.watch_count == 1 and not updates
     agent.is_silent = True
-    await until(loop.time() + 30.0)
+    await sleep_until(loop.time() + 30.0)
     assert directory.address_count() == 2 and not updates  # silence changes no node
     assert 10 <= agent.watch_count <= 31
     agent.is_silent, agent.lines = False, [json.dumps({"seq": 9, "whole": False, "hosts": [
         {**hosts[0], "health": "draining"}]})]  # fmt: skip
     resumed_at = loop.time()
-    await until(resumed_at + 5.0)
+    await sleep_until(resumed_at + 5.0)
     assert [update.entries[0].state for _, update in updates] == ["draining"]
     assert updates[0][0] <= resumed_at + 1.2
     await watch.close()
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -12,7 +12,7 @@
 
 from harriertide.cli.daemon import Daemon
 from harriertide.decide.settings import Names
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.simulation import virtual_time
 from harriertide.lab.simulation.memory_network import Address, Network
 from harriertide.lab.simulation.shared_limit import PLANS, SETTINGS
@@ -46,7 +46,7 @@
                     self.level = min(BURST, self.level + LIMIT * (loop.time() - self.updated_at)) - units
                     self.updated_at, self.sent_units = loop.time(), self.sent_units + units
                     self.lowest = min(self.lowest, self.level)
-                await until(loop.time() + 0.01)
+                await sleep_until(loop.time() + 0.01)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -96,7 +96,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + for_s
         while loop.time() < end:
-            await until(loop.time() + self.random.expovariate(rate))
+            await sleep_until(loop.time() + self.random.expovariate(rate))
             broker_index = busiest if self.random.random() < 0.9 else self.random.choice(hosts)
             if broker_index in self.daemons:
                 self.request_count += 1
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -25,7 +25,7 @@
     encode,
 )
 from harriertide.decide.state import PRIORITY_BAND_COUNT
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from tests.container_sizes import container_sizes
 from tests.helpers import SETTINGS, START_US, bid_datagram
 from tests.test_net import play
@@ -158,7 +158,7 @@
                     for number in range(first, first + CONCURRENT_CONNECTION_COUNT)
                 )
             )
-        await until(asyncio.get_running_loop().time() + 1.0)  # some rounds
+        await sleep_until(asyncio.get_running_loop().time() + 1.0)  # some rounds
         sizes.append(container_sizes(daemon, MAX_MEMBER_COUNT))
 
     monkeypatch.setattr(derived, "IDLE_STATE_RETENTION_US", 100_000)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from harriertide.engine.clock import until
+from harriertide.engine.clock import sleep_until
 from harriertide.lab.experiments import parity
 from harriertide.lab.simulation import random_workloads, virtual_time, workload_runs
 from harriertide.library import Broker, InProcessPeers, LoopbackPeers, Node, RequestSpec, blocking
@@ -116,7 +116,7 @@
 
     async def kill(taking: list[Broker]) -> None:
         loop = asyncio.get_running_loop()
-        await until(loop.time() + workload_runs.START_DELAY_S + 3.0)
+        await sleep_until(loop.time() + workload_runs.START_DELAY_S + 3.0)
         dead = taking.pop()
         transport = dead.peers
         assert isinstance(transport, LoopbackPeers) and transport._heartbeat_timer and transport._transport
@@ -124,7 +124,7 @@
         transport._transport.close()
         died = loop.time()
         for _ in range(40):
-            await until(loop.time() + 0.02)
+            await sleep_until(loop.time() + 0.02)
             seen.append((loop.time() - died, len(taking[0].view.members)))
 
     whole = share("surge", 3, loopback)
@@ -165,7 +165,7 @@
                 noise = os.urandom(14)
                 body = (b"hbt1\x01" + noise[:4], b"hbt1", b"FT\x02" + noise, b"x" * 300)[number % 4]
                 stranger.sendto(body, ("127.0.0.1", FIRST))
-            await until(loop.time() + 1.0)
+            await sleep_until(loop.time() + 1.0)
             assert first.view.members == second.view.members == (FIRST, FIRST + 1)
             assert (
                 await first.call(RequestSpec("v", shard=0), lambda attempt: asyncio.sleep(0, "done"))
