--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -26,7 +26,7 @@
 from harriertide.decide.settings import Names, SettingsError
 from harriertide.engine.clock import Clock
 from harriertide.engine.counters import counter_fields
-from harriertide.engine.log import adopt_libraries, log
+from harriertide.engine.log import capture_library_logs, log
 from harriertide.engine.runtime import Runtime
 from harriertide.http.body_stream import BodyBudget
 from harriertide.http.connection_table import ConnectionTable
@@ -298,7 +298,7 @@
     :param maintenance_overrides: see `Daemon`.
     :returns: exit status; 2 with one plain line where something can't be used.
     """
-    adopt_libraries()
+    capture_library_logs()
 
     async def main() -> None:
         daemon = Daemon(config, operator_file, maintenance_overrides)
--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -161,7 +161,7 @@
         process.apply_limits()
         process.runtime.post(ev.EndpointsUpdated(process.directory.import_state(record.directory)))
         process.runtime.flush()
-        clock.adopt(record.monotonic_s, record.unix_us)
+        clock.set_reference(record.monotonic_s, record.unix_us)
         if isinstance(scheduler, Scheduler):
             handover.import_state(scheduler, record.decisions, clock.now_us())
         log("in charge", epoch=self.lease.epoch, shards=len(record.decisions.shards))
--- a/harriertide/engine/clock.py
+++ b/harriertide/engine/clock.py
@@ -20,7 +20,7 @@
         else:
             self._reference_unix_us = simulated_unix_us()
 
-    def adopt(self, monotonic_s: float, unix_us: int) -> None:
+    def set_reference(self, monotonic_s: float, unix_us: int) -> None:
         """Set the reference to a Unix time and monotonic time that another process has read together."""
         self._reference_s = monotonic_s
         self._reference_unix_us = unix_us
--- a/harriertide/engine/log.py
+++ b/harriertide/engine/log.py
@@ -93,6 +93,6 @@
         log("library", logger=record.name, text=self.format(record))
 
 
-def adopt_libraries() -> None:
+def capture_library_logs() -> None:
     """Forward warnings and errors of libraries to this log."""
     logging.basicConfig(level=logging.WARNING, handlers=[_LibraryHandler()], force=True)
