--- a/harriertide/cli/daemon.py
+++ b/harriertide/cli/daemon.py
@@ -281,7 +281,7 @@
 
     with open(record_path, "wb") as file:
         now_us = daemon.runtime.clock.now_us()
-        daemon.runtime.record_event = Recorder(file, daemon.core.settings, daemon.seed, now_us).take
+        daemon.runtime.record_event = Recorder(file, daemon.core.settings, daemon.seed, now_us).write_event
         await daemon.serve(environment)
 
 
--- a/harriertide/engine/workload.py
+++ b/harriertide/engine/workload.py
@@ -59,7 +59,7 @@
         self._file, self._start_us = file, start_us
         self._file.write(_header_line(WorkloadHeader(settings, seed)))
 
-    def take(self, now_us: int, event: ev.Event) -> None:
+    def write_event(self, now_us: int, event: ev.Event) -> None:
         """Record an arrival or an endpoint update; other events are ignored."""
         recorded = _relative_event(now_us, event, self._start_us)
         if recorded is not None:
--- a/harriertide/library/broker.py
+++ b/harriertide/library/broker.py
@@ -198,7 +198,7 @@
 
         file = self._open_files.enter_context(Path(path).open("wb"))  # noqa: SIM115 - closed by stop
         recorder = Recorder(file, self.core.settings, self._seed, runtime.clock.now_us())
-        runtime.record_event = recorder.take
+        runtime.record_event = recorder.write_event
 
     def reject_calls(self) -> None:
         """Reject new calls from now on; `stop` is to follow."""
