--- a/tests/container_sizes.py
+++ b/tests/container_sizes.py
@@ -1,4 +1,4 @@
-"""The sizes of all containers that an object of this program refers to."""
+"""Measures the lengths of all containers that are reachable from an object of this program."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def container_sizes(root: object, min_length: int = 1) -> dict[str, int]:
-    """Path to length, of containers with at least so many members; each object is visited once."""
+    """Return the lengths of containers with at least `min_length` members, by path; visits objects once."""
     visited_ids: set[int] = set()
     sizes: dict[str, int] = {}
     pending: deque[tuple[str, Any]] = deque([("", root)])
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""A reducer with a decision module that follows a script, and the events that tests give it."""
+"""A scripted decision module for tests of the reducer, and helpers that create its events."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class ScriptedModule:
-    """Answers each call with the next actions of a script, or raises them; remembers what it was told."""
+    """Returns the next actions of a script on each call, or raises its next exception; records all events."""
 
     def __init__(self, *script: Sequence[api.Action] | Exception) -> None:
         self.script = list(script)
-        self.told = list[api.Event]()
+        self.received_events = list[api.Event]()
 
     def __call__(self, settings: api.Settings, seed: int) -> Any:
-        """Stand for a factory of modules: a fresh one goes on with the script."""
+        """Act as the module factory; a replacement module continues the same script."""
         return self
 
     def decide(self, now_us: int, events: list[api.Event]) -> Sequence[api.Action]:
-        self.told += events
+        self.received_events += events
         actions = self.script.pop(0) if self.script else ()
         if isinstance(actions, Exception):
             raise actions
@@ -46,5 +46,5 @@
     return ev.EndpointsUpdated(api.EndpointUpdate("delta", (node,)))
 
 
-def of_kind(effects: Sequence[ev.Effect], kind: type) -> list[Any]:
-    return [effect for effect in effects if isinstance(effect, kind)]
+def effects_of_type(effects: Sequence[ev.Effect], effect_type: type) -> list[Any]:
+    return [effect for effect in effects if isinstance(effect, effect_type)]
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""A client that left: nothing more is sent for it, also where the event loop has not read its close."""
+"""Nothing more is sent for a disconnected client, even if the event loop has not read its close yet."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 def test_no_retry_starts_for_a_client_whose_close_is_unread() -> None:
-    """A client floods its connection and leaves; its close lies behind bytes that nobody reads. Then its node
-    fails the attempt.
+    """A client floods its connection and closes it, so unread bytes precede the close. Then the node fails
+    the attempt.
 
-    Nobody waits for a retry, so none may start.
+    No retry may start, because no client waits for it.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -50,9 +50,9 @@
     run_with_broker(scenario)
 
 
-def test_requests_whose_clients_disconnect_in_the_same_loop_turn_are_not_sent() -> None:
-    """Ten clients send a request and leave at once, in one turn of the event loop, while an idle
-    connection to the node is ready for the first of them.
+def test_requests_whose_clients_disconnect_in_the_same_loop_iteration_are_not_sent() -> None:
+    """Ten clients send a request and disconnect immediately, in one iteration of the event loop, while an
+    idle connection to the node is available for the first request.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -76,11 +76,10 @@
     run_with_broker(scenario)
 
 
-def test_the_object_front_does_not_retry_for_a_client_whose_close_is_unread(tmp_path: Path) -> None:
-    """A client of the object front floods its connection and leaves; its close lies behind bytes that
-    nobody reads.
+def test_the_object_frontend_does_not_retry_for_a_client_whose_close_is_unread(tmp_path: Path) -> None:
+    """A client of the object frontend floods its connection and closes it, so unread bytes precede the close.
 
-    The node's error is no reason for a retry: nobody waits for it.
+    The node's error must not cause a retry, because no client waits for it.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -100,7 +99,7 @@
 
 
 def test_the_library_does_not_retry_for_a_client_that_disconnected() -> None:
-    """aiohttp lets a handler run on when its client has gone, and here the client's close is unread."""
+    """aiohttp continues a handler after its client has disconnected, and the client's close is unread."""
 
     async def main() -> None:
         run_count = 0
@@ -114,14 +113,14 @@
             assert request.transport is not None
             request.transport.pause_reading()  # type: ignore[attr-defined]
             handler_started.set()
-            while run_count == 1 and not has_left:
+            while run_count == 1 and not has_disconnected:
                 await asyncio.sleep(0)
             raise NodeError("error")
 
-        has_left: list[bool] = []
-        guard = BrokerMiddleware(broker, lambda request: RequestSpec("v", shard=0))
-        app = web.Application(middlewares=[guard.middleware])
-        guard.attach(app)
+        has_disconnected: list[bool] = []
+        broker_middleware = BrokerMiddleware(broker, lambda request: RequestSpec("v", shard=0))
+        app = web.Application(middlewares=[broker_middleware.middleware])
+        broker_middleware.attach(app)
         app.router.add_get("/", handler)
         runner = web.AppRunner(app)
         await runner.setup()
@@ -132,7 +131,7 @@
         await handler_started.wait()
         client.sendall(FLOOD)
         client.close()
-        has_left.append(True)
+        has_disconnected.append(True)
         await asyncio.sleep(0.15)
         assert run_count == 1 and broker.core.counts["left"] == 1 and broker.core.open_request_count() == 0
         await runner.cleanup()
@@ -140,21 +139,21 @@
     asyncio.run(main())
 
 
-def test_a_call_of_the_library_ends_at_once_when_its_caller_has_left() -> None:
-    """The application reports that its caller has gone. The call ends without another attempt."""
+def test_a_library_call_ends_immediately_when_its_caller_has_disconnected() -> None:
+    """The application reports that its caller has disconnected; the call ends without another attempt."""
 
     async def main() -> None:
-        has_left: list[bool] = []
+        has_disconnected: list[bool] = []
 
         async def perform(attempt: Attempt) -> None:
-            has_left.append(True)
+            has_disconnected.append(True)
             raise NodeError("error")
 
         async with Broker(from_wire(WIRE), [Node("b1", 0, "127.0.0.1:1")], seed=1) as broker:
             async with asyncio.timeout(0.5):
                 with pytest.raises(FailedError):
-                    await broker.call(RequestSpec("v", shard=0), perform, lambda: bool(has_left))
+                    await broker.call(RequestSpec("v", shard=0), perform, lambda: bool(has_disconnected))
             await asyncio.sleep(0)
-            assert len(has_left) == 1 and broker.core.open_request_count() == 0
+            assert len(has_disconnected) == 1 and broker.core.open_request_count() == 0
 
     asyncio.run(main())
--- a/tests/test_duplicate_prevention.py
+++ b/tests/test_duplicate_prevention.py
@@ -1,4 +1,4 @@
-"""Duplicate responses of a node, and retries that come up behind their deduplication window."""
+"""Duplicate responses of a node, and retries that become ready after their deduplication window."""
 
 from __future__ import annotations
 
@@ -19,9 +19,8 @@
 from tests.test_net import WIRE
 
 
-def test_a_duplicate_response_is_not_taken_for_that_of_the_next_request() -> None:
-    """A faulty node sends its response once more, some milliseconds later, behind the next request on its
-    connection."""
+def test_a_duplicate_response_is_not_used_for_the_next_request() -> None:
+    """A faulty node repeats its response milliseconds later, after the next request on the connection."""
 
     async def scenario(broker: SocketBroker) -> None:
         client = broker.connect()
@@ -42,9 +41,9 @@
 
 
 @pytest.mark.parametrize("delay_ratio", [0.4, 1.4])
-def test_a_retry_that_waits_for_a_connection_beyond_its_window_is_not_written(delay_ratio: float) -> None:
-    """Nodes drop duplicates for 0.4 s only, and the connection of the retry comes up late: within that, or
-    behind.
+def test_a_retry_that_gets_a_connection_after_its_window_is_not_written(delay_ratio: float) -> None:
+    """Nodes deduplicate for only 0.4 s, and the connection of the retry is established late: within or after
+    that window.
     """
     window_us = 400_000
     wire = {**WIRE, "classes": [{**WIRE["classes"][0], "effect": "deduplicated", "dedupScope": "all"}]}
@@ -54,14 +53,14 @@
 
     async def scenario(broker: SocketBroker) -> None:
         pool = broker.daemon.client.pool
-        connect_at_once = pool.connect
+        original_connect = pool.connect
 
-        async def connect_late(address: str):  # type: ignore[no-untyped-def]
-            connection = await connect_at_once(address)
+        async def connect_with_delay(address: str):  # type: ignore[no-untyped-def]
+            connection = await original_connect(address)
             await asyncio.sleep(delays_s.pop(0))
             return connection
 
-        pool.connect = connect_late  # type: ignore[method-assign]
+        pool.connect = connect_with_delay  # type: ignore[method-assign]
         client = broker.connect()
         client.sendall(broker.request())
         connection = await broker.next_request()
@@ -77,21 +76,21 @@
     run_with_broker(scenario, wire=wire)
 
 
-def test_the_window_of_a_retry_runs_from_the_first_attempt_that_may_have_run() -> None:
-    """An attempt that never ran opens no window; the first that may have run does. Asked at the write, of the
-    reducer alone."""
+def test_the_deduplication_window_starts_at_the_first_attempt_that_may_have_executed() -> None:
+    """An attempt that was not executed opens no window; the first attempt that may have executed does. The
+    reducer checks the window at the write."""
     from harriertide.core.reducer import Reducer
 
-    kind = api.RequestClass(
+    request_class = api.RequestClass(
         latency_objective_us=900_000,
         deadline_us=1_000_000,
         idempotency="keyed",
         deduplication_scope="all",
         deduplication_window_us=300_000,
     )
-    settings = replace(from_wire(WIRE), classes=(kind,))
+    settings = replace(from_wire(WIRE), classes=(request_class,))
 
-    class Scripted:
+    class RetryingModule:
         def decide(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
             return [
                 api.StartAttempt("r", "b1", 1_000_000)
@@ -100,13 +99,13 @@
                 and getattr(event, "kind", "") != "not_sent"
             ]
 
-    core = Reducer(settings, 1, lambda settings, seed: Scripted())
+    core = Reducer(settings, 1, lambda settings, seed: RetryingModule())
     core.step(0, [ev.EndpointsUpdated(api.EndpointUpdate("cached", (api.NodeEntry("b1", 0),)))])
     core.step(0, [ev.RequestArrived(api.Arrival("r", 0, 0, "v", 0, 1_000_000))])
     core.step(200_000, [ev.AttemptFinished("r", 0, "connect_failed")])
-    assert core.may_write("r", 1, 400_000) is None  # nothing has run
+    assert core.may_write("r", 1, 400_000) is None  # no attempt has executed
     core.step(400_000, [ev.AttemptFinished("r", 1, "reset")])  # decided at 200 ms
     assert core.may_write("r", 2, 440_000) is None
-    assert core.may_write("r", 2, 460_000) == "not_sent"  # its end less what a write may take to arrive
+    assert core.may_write("r", 2, 460_000) == "not_sent"  # past the end of the window minus its margin
     core.step(450_000, [ev.AttemptFinished("r", 2, "rejected")])
     assert core.may_write("r", 3, 460_000) == "not_sent"
--- a/tests/test_engine_services.py
+++ b/tests/test_engine_services.py
@@ -1,4 +1,4 @@
-"""The clock, the log and the counters of a process."""
+"""The clock, the log and the counter fields of a process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from harriertide.engine.clock import Clock
 
 
-def test_the_clock_maps_unix_time_to_the_loops_time() -> None:
+def test_the_clock_converts_unix_time_to_event_loop_time() -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
         clock = Clock(loop)
@@ -23,17 +23,17 @@
     asyncio.run(main())
 
 
-def test_the_log_is_rate_limited_and_counts_dropped_lines(capsys: pytest.CaptureFixture[str]) -> None:
-    bounded = log.Log()
+def test_the_log_is_rate_limited_and_counts_dropped_events(capsys: pytest.CaptureFixture[str]) -> None:
+    event_log = log.Log()
     for number in range(1_000):
-        bounded(f"line {number}")
+        event_log(f"line {number}")
     assert len(capsys.readouterr().err.splitlines()) < 100
-    bounded._available_events = 5.0
-    bounded("later", what='a "b"')
+    event_log._available_events = 5.0
+    event_log("later", what='a "b"')
     output = capsys.readouterr().err
     assert "event=later" in output and "left_out=9" in output and r'what="a \"b\""' in output
-    bounded.set_format("json")
-    bounded("later", count=1)
+    event_log.set_format("json")
+    event_log("later", count=1)
     record = json.loads(capsys.readouterr().err)
     assert record["event"] == "later" and record["count"] == 1 and record["at"]
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer alone, with scripted decision modules: the rules that it keeps whatever the module does."""
+"""The rules that the reducer enforces regardless of the decision module, tested with scripted modules."""
 
 from __future__ import annotations
 
@@ -20,127 +20,132 @@
     NODES,
     NODES_LISTED,
     ScriptedModule,
+    effects_of_type,
     node_changed,
-    of_kind,
     request_arrived,
     start_attempt,
 )
 
 
-def test_a_second_attempt_beside_an_open_one_is_turned_back() -> None:
-    """A decision module that starts two attempts of one request would execute it twice."""
+def test_a_second_attempt_of_a_request_with_an_open_attempt_is_refused() -> None:
+    """A decision module starts two attempts of one request, which would execute the request twice."""
     module = ScriptedModule([start_attempt(), start_attempt("n1")])
     core = Reducer(ALONE, 1, module)
-    done = core.step(START_US, [NODES_LISTED, request_arrived()])
-    assert [(e.attempt, e.node_id) for e in of_kind(done, ev.StartAttempt)] == [(0, "n0")]
-    assert [e.kind for e in module.told if isinstance(e, api.AttemptFinished)] == ["not_sent"]
+    effects = core.step(START_US, [NODES_LISTED, request_arrived()])
+    assert [(e.attempt, e.node_id) for e in effects_of_type(effects, ev.StartAttempt)] == [(0, "n0")]
+    assert [e.kind for e in module.received_events if isinstance(e, api.AttemptFinished)] == ["not_sent"]
 
 
-def test_a_send_to_a_node_that_drains_is_turned_back() -> None:
-    """The decision module chooses a node that the endpoint list has as draining."""
+def test_an_attempt_at_a_draining_node_is_refused() -> None:
+    """The decision module chooses a node that is draining according to the endpoint list."""
     module = ScriptedModule([], [start_attempt()])
     core = Reducer(ALONE, 1, module)
     core.step(START_US, [NODES_LISTED, node_changed(replace(NODES[0], state="draining"))])
-    assert not of_kind(core.step(START_US, [request_arrived()]), ev.StartAttempt)
+    assert not effects_of_type(core.step(START_US, [request_arrived()]), ev.StartAttempt)
 
 
 @pytest.mark.parametrize("kind", ["timeout", "reset", "cancelled", "error"])
-def test_after_an_attempt_that_was_cut_off_the_next_leaves_a_gap_behind_its_end(kind: Any) -> None:
-    """A node that is short of processor time reads the end of the first connection after the second request.
+def test_the_attempt_after_an_interrupted_attempt_starts_after_a_gap(kind: Any) -> None:
+    """A node short of processor time may detect the close of the first connection after the second request.
 
-    Both attempts would lie there together. So the second is written a gap behind the end of the first.
+    The node would hold both attempts at once, so the second attempt is written a gap after the end of the
+    first.
     """
     core = Reducer(ALONE, 1, ScriptedModule([start_attempt()], [start_attempt()], [api.Fail("r")]))
-    first = of_kind(core.step(START_US, [NODES_LISTED, request_arrived()]), ev.StartAttempt)
+    first = effects_of_type(core.step(START_US, [NODES_LISTED, request_arrived()]), ev.StartAttempt)
     assert first == [ev.StartAttempt("r", 0, "n0", START_US + 500_000, 0)]
-    now = START_US + 30_000
-    again = of_kind(core.step(now, [ev.AttemptFinished("r", 0, kind)]), ev.StartAttempt)
-    assert [start.not_before_us for start in again] == [now + RETRY_GAP_US]
+    now_us = START_US + 30_000
+    retries = effects_of_type(core.step(now_us, [ev.AttemptFinished("r", 0, kind)]), ev.StartAttempt)
+    assert [start.not_before_us for start in retries] == [now_us + RETRY_GAP_US]
     # The final answer does not wait for the gap.
-    assert [e.kind for e in of_kind(core.step(now, [ev.AttemptFinished("r", 1, kind)]), ev.Respond)] == [
-        "failed"
-    ]
+    assert [
+        e.kind for e in effects_of_type(core.step(now_us, [ev.AttemptFinished("r", 1, kind)]), ev.Respond)
+    ] == ["failed"]
 
 
-def test_an_id_that_is_used_again_keeps_the_gap_of_the_request_before() -> None:
-    """A client leaves, its attempt is cut off, and it comes again at once under the same id."""
+def test_a_reused_id_keeps_the_gap_of_the_previous_request() -> None:
+    """A client disconnects, its attempt is cancelled, and the client immediately reuses the request id."""
     core = Reducer(
         ALONE, 1, ScriptedModule([start_attempt()], [], [], [start_attempt()], [], [start_attempt()])
     )
     core.step(START_US, [NODES_LISTED, request_arrived()])
     core.step(START_US, [ev.ClientDisconnected("r")])
     core.step(START_US + 1, [ev.AttemptFinished("r", 0, "cancelled")])
-    again = of_kind(core.step(START_US + 2, [request_arrived()]), ev.StartAttempt)
-    assert [start.not_before_us for start in again] == [START_US + 1 + RETRY_GAP_US]
+    retries = effects_of_type(core.step(START_US + 2, [request_arrived()]), ev.StartAttempt)
+    assert [start.not_before_us for start in retries] == [START_US + 1 + RETRY_GAP_US]
     core.step(START_US + 3, [ev.AttemptFinished("r", 0, "ok", b"")])
-    later = of_kind(core.step(START_US + 2 * RETRY_GAP_US, [request_arrived()]), ev.StartAttempt)
-    assert [start.not_before_us for start in later] == [0]
+    later_attempts = effects_of_type(
+        core.step(START_US + 2 * RETRY_GAP_US, [request_arrived()]), ev.StartAttempt
+    )
+    assert [start.not_before_us for start in later_attempts] == [0]
 
 
 @pytest.mark.parametrize("kind", ["rejected", "connect_failed"])
-def test_after_an_attempt_that_never_ran_the_next_goes_at_once(kind: Any) -> None:
+def test_the_attempt_after_one_that_was_not_executed_starts_immediately(kind: Any) -> None:
     core = Reducer(ALONE, 1, ScriptedModule([start_attempt()], [start_attempt()]))
     core.step(START_US, [NODES_LISTED, request_arrived()])
-    again = of_kind(core.step(START_US + 1, [ev.AttemptFinished("r", 0, kind)]), ev.StartAttempt)
-    assert [start.not_before_us for start in again] == [0]
+    retries = effects_of_type(core.step(START_US + 1, [ev.AttemptFinished("r", 0, kind)]), ev.StartAttempt)
+    assert [start.not_before_us for start in retries] == [0]
 
 
-def test_nothing_is_written_for_a_client_that_left_but_its_outcome_is_heard() -> None:
-    """A client leaves while its attempt waits for a connection; the decision module frees the node's slot."""
+def test_nothing_is_written_for_a_disconnected_client_but_the_module_gets_the_outcome() -> None:
+    """A client disconnects while its attempt waits for a connection; the module must free the node's slot."""
     module = ScriptedModule([start_attempt()])
     core = Reducer(ALONE, 1, module)
     core.step(START_US, [NODES_LISTED, request_arrived()])
     core.step(START_US, [ev.ClientDisconnected("r")])
     assert core.may_write("r", 0, START_US) == "not_sent"
-    assert not of_kind(core.step(START_US, [ev.AttemptFinished("r", 0, "ok", b"")]), ev.Respond)
-    assert [type(e) for e in module.told[2:]] == [api.ClientDisconnected, api.AttemptFinished]
+    assert not effects_of_type(core.step(START_US, [ev.AttemptFinished("r", 0, "ok", b"")]), ev.Respond)
+    assert [type(e) for e in module.received_events[2:]] == [api.ClientDisconnected, api.AttemptFinished]
     assert not core.has_request("r")
 
 
 def test_only_the_open_attempt_is_cancelled() -> None:
-    """The decision module cancels attempts that do not exist, then the one that is open."""
-    wrong = [api.CancelAttempt("r", 1), api.CancelAttempt("x", 0)]
-    core = Reducer(ALONE, 1, ScriptedModule([start_attempt()], wrong, [api.CancelAttempt("r", 0)]))
+    """The decision module cancels attempts that do not exist, then the open attempt."""
+    nonexistent_attempts = [api.CancelAttempt("r", 1), api.CancelAttempt("x", 0)]
+    core = Reducer(
+        ALONE, 1, ScriptedModule([start_attempt()], nonexistent_attempts, [api.CancelAttempt("r", 0)])
+    )
     core.step(START_US, [NODES_LISTED, request_arrived()])
-    assert not of_kind(core.step(START_US, [request_arrived("s")]), ev.CancelAttempt)
-    assert of_kind(core.step(START_US, [request_arrived("t")]), ev.CancelAttempt) == [
+    assert not effects_of_type(core.step(START_US, [request_arrived("s")]), ev.CancelAttempt)
+    assert effects_of_type(core.step(START_US, [request_arrived("t")]), ev.CancelAttempt) == [
         ev.CancelAttempt("r", 0)
     ]
 
 
 def test_at_shutdown_open_requests_are_answered_once() -> None:
-    """A process ends with two requests open; a response that comes after that is not a second answer."""
+    """A process shuts down with two open requests; a later response does not cause a second answer."""
     core = Reducer(ALONE, 1, ScriptedModule([start_attempt()]))
     core.step(START_US, [NODES_LISTED, request_arrived(), request_arrived("s", 1)])
-    done = of_kind(core.step(START_US, [ev.ShutdownStarted()]), ev.Respond)
-    assert {(e.request_id, e.kind) for e in done} == {("r", "rejected"), ("s", "rejected")}
+    effects = effects_of_type(core.step(START_US, [ev.ShutdownStarted()]), ev.Respond)
+    assert {(e.request_id, e.kind) for e in effects} == {("r", "rejected"), ("s", "rejected")}
     assert core.open_request_count() == 0
-    assert not of_kind(
+    assert not effects_of_type(
         core.step(START_US, [ev.AttemptFinished("r", 0, "ok", b"late"), ev.ShutdownStarted()]), ev.Respond
     )
 
 
-def test_one_final_answer_whatever_the_module_says_after_it() -> None:
-    """The decision module rejects and fails a request that was served, and its outcome comes twice."""
+def test_a_request_has_one_final_answer_regardless_of_later_actions() -> None:
+    """The decision module rejects and fails a served request, and the outcome is reported twice."""
     core = Reducer(ALONE, 1, ScriptedModule([start_attempt()], [api.Reject("r"), api.Fail("r")]))
     core.step(START_US, [NODES_LISTED, request_arrived()])
-    done = core.step(
+    effects = core.step(
         START_US, [ev.AttemptFinished("r", 0, "ok", b"x"), ev.AttemptFinished("r", 0, "ok", b"y")]
     )
-    assert [(e.kind, e.reply) for e in of_kind(done, ev.Respond)] == [("served", b"x")]
+    assert [(e.kind, e.reply) for e in effects_of_type(effects, ev.Respond)] == [("served", b"x")]
 
 
-def test_a_fault_of_the_decision_module_answers_open_requests_and_starts_a_fresh_one() -> None:
-    """The decision module raises with two requests open: clients must not wait for their deadlines."""
+def test_a_failed_decision_module_is_replaced_and_open_requests_are_answered() -> None:
+    """The decision module raises with two open requests, whose clients must not wait for their deadlines."""
     module = ScriptedModule([start_attempt()], RuntimeError("odd"), [api.LogLine("fresh")])
     core = Reducer(ALONE, 1, module)
     core.step(START_US, [NODES_LISTED, request_arrived()])
-    done = core.step(START_US, [request_arrived("s", 1)])
-    assert {(e.request_id, e.kind) for e in of_kind(done, ev.Respond)} == {
+    effects = core.step(START_US, [request_arrived("s", 1)])
+    assert {(e.request_id, e.kind) for e in effects_of_type(effects, ev.Respond)} == {
         ("r", "rejected"),
         ("s", "rejected"),
     }
-    assert [e.text[:5] for e in of_kind(done, ev.LogLine)] == ["the d", "fresh"]
+    assert [e.text[:5] for e in effects_of_type(effects, ev.LogLine)] == ["the d", "fresh"]
     assert core.open_request_count() == 0 and core.counts["module_faults"] == 1
 
 
@@ -205,8 +210,8 @@
     assert set(answered) | disconnected >= {f"r{n + 1}" for n in range(request_count)}
 
 
-def test_capacity_is_known_of_nodes_of_overloaded_shards_alone() -> None:
-    """Maintenance asks what a node can do; the rate of a node with room to spare says only how much came."""
+def test_capacity_is_learned_only_for_nodes_of_overloaded_shards() -> None:
+    """The rate of a node with spare capacity shows only the demand, so maintenance must not use the rate."""
     core = Reducer(ALONE, 1)
     core.step(START_US, [NODES_LISTED])
     assert core.learned_capacity_by_node() == {}
@@ -217,7 +222,7 @@
     assert core.learned_capacity_by_node() == {"n0": 30.0}
 
 
-def test_unresponsive_attempts_are_counted_of_listed_nodes_where_there_is_maintenance() -> None:
+def test_unresponsive_attempts_at_listed_nodes_are_counted_only_with_maintenance() -> None:
     for barred in (None, lambda node: False):
         core = Reducer(ALONE, 1, ScriptedModule((), [start_attempt()]))
         core.is_barred = barred
@@ -230,7 +235,7 @@
 
 
 def test_the_reason_of_a_rejection_is_counted() -> None:
-    """A client asks why it was rejected: the counters tell no node, a deadline and a wrong shard apart."""
+    """The counters distinguish rejections for lack of a node, for a deadline and for a wrong shard."""
     arrival = api.Arrival("no node", 0, 0, "v", 0, START_US + 500_000, 2.0)
     core = Reducer(ALONE, 1)
     core.step(START_US, [ev.RequestArrived(arrival)])
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -1,5 +1,5 @@
-"""Memory of a daemon that stays up for weeks is bounded: nothing is kept for a request, client, volume, node
-or connection beyond its use."""
+"""The memory of a daemon that runs for weeks is bounded: no state of a request, client, volume, node or
+connection outlives its use."""
 
 from __future__ import annotations
 
@@ -31,26 +31,34 @@
 from tests.test_net import play
 
 REQUEST_COUNT, NODE_COUNT, STEP_US = 100_000, 2_000, 5_000
-SHARD_COUNT, NODES_PER_SHARD = 4, 3  # nodes of a shard at a time
-MAX_MEMBER_COUNT = 64  # members of any container at rest
+SHARD_COUNT, NODES_PER_SHARD = 4, 3  # nodes of a shard at any time
+MAX_MEMBER_COUNT = 64  # the largest allowed length of any container after all requests have finished
 
 
-def run_requests(core: Reducer, requests: int, nodes: int, seed: int = 1, step_us: int = STEP_US) -> int:
-    """Requests that end in every way, for volumes that come and go, while nodes are replaced one by one."""
-    draw = random.Random(seed)
-    now, node_count = START_US, 0
+def run_requests(
+    core: Reducer, request_count: int, total_node_count: int, seed: int = 1, step_us: int = STEP_US
+) -> int:
+    """Run requests with all outcomes for changing volumes, while nodes are replaced one by one.
+
+    :returns: how many nodes were listed in total
+    """
+    rng = random.Random(seed)
+    now_us, node_count = START_US, 0
     live_nodes: list[api.NodeEntry] = []
     open_attempts: list[ev.StartAttempt] = []
 
     def endpoint_change(kind: str, entry: api.NodeEntry, state: str) -> ev.Event:
         return ev.EndpointsUpdated(api.EndpointUpdate(kind, (replace(entry, state=state),)))  # type: ignore[arg-type]
 
-    for number in range(requests):
-        now += step_us
+    for number in range(request_count):
+        now_us += step_us
         events: list[ev.Event] = []
-        while node_count < SHARD_COUNT * NODES_PER_SHARD or node_count * requests < number * nodes:
+        while (
+            node_count < SHARD_COUNT * NODES_PER_SHARD
+            or node_count * request_count < number * total_node_count
+        ):
             entry = api.NodeEntry(
-                f"n{node_count}", node_count % SHARD_COUNT, "live", 0, now if node_count % 5 == 0 else 0
+                f"n{node_count}", node_count % SHARD_COUNT, "live", 0, now_us if node_count % 5 == 0 else 0
             )
             node_count += 1
             if len(live_nodes) >= SHARD_COUNT * NODES_PER_SHARD:
@@ -58,7 +66,7 @@
                 events.append(endpoint_change("delta", replaced, "draining"))
                 if node_count % 3:
                     events.append(endpoint_change("delta", replaced, "gone"))
-                else:  # a full list does not name it any more
+                else:  # a full list that no longer contains the node
                     events.append(ev.EndpointsUpdated(api.EndpointUpdate("full", tuple(live_nodes))))
             live_nodes.append(entry)
             events.append(endpoint_change("delta", entry, "live"))
@@ -66,15 +74,15 @@
         events.append(
             ev.RequestArrived(
                 api.Arrival(
-                    f"r{number}", number % 4, plan, volume, draw.randrange(-1, SHARD_COUNT), now + 500_000,
+                    f"r{number}", number % 4, plan, volume, rng.randrange(-1, SHARD_COUNT), now_us + 500_000,
                     2.0, f"k{number // 3}",
                 )
             )
         )  # fmt: skip
-        if draw.random() < 0.02:
+        if rng.random() < 0.02:
             events.append(ev.ClientDisconnected(f"r{number - 1}"))
-        if draw.random() < 0.1:  # volumes of other brokers, whose quota this one grants
-            key = draw.randrange(2**32)
+        if rng.random() < 0.1:  # volumes of other brokers whose quota this broker grants
+            key = rng.randrange(2**32)
             messages: tuple[PeerMessage, ...] = (
                 QuotaRequest(key, 1, 9, 0, 0, number % 256),
                 QuotaGrant(key, number % 256, 9),
@@ -83,23 +91,23 @@
             )
             for message in messages:
                 events.append(ev.PeerMessageReceived(1, encode([message])[0]))
-            # and their shards
-            bid = bid_datagram(draw.randrange(SHARD_COUNT), [1.0] * PRIORITY_BAND_COUNT, 1.0, 1.0, 1.0, 1.0)
-            events.append(ev.PeerMessageReceived(draw.randrange(core.settings.broker_count), bid))
-        while open_attempts and (len(open_attempts) > 20 or draw.random() < 0.6):
-            attempt = open_attempts.pop(draw.randrange(len(open_attempts)))
-            kind: Any = draw.choice(("ok", "ok", "ok", "error", "rejected", "timeout", "reset", "cancelled"))
+            # and bids of other brokers for shards
+            bid = bid_datagram(rng.randrange(SHARD_COUNT), [1.0] * PRIORITY_BAND_COUNT, 1.0, 1.0, 1.0, 1.0)
+            events.append(ev.PeerMessageReceived(rng.randrange(core.settings.broker_count), bid))
+        while open_attempts and (len(open_attempts) > 20 or rng.random() < 0.6):
+            attempt = open_attempts.pop(rng.randrange(len(open_attempts)))
+            kind: Any = rng.choice(("ok", "ok", "ok", "error", "rejected", "timeout", "reset", "cancelled"))
             events.append(ev.AttemptFinished(attempt.request_id, attempt.attempt, kind))
         open_attempts += [
-            e for e in core.step(now, [*events, ev.TimerFired(0)]) if isinstance(e, ev.StartAttempt)
+            e for e in core.step(now_us, [*events, ev.TimerFired(0)]) if isinstance(e, ev.StartAttempt)
         ]
-    for turn in range(700):  # at rest
-        now += 200_000
+    for step_number in range(700):  # no new requests
+        now_us += 200_000
         ended_attempts: list[ev.Event] = [
             ev.AttemptFinished(e.request_id, e.attempt, "reset") for e in open_attempts
         ]
         final_list = ev.EndpointsUpdated(api.EndpointUpdate("delta", tuple(live_nodes)))
-        effects = core.step(now, [*ended_attempts, final_list if not turn else ev.TimerFired(0)])
+        effects = core.step(now_us, [*ended_attempts, final_list if not step_number else ev.TimerFired(0)])
         open_attempts = [e for e in effects if isinstance(e, ev.StartAttempt)]
     return node_count
 
@@ -126,7 +134,7 @@
 
 
 def test_connections_leave_nothing_behind(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """New connections and new ids throughout, some kept, some closed by either side, some cut off."""
+    """Connections with new ids end after a response, within a request or without a request."""
 
     async def open_connection(port: int, number: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -158,7 +166,7 @@
                     for number in range(first, first + CONCURRENT_CONNECTION_COUNT)
                 )
             )
-        await sleep_until(asyncio.get_running_loop().time() + 1.0)  # some rounds
+        await sleep_until(asyncio.get_running_loop().time() + 1.0)  # several rounds of the decision module
         sizes.append(container_sizes(daemon, MAX_MEMBER_COUNT))
 
     monkeypatch.setattr(derived, "IDLE_STATE_RETENTION_US", 100_000)
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""Requests that cross a graceful shutdown."""
+"""Requests that arrive or are open during a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from tests.socket_broker import short_shutdown as short_shutdown  # a fixture
 
 
-def test_a_request_completed_behind_the_final_responses_is_rejected_and_not_forwarded() -> None:
-    """At a shutdown half of a request is there all along; the rest comes in the turn in which the broker
-    gives its final responses.
+def test_a_request_completed_after_the_final_responses_is_rejected_and_not_forwarded() -> None:
+    """The broker has received part of a request when it shuts down; the rest arrives in the loop iteration in
+    which the broker sends its final responses.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -42,7 +42,7 @@
 
 
 def test_a_request_open_at_the_end_of_a_shutdown_gets_its_whole_response() -> None:
-    """A node hangs at the end of a shutdown, and its client has sent another request behind the first."""
+    """A node hangs at the end of a shutdown, and the client has sent a second request after the first."""
 
     async def scenario(broker: SocketBroker) -> None:
         daemon, client = broker.daemon, broker.connect()
--- a/tests/test_single_attempt.py
+++ b/tests/test_single_attempt.py
@@ -1,6 +1,4 @@
-"""One attempt of a request at a time, on sockets: what the runtime, the node client and its pool
-guarantee.
-"""
+"""The runtime, the node client and its pool run at most one attempt of a request at a time, over sockets."""
 
 from __future__ import annotations
 
@@ -31,10 +29,10 @@
     return Attempt(runtime, "r", number, "n0", runtime.clock.now_us() + 2_000_000, not_before_us)
 
 
-def run_beside_node(
+def run_with_stub_node(
     scenario: Callable[[Runtime, NodeClient, StubServer], Awaitable[None]], *script: Any
 ) -> None:
-    """Run with a runtime, a node client and one stub node; the scheduler is scripted."""
+    """Run a scenario with a runtime, a node client, one stub node and a scripted decision module."""
 
     async def main() -> None:
         node = StubServer()
@@ -54,7 +52,7 @@
 
 
 class EndlessJob:
-    """A request whose attempts last until they are stopped."""
+    """A job whose attempts run until they are cancelled."""
 
     context = None
 
@@ -77,9 +75,10 @@
     return api.Arrival("r", 0, 0, "v", 0, runtime.clock.now_us() + 2_000_000)
 
 
-def test_the_end_of_an_aborted_connection_is_sent_in_the_same_loop_turn() -> None:
-    """asyncio closes the descriptor of an aborted connection a turn later. What is written meanwhile on
-    another one must not overtake the end, or the node runs two attempts at once.
+def test_an_aborted_connection_is_closed_in_the_same_loop_iteration() -> None:
+    """asyncio closes the descriptor of an aborted connection one loop iteration later. Bytes that are written
+    to another connection in between must not reach the node before the close, or the node runs two attempts
+    at once.
     """
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
@@ -88,16 +87,16 @@
         connection.send_request(GET, None)
         await node.requests.get()
         node_socket = node.connections[0].writer.transport.get_extra_info("socket")
-        connection.abort()  # and no turn of the loop
+        connection.abort()  # without yielding to the event loop
         with socket.socket(fileno=socket.dup(node_socket.fileno())) as duplicate_socket:
             assert duplicate_socket.recv(1, socket.MSG_DONTWAIT) == b""
 
-    run_beside_node(scenario)
+    run_with_stub_node(scenario)
 
 
 def test_an_attempt_waits_while_another_connection_is_active_for_its_request() -> None:
-    """The core starts an attempt while a connection still works for the same request. Whatever the core
-    believes, the node client looks at its connections, holds the attempt back, and counts.
+    """The core starts an attempt while a connection is still active for the same request. The node client
+    checks its connections independently of the core, delays the attempt, and counts the case.
     """
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
@@ -117,11 +116,11 @@
         assert kind == "ok" and response is not None and response.body == b"ok"
         assert client.pool.active_connection("r") is None
 
-    run_beside_node(scenario, [api.StartAttempt("r", "n0", 0)])
+    run_with_stub_node(scenario, [api.StartAttempt("r", "n0", 0)])
 
 
-def test_no_byte_of_an_attempt_is_written_before_its_start_time() -> None:
-    """An attempt was cut off, and the next one has to leave a gap behind its end."""
+def test_no_byte_of_an_attempt_is_written_before_its_earliest_write_time() -> None:
+    """After an interrupted attempt, the next attempt must wait until the gap has ended."""
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(make_arrival(runtime))])
@@ -134,13 +133,13 @@
         request[3].writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert (await result)[0] == "ok"
 
-    run_beside_node(scenario, [api.StartAttempt("r", "n0", 0)])
+    run_with_stub_node(scenario, [api.StartAttempt("r", "n0", 0)])
 
 
-def test_an_attempt_cancelled_before_its_start_ends() -> None:
-    """The decision module cancels an attempt in the turn in which it starts it.
+def test_an_attempt_cancelled_before_its_task_runs_is_reported_as_finished() -> None:
+    """The decision module cancels an attempt in the same loop iteration in which it starts the attempt.
 
-    Without an end of it the request and its slot at the node would stay open for good.
+    Without a reported end, the request and its slot at the node would stay open forever.
     """
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
@@ -150,12 +149,14 @@
             await asyncio.sleep(0)
         assert job.start_count == 0 and not runtime.core.has_request("r")
 
-    run_beside_node(scenario, [api.StartAttempt("r", "n0", 0), api.CancelAttempt("r", 0)], [api.Reject("r")])
+    run_with_stub_node(
+        scenario, [api.StartAttempt("r", "n0", 0), api.CancelAttempt("r", 0)], [api.Reject("r")]
+    )
 
 
-def test_two_attempts_of_one_request_never_run_at_once() -> None:
-    """The probe of docs/measurements/second-copy.md, in small: a node that is late and reads in any order."""
+def test_two_attempts_of_one_request_never_run_concurrently() -> None:
+    """A short run of the probe of docs/measurements/second-copy.md: the node reads late and in any order."""
     counts = duplicate_attempts.count_duplicates(attempts=6_000, width=64, late_ms=0.5, seed=1)
     assert counts["attempts"] > 5_000 and all(counts[name] > 20 for name in late_reading_nodes.ENDINGS)
     assert counts["open"] == 0
-    assert counts["unread"] <= 6  # 60 to 130 of them without the gap
+    assert counts["unread"] <= 6  # 60 to 130 without the gap
