--- a/harriertide/core/reducer.py
+++ b/harriertide/core/reducer.py
@@ -44,8 +44,8 @@
         self.counts: Counter[str] = Counter()
         self.offered_units = 0.0
         # Whether maintenance bars a node from new attempts; None without maintenance. Checked right before a
-        # write in addition to the endpoint list, which may be stale after the broker was
-        # suspended or partitioned.
+        # write in addition to the endpoint list, which may be stale after the broker was suspended or
+        # partitioned.
         self.is_barred: Callable[[str], bool] | None = None
         self._make_decision_module = scheduler
         self._seed = seed
--- a/harriertide/engine/workload.py
+++ b/harriertide/engine/workload.py
@@ -141,9 +141,7 @@
         if (event.arrival is None) == (event.endpoint_update is None):
             raise WorkloadError(f"line {number}: exactly one of arrival and news is required")
         if event.at_us < last_us:
-            raise WorkloadError(
-                f"line {number}: at: {event.at_us} is before {last_us}, the time of the previous event"
-            )
+            raise WorkloadError(f"line {number}: at: must not be before the time of the previous event")
         last_us = event.at_us
         yield event
 
--- a/tests/test_resource_bounds.py
+++ b/tests/test_resource_bounds.py
@@ -112,7 +112,7 @@
     return node_count
 
 
-def test_requests_volumes_and_nodes_leave_nothing_behind() -> None:
+def test_finished_requests_and_removed_volumes_and_nodes_leave_no_state() -> None:
     core = Reducer(SETTINGS, 1)
     assert run_requests(core, REQUEST_COUNT, NODE_COUNT) >= NODE_COUNT
     assert (
@@ -123,7 +123,7 @@
     assert container_sizes(core, MAX_MEMBER_COUNT) == {}
 
 
-def test_hours_of_changing_volumes_nodes_and_peers_leave_no_more_than_the_broker_count() -> None:
+def test_state_after_hours_of_changes_is_bounded_by_the_broker_count() -> None:
     core = Reducer(replace(SETTINGS, broker_count=200), 1)
     assert run_requests(core, REQUEST_COUNT, NODE_COUNT, step_us=100_000) >= NODE_COUNT  # nearly three hours
     assert core.counts["served"] > 1_000 and core.open_request_count() == 0
@@ -133,7 +133,7 @@
 CONNECTION_COUNT, CONCURRENT_CONNECTION_COUNT = 20_000, 50
 
 
-def test_connections_leave_nothing_behind(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_closed_connections_leave_no_state(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections with new ids end after a response, within a request or without a request."""
 
     async def open_connection(port: int, number: int) -> None:
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -41,7 +41,7 @@
     run_with_broker(scenario)
 
 
-def test_a_request_open_at_the_end_of_a_shutdown_gets_its_whole_response() -> None:
+def test_a_request_open_at_the_end_of_a_shutdown_gets_a_complete_response() -> None:
     """A node hangs at the end of a shutdown, and the client has sent a second request after the first."""
 
     async def scenario(broker: SocketBroker) -> None:
