--- a/harriertide/engine/runtime.py
+++ b/harriertide/engine/runtime.py
@@ -16,7 +16,7 @@
 from harriertide.engine.clock import Clock, sleep_until
 from harriertide.engine.log import log
 
-CLOSE_POLL_S = 0.005  # how often `Runtime.close` checks whether all attempts have ended
+CLOSE_POLL_INTERVAL_S = 0.005  # how often `Runtime.close` checks whether all attempts have ended
 
 
 @dataclass(slots=True)
@@ -164,7 +164,7 @@
         for task in self._attempt_tasks.values():
             task.cancel()
         while (self._attempt_tasks or self._posted) and self._loop.time() < deadline_s:
-            await sleep_until(min(deadline_s, self._loop.time() + CLOSE_POLL_S))
+            await sleep_until(min(deadline_s, self._loop.time() + CLOSE_POLL_INTERVAL_S))
         self._is_closed = True
         for timer in self._timers:
             timer.cancel()
