--- a/harriertide/http/node_client.py
+++ b/harriertide/http/node_client.py
@@ -89,7 +89,7 @@
         self.counts: Counter[str] = Counter()
         self.pool = NodeConnectionPool(limits, IDLE_KEEP_RATIO * idle_us / 1_000_000)
         self.connect_us = connect_us
-        self._find = find
+        self._find_address = find
 
     async def close(self) -> None:
         """Close all connections."""
@@ -113,7 +113,7 @@
         :raises AttemptWithheldError: nothing was sent
         :raises NodeFailureError: the exchange broke off, ran out of time, or the response is malformed
         """
-        address = self._find(attempt.node_id)
+        address = self._find_address(attempt.node_id)
         if address is None:
             raise AttemptWithheldError("rejected", "the node has no address")
         exchange = _Exchange()
@@ -212,7 +212,7 @@
 
     async def probe(self, node: str, target: str) -> api.OutcomeKind:
         """Ask a node for a page beside all requests, within the time for a connection; how that ended."""
-        address = self._find(node)
+        address = self._find_address(node)
         if address is None:
             return "rejected"
         connection: NodeConnection | None = None
--- a/tests/test_single_attempt.py
+++ b/tests/test_single_attempt.py
@@ -82,7 +82,7 @@
     """
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
-        connection = await client.pool.connect(client._find("n0") or "")
+        connection = await client.pool.connect(client._find_address("n0") or "")
         assert isinstance(connection, NodeConnection)
         connection.send_request(GET, None)
         await node.requests.get()
@@ -101,7 +101,7 @@
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
         runtime.core.step(runtime.clock.now_us(), [ev.RequestArrived(make_arrival(runtime))])
-        connection = await client.pool.connect(client._find("n0") or "")
+        connection = await client.pool.connect(client._find_address("n0") or "")
         assert isinstance(connection, NodeConnection)
         connection.send_request(GET, None)
         client.pool.mark_active(connection, "r")
