--- a/harriertide/http/node_connection.py
+++ b/harriertide/http/node_connection.py
@@ -38,7 +38,7 @@
 STALL_TIMEOUT_S = 0.06  # between two parts of a response that is buffered: nodes send them at once, or never
 
 
-def read_in_chunks(transport: asyncio.BaseTransport) -> None:
+def limit_read_size(transport: asyncio.BaseTransport) -> None:
     """Have the loop read CHUNK_BYTES at a time, where it would read eight times as much."""
     if hasattr(transport, "max_size"):  # of asyncio's transports of sockets
         transport.max_size = CHUNK_BYTES
@@ -93,7 +93,7 @@
         super().connection_made(transport)
         assert isinstance(transport, asyncio.WriteTransport)
         transport.set_write_buffer_limits(0)
-        read_in_chunks(transport)
+        limit_read_size(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Account for the close. Only an orderly close by the node ends a body without a length.
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -22,7 +22,7 @@
 from harriertide.http.client_connection import ClientConnection, ConnectionTracker
 from harriertide.http.client_server import MAX_START_LINE_BYTES, FrontServer
 from harriertide.http.connection_table import ConnectionTable
-from harriertide.http.node_connection import FORWARD_READ_AHEAD_BYTES, read_in_chunks
+from harriertide.http.node_connection import FORWARD_READ_AHEAD_BYTES, limit_read_size
 from harriertide.platform.fields import HeaderFields, MalformedRequestError, read_fields
 from harriertide.platform.request_body import (
     ALWAYS_BUFFERED_BYTES,
@@ -88,7 +88,7 @@
         assert self._manager is not None and isinstance(transport, asyncio.Transport)
         self._manager.connection_made(self, transport)
         transport.set_write_buffer_limits(FORWARD_READ_AHEAD_BYTES)
-        read_in_chunks(transport)
+        limit_read_size(transport)
         self.table.admit(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
