--- a/harriertide/cli/listeners.py
+++ b/harriertide/cli/listeners.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from harriertide.engine.log import log
-from harriertide.http.client_server import FrontServer
+from harriertide.http.client_server import TrackedServer
 from harriertide.http.listener import InheritError, inherit, listen, stop_listening
 from harriertide.platform.configuration import BadConfigError, Config
 
@@ -44,7 +44,7 @@
         self.operator_server: asyncio.Server | None = None
         self._client_server: asyncio.Server | None = None
 
-    async def open(self, at: Address | socket.socket, protocol: FrontServer) -> asyncio.Server:
+    async def open(self, at: Address | socket.socket, protocol: TrackedServer) -> asyncio.Server:
         """Accept connections at an address, or on a socket that listens already."""
         server = await listen(at, protocol)
         self.servers.append(server)
@@ -59,7 +59,7 @@
         """Whether this process accepts connections of the platform's clients."""
         return self._client_server is not None
 
-    async def open_for_clients(self, protocol: FrontServer) -> None:
+    async def open_for_clients(self, protocol: TrackedServer) -> None:
         """Accept connections of the platform's clients."""
         assert self.client_address is not None, "only with a platform"
         self._client_server = await self.open(self.client_address, protocol)
--- a/harriertide/http/client_server.py
+++ b/harriertide/http/client_server.py
@@ -22,7 +22,7 @@
 )
 
 
-class FrontServer(web.Server):
+class TrackedServer(web.Server):
     """aiohttp's low-level server, whose connections are kept in a table.
 
     :param connection_class: of its connections
@@ -50,7 +50,7 @@
     table: ConnectionTable,
     handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
     max_body_bytes: int = MAX_BODY_BYTES,
-) -> FrontServer:
+) -> TrackedServer:
     """A server around a handler; the handling of a request whose client leaves is cancelled."""
     loop = asyncio.get_running_loop()
 
@@ -67,7 +67,7 @@
         finally:
             table.set_state(connection, "idle")
 
-    return FrontServer(
+    return TrackedServer(
         table,
         ClientConnection,
         handle_tracked,
--- a/harriertide/objects/service.py
+++ b/harriertide/objects/service.py
@@ -12,7 +12,7 @@
 from harriertide.core import events as ev
 from harriertide.decide import api
 from harriertide.engine.runtime import Runtime
-from harriertide.http.client_server import FrontServer, make_server
+from harriertide.http.client_server import TrackedServer, make_server
 from harriertide.http.connection_table import ConnectionTable
 from harriertide.http.node_client import NodeClient
 from harriertide.objects.catalogue import Catalogue
@@ -93,7 +93,7 @@
         """Counters by part."""
         return {"objects": self.front.counts, "store": self.store.counts}
 
-    def servers(self, table: ConnectionTable) -> list[tuple[str, FrontServer]]:
+    def servers(self, table: ConnectionTable) -> list[tuple[str, TrackedServer]]:
         """Listeners with their addresses: the front's and the admin's."""
         front = make_server(table, self.front.handle)
         admin = make_server(table, self.admin.handle, MAX_STATE_BYTES)
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -20,7 +20,7 @@
 
 from harriertide.http.body_stream import BodyBudget, ResponseRemainder
 from harriertide.http.client_connection import ClientConnection, ConnectionTracker
-from harriertide.http.client_server import MAX_START_LINE_BYTES, FrontServer
+from harriertide.http.client_server import MAX_START_LINE_BYTES, TrackedServer
 from harriertide.http.connection_table import ConnectionTable
 from harriertide.http.node_connection import FORWARD_READ_AHEAD_BYTES, limit_read_size
 from harriertide.platform.fields import HeaderFields, MalformedRequestError, read_fields
@@ -326,7 +326,7 @@
         transport.abort()
 
 
-class PlatformServer(FrontServer):
+class PlatformServer(TrackedServer):
     """Creates a connection object for each client that connects to the platform listener."""
 
     def __init__(self, front: RequestFront, table: ConnectionTable) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,7 +21,7 @@
 from harriertide.decide.settings import from_wire, names_from_wire
 from harriertide.decide.state import VolumeState
 from harriertide.decide.token_bucket import TokenBucket
-from harriertide.http.client_server import FrontServer
+from harriertide.http.client_server import TrackedServer
 from harriertide.http.limits import Limits
 from harriertide.http.listener import UNREPORTED_ACCEPT_COUNT
 from harriertide.lifecycle import active_process, record
@@ -599,7 +599,7 @@
     failures = [OSError("address in use"), OSError("address in use")]
     open_for_clients = Listeners.open_for_clients
 
-    async def fail_twice(listeners: Listeners, protocol: FrontServer) -> None:
+    async def fail_twice(listeners: Listeners, protocol: TrackedServer) -> None:
         if failures:
             raise failures.pop()
         await open_for_clients(listeners, protocol)
@@ -628,7 +628,7 @@
         new = await platform.process()
         may_open = asyncio.Event()
 
-        async def open_late(listeners: Listeners, protocol: FrontServer) -> None:
+        async def open_late(listeners: Listeners, protocol: TrackedServer) -> None:
             if listeners is old.listeners:
                 await may_open.wait()
             await open_for_clients(listeners, protocol)
