--- a/harriertide/http/__init__.py
+++ b/harriertide/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP as bytes: bounded connections to storage nodes and of clients, and their pools."""
+"""HTTP connections to storage nodes and from clients, with limits on their number and memory."""
--- a/harriertide/http/body_stream.py
+++ b/harriertide/http/body_stream.py
@@ -1,6 +1,6 @@
-"""Bodies that are streamed through the broker, and the memory budget of those that are buffered.
+"""Streamed bodies, and the memory budget of buffered request bodies.
 
-Reading pauses while the other side does not take the data: however long a body is, a bounded part of it is in
+Reading pauses while the other side does not accept the data, so that only a bounded part of a body is in
 memory.
 """
 
@@ -14,16 +14,16 @@
 from harriertide.http.node_connection import NodeConnection
 from harriertide.http.node_pool import NodeConnectionPool
 
-# A body is over when its sender sends no byte for so long, or its reader takes none.
+# A streamed body is aborted if its sender sends nothing, or its reader accepts nothing, for this long.
 STREAM_IDLE_TIMEOUT_S = 10.0
 
 
 class ResponseRemainder:
-    """The rest of a node's response, and the connection that it is received on.
+    """The rest of a node's response, and the connection that receives it.
 
-    :param pool: takes the connection back
-    :param content: reads the rest of the body
-    :param length: of the whole body; None: the head does not say
+    :param pool: the pool that the connection is returned to
+    :param content: reader of the rest of the body
+    :param length: length of the whole body; None if the head does not state it
     """
 
     def __init__(
@@ -36,9 +36,9 @@
         connection.start_forwarding()
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the rest of the body to its end; raises as the connection does where it breaks.
+        """Yield the rest of the body; errors of the connection are passed on.
 
-        :raises TimeoutError: the node sends nothing for STREAM_IDLE_TIMEOUT_S
+        :raises TimeoutError: the node sent nothing for STREAM_IDLE_TIMEOUT_S
         """
         while True:
             async with asyncio.timeout(STREAM_IDLE_TIMEOUT_S):
@@ -48,7 +48,7 @@
             yield chunk
 
     def dispose(self) -> None:
-        """Release the connection: the rest is not wanted. It is reused only if the body was complete."""
+        """Release the connection, which is reused only if the body was received completely."""
         connection = self._connection
         self._connection = None
         if connection is not None:
@@ -56,9 +56,9 @@
 
 
 class BodyBudget:
-    """Memory for request bodies that are buffered so that they can be sent again.
+    """The memory budget of request bodies that are buffered for retries.
 
-    :param limit_bytes: for all of them together
+    :param limit_bytes: maximum total size of the bodies
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -66,9 +66,9 @@
         self.reserved_bytes = 0
 
     def reserve(self, size: int, may_exceed: bool = False) -> bool:
-        """Reserve so many bytes; whether there was room for them.
+        """Reserve bytes in the budget; False if they do not fit.
 
-        :param may_exceed: reserve them where there is no room, too
+        :param may_exceed: reserve the bytes even if they do not fit
         """
         if self.reserved_bytes + size > self.limit_bytes and not may_exceed:
             return False
@@ -76,5 +76,5 @@
         return True
 
     def release(self, size: int) -> None:
-        """Return what was reserved."""
+        """Return reserved bytes to the budget."""
         self.reserved_bytes -= size
--- a/harriertide/http/client_connection.py
+++ b/harriertide/http/client_connection.py
@@ -1,10 +1,10 @@
-"""A connection of a client, of any listener, as the connection table follows it.
+"""A client connection on any listener, tracked by the connection table.
 
 A connection is silent (nothing was received yet), reading (a part of a request was received), busy (a request
-is open on it), idle (kept alive after a response) or lingering: its last response is written, its write side
-is shut down, and further input is discarded until the client closes too or the table closes it. Closing with
-unread input in the socket makes the kernel reset the connection, which can destroy a response that the client
-has not read.
+is being handled), idle (kept alive after a response) or lingering: its last response is written, its write
+side is shut down, and further input is discarded until the client closes its side or the table closes the
+connection. Closing a socket with unread input makes the kernel reset the connection, which can destroy a
+response that the client has not read.
 """
 
 from __future__ import annotations
@@ -17,34 +17,35 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-# A request must be complete so long after its connection was accepted, a later one after its first byte.
-# Guards against connections that send nothing, and heads and bodies that never end.
+# Time for a request to arrive completely, measured from the accept for the first request and from the
+# first byte for later ones. Guards against connections that send nothing, and endless heads and bodies.
 REQUEST_TIMEOUT_S = 2.4
-# Discarded while a connection lingers; more is left unread, as a flood is not to cost other clients.
+# Maximum input discarded while a connection lingers. Further input is left unread, so that a flood does not
+# take processor time from other clients.
 LINGER_BYTES = 256 * 1024
 
-ConnectionState = Literal["silent", "reading", "busy", "idle", "lingering"]  # as the counters name them
+ConnectionState = Literal["silent", "reading", "busy", "idle", "lingering"]  # parts of counter names
 
 
 class ConnectionTracker(Protocol):
-    """What a connection needs of the connection table."""
+    """The part of the connection table's interface that a connection uses."""
 
     def admit(self, connection: ClientConnection) -> None:
-        """A connection was accepted."""
+        """Add an accepted connection."""
 
     def remove(self, connection: ClientConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection."""
 
     def set_state(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """A connection is in this state from now on."""
+        """Move a connection to another state."""
 
 
 class ClientConnection(RequestHandler):
-    """aiohttp's handler of one connection, which reports to the table what it is doing.
+    """aiohttp's handler of one connection, which reports its state to the connection table.
 
-    :param server: that accepted it
-    :param table: of all connections
-    :param options: of aiohttp's handler
+    :param server: the server that accepted the connection
+    :param table: the table of all connections
+    :param options: options of aiohttp's handler
     """
 
     __slots__ = ("table", "state", "since", "discarded")
@@ -53,21 +54,21 @@
         super().__init__(server, loop=asyncio.get_running_loop(), **options)
         self.table = table
         self.state: ConnectionState = "silent"
-        self.since = 0.0  # when it came into its state, by the loop's clock
-        self.discarded = 0  # bytes discarded while it lingers
+        self.since = 0.0  # when the connection entered its state, in the event loop's time
+        self.discarded = 0  # bytes discarded while the connection lingers
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start, and enter the table."""
+        """Set up the handler, and add the connection to the table."""
         super().connection_made(transport)
         self.table.admit(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Leave the table."""
+        """Remove the connection from the table."""
         self.table.remove(self)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Take the next bytes of a request."""
+        """Pass received bytes to the request parser, or discard them while the connection lingers."""
         if self.state == "lingering":
             self.discard(data)
             return
@@ -77,34 +78,34 @@
 
     @property
     def request_timeout_s(self) -> float:
-        """Time for a request to arrive, once it has begun."""
+        """Time for a request to arrive completely."""
         return REQUEST_TIMEOUT_S
 
     def unsent_bytes(self) -> int:
-        """How much of its responses the client has not taken yet."""
+        """Return the number of response bytes that wait in the write buffer."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def linger(self) -> None:
-        """Shut down the write side behind what is still to be written. Further input is discarded."""
+        """Shut down the write side once pending output is written. Further input is discarded."""
         assert self.transport is not None
         self.table.set_state(self, "lingering")
         try:
             self.transport.write_eof()
-        except (OSError, RuntimeError):  # it is closed already
+        except (OSError, RuntimeError):  # the transport is closed already
             self.drop()
 
     def discard(self, data: bytes) -> None:
-        """Discard input after the write side was shut down."""
+        """Count discarded input, and stop reading beyond LINGER_BYTES."""
         self.discarded += len(data)
         if self.discarded > LINGER_BYTES and self.transport is not None:
             self.transport.pause_reading()
 
     def drop(self) -> None:
-        """Close the connection now, the write side first: the client sees an orderly end before any reset."""
+        """Close the connection immediately, write side first: the client sees an EOF before any reset."""
         transport = self.transport
-        if transport is not None and (own_socket := transport.get_extra_info("socket")) is not None:
-            with suppress(OSError):  # it is closed already
-                own_socket.shutdown(socket.SHUT_WR)
+        if transport is not None and (sock := transport.get_extra_info("socket")) is not None:
+            with suppress(OSError):  # the socket is closed already
+                sock.shutdown(socket.SHUT_WR)
         self.force_close()
         if transport is not None:
             transport.abort()
--- a/harriertide/http/client_server.py
+++ b/harriertide/http/client_server.py
@@ -1,4 +1,4 @@
-"""Servers for clients: what makes the connections of a listener."""
+"""Servers that create and track the client connections of a listener."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from harriertide.http.client_connection import ClientConnection
 from harriertide.http.connection_table import ConnectionTable
 
-MAX_BODY_BYTES = 64 * 1024  # of a request, where the caller asks for no other bound
+MAX_BODY_BYTES = 64 * 1024  # of a request, unless the caller sets another limit
 MAX_START_LINE_BYTES = 16_384  # of a request
-BODY_LINGER_S = 1.0  # an unread body is read on for so long, on fronts that take large ones
+BODY_LINGER_S = 1.0  # time to read and discard an unread request body after the response
 
-# The connection of the request that is handled, for what is asked on its behalf.
+# The transport of the request being handled, for calls made on behalf of its client.
 CLIENT_TRANSPORT: ContextVar[asyncio.BaseTransport | None] = ContextVar(
     "harriertide.client_transport", default=None
 )
 
 
 class TrackedServer(web.Server):
-    """aiohttp's low-level server, whose connections are kept in a table.
+    """aiohttp's low-level server, with its connections tracked in a connection table.
 
-    :param connection_class: of its connections
-    :param handle: aiohttp's handler of requests
-    :param options: of aiohttp's server
+    :param connection_class: class of the connections
+    :param handle: request handler for aiohttp
+    :param options: options of aiohttp's server
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._connection_class = connection_class
 
     def __call__(self) -> ClientConnection:
-        """The protocol of a connection that was accepted."""
+        """Create the protocol of an accepted connection."""
         return self._connection_class(self, self.table, **self._kwargs)
 
 
@@ -51,10 +51,10 @@
     handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
     max_body_bytes: int = MAX_BODY_BYTES,
 ) -> TrackedServer:
-    """A server around a handler; the handling of a request whose client leaves is cancelled."""
+    """Create a server for a handler, which is cancelled if its client disconnects."""
     loop = asyncio.get_running_loop()
 
-    def make_request(message, payload, protocol, writer, task):  # type: ignore[no-untyped-def]
+    def build_request(message, payload, protocol, writer, task):  # type: ignore[no-untyped-def]
         return web.BaseRequest(message, payload, protocol, writer, task, loop, client_max_size=max_body_bytes)
 
     async def handle_tracked(request: web.BaseRequest) -> web.StreamResponse:
@@ -71,7 +71,7 @@
         table,
         ClientConnection,
         handle_tracked,
-        request_factory=make_request,
+        request_factory=build_request,
         handler_cancellation=True,
         access_log=None,
         auto_decompress=False,
--- a/harriertide/http/connection_table.py
+++ b/harriertide/http/connection_table.py
@@ -1,4 +1,4 @@
-"""All connections of clients, of all listeners: how many there may be, and how long one may do nothing."""
+"""The table of client connections on all listeners, which limits their number and idle times."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 from harriertide.http.limits import Limits
 from harriertide.http.socket_state import has_unread_input
 
-IDLE_TIMEOUT_S = 15.0  # kept after a response
-SCARCE_IDLE_TIMEOUT_S = 2.0  # kept after a response, while connections are scarce
-# Of the limit: from here on connections are scarce, as clients may keep a third of all descriptors open.
+IDLE_TIMEOUT_S = 15.0  # keep-alive time after a response
+SCARCE_IDLE_TIMEOUT_S = 2.0  # keep-alive time while connections are scarce
+# Connections are scarce above this fraction of the limit. Clients may keep a third of all descriptors open.
 SCARCE_RATIO = 0.3
-LINGER_TIMEOUT_S = 0.3  # for the client to read its last response, and to end its side
-UNREAD_RESPONSE_TIMEOUT_S = 10.0  # for a response that its client does not read
+LINGER_TIMEOUT_S = 0.3  # for the client to read its last response and close its side
+UNREAD_RESPONSE_TIMEOUT_S = 10.0  # for a response that the client does not read
 SWEEP_INTERVAL_S = 0.1
-# So long a connection may still bring a request, whose response tells the client to reconnect elsewhere.
+# While the broker retires, connections stay open for this long, so that the response to a further request can
+# tell the client to reconnect elsewhere.
 RETIRE_DELAY_S = 1.0
-RETIRE_SILENT_TIMEOUT_S = 0.25  # for the first request on a connection that is accepted after that
+RETIRE_SILENT_TIMEOUT_S = 0.25  # for the first request on a connection, once RETIRE_DELAY_S is over
 
-# Whom a new connection goes before when there are too many, in order: state, and time in it. It guards
-# against a crowd that connects at once and sends nothing, or half a request: none of them has been there for
-# long.
+# Connections to evict for a new one at the limit, in this order: state, and minimum time in it in seconds.
+# The short times matter when many clients connect at once and send nothing or half a request: none of those
+# connections has been in its state for long.
 _EVICTION_ORDER: tuple[tuple[ConnectionState, float], ...] = (
     ("lingering", 0.0),
     ("silent", 0.25),
@@ -31,7 +32,7 @@
     ("idle", 0.0),
     ("reading", 0.5),
 )
-# For a new connection on which a request lies already.
+# For a new connection on which request bytes have already arrived.
 _EVICTION_ORDER_FOR_REQUEST: tuple[tuple[ConnectionState, float], ...] = (
     *_EVICTION_ORDER,
     ("silent", 0.0),
@@ -40,7 +41,7 @@
 
 
 class ConnectionTable:
-    """The connections by state, the longest in its state first."""
+    """The client connections by state, each state ordered from the longest in it to the newest."""
 
     def __init__(self, limits: Limits) -> None:
         self.apply_limits(limits)
@@ -50,10 +51,10 @@
             "silent": {}, "reading": {}, "busy": {}, "idle": {}, "lingering": {},
         }  # fmt: skip
         self._sweep_timer: asyncio.TimerHandle | None = None
-        self._retire_at: float | None = None  # by the loop's clock; None: clients are not sent away
+        self._retire_at: float | None = None  # in the event loop's time; None: the broker is not retiring
 
     def apply_limits(self, limits: Limits) -> None:
-        """Go by these limits from now on."""
+        """Apply new limits to later admissions and sweeps."""
         self.max_connections = limits.max_client_connections
         self.max_unsent_bytes = limits.max_buffered_response_bytes
 
@@ -61,11 +62,11 @@
         return sum(map(len, self._by_state.values()))
 
     def in_state(self, state: ConnectionState) -> list[ClientConnection]:
-        """The connections in one state, the longest in it first."""
+        """Return the connections in one state, the longest in it first."""
         return list(self._by_state[state])
 
     def admit(self, connection: ClientConnection) -> None:
-        """Add a new connection. At the limit, evict one that does nothing, or else close the new one."""
+        """Add a new connection. At the limit, evict an inactive connection, or else close the new one."""
         self.counts["accepted"] += 1
         is_full = len(self) >= self.max_connections
         connection.since = self._loop.time()
@@ -77,23 +78,24 @@
             self._sweep_timer = self._loop.call_at(connection.since + SWEEP_INTERVAL_S, self._sweep)
 
     def remove(self, connection: ClientConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection."""
         self._by_state[connection.state].pop(connection, None)
 
     def set_state(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """Put a connection into another state.
+        """Move a connection to another state.
 
-        What is read first on it counts from when it was accepted: a client can't win time with a first byte.
+        The timeout of the first request starts when the connection is accepted, not with the first byte, so
+        that a client cannot extend it by sending one byte.
         """
         if self._by_state[connection.state].pop(connection, connection) is connection:
-            return  # it was removed
+            return  # the connection was removed
         if (connection.state, state) != ("silent", "reading"):
             connection.since = self._loop.time()
         connection.state = state
         self._by_state[state][connection] = None
 
     def set_retiring(self, is_retiring: bool) -> None:
-        """Say whether clients are sent away: RETIRE_DELAY_S later connections without a request are ended."""
+        """Start or stop retiring. RETIRE_DELAY_S after the start, connections without a request close."""
         if not is_retiring:
             self._retire_at = None
         elif self._retire_at is None:
@@ -102,9 +104,9 @@
     # --- closing -------------------------------------------------------------------------------
 
     def _evict_one(self, for_request: bool) -> bool:
-        """Close the connection that is missed least; whether there was one.
+        """Close the first connection in the eviction order; return whether there was one.
 
-        :param for_request: a request lies on the connection that needs the room
+        :param for_request: request bytes have arrived on the connection to be admitted
         """
         order = _EVICTION_ORDER_FOR_REQUEST if for_request else _EVICTION_ORDER
         return any(self._close_overdue(state, age_s, 1, is_urgent=True) for state, age_s in order)
@@ -112,10 +114,11 @@
     def _close_overdue(
         self, state: ConnectionState, timeout_s: float | None, max_count: int, is_urgent: bool = False
     ) -> int:
-        """Close connections that have been in a state for too long; how many those were.
+        """Close connections that have been in a state for too long, and return their number.
 
-        :param timeout_s: in that state; None: the time that each connection gives its request
-        :param is_urgent: their descriptors are needed at once
+        :param timeout_s: maximum time in the state; None: the request timeout of each connection
+        :param max_count: maximum number of connections to close
+        :param is_urgent: the descriptors are needed immediately
         """
         now = self._loop.time()
         closed_count = 0
@@ -127,7 +130,7 @@
             self.counts[f"shed_{state}"] += 1
             closed_count += 1
             if state in ("silent", "idle") and not is_urgent:
-                connection.linger()  # a request may be on its way, and is not to be answered by a reset
+                connection.linger()  # a request may be in transit, and must not be answered with a reset
             else:
                 self._by_state[state].pop(connection)
                 connection.drop()
@@ -135,17 +138,17 @@
 
     @staticmethod
     def _is_overdue(connection: ClientConnection, now: float, timeout_s: float | None) -> bool:
-        """Whether a connection has been in its state for too long, and closing it loses nothing."""
+        """Whether a connection has been in its state for too long and can be closed without losing data."""
         if connection.since > now - (connection.request_timeout_s if timeout_s is None else timeout_s):
             return False
-        # a close on a request that lies there unread would lose the request
+        # closing the connection would lose the unread request
         if connection.state in ("silent", "idle") and has_unread_input(connection.transport):
             return False
         is_read_by_client = not connection.unsent_bytes()
         return is_read_by_client or now >= connection.since + UNREAD_RESPONSE_TIMEOUT_S
 
     def _sweep(self) -> None:
-        """Close what is over its time."""
+        """Close the connections that exceed the timeout of their state."""
         self._sweep_timer = None
         count = len(self)
         if not count:
@@ -162,7 +165,7 @@
         self._sweep_timer = self._loop.call_at(self._loop.time() + SWEEP_INTERVAL_S, self._sweep)
 
     def _close_unread(self) -> None:
-        """Close where responses lie unread the longest, while all of them take more memory than they may."""
+        """Close the connections with the longest unread responses until the rest fit the memory limit."""
         unread = [
             connection
             for connections in self._by_state.values()
@@ -170,7 +173,7 @@
             if connection.unsent_bytes()
         ]
         total_bytes = sum(connection.unsent_bytes() for connection in unread)
-        for connection in sorted(unread, key=lambda each: each.since):
+        for connection in sorted(unread, key=lambda connection: connection.since):
             if total_bytes <= self.max_unsent_bytes:
                 break
             total_bytes -= connection.unsent_bytes()
@@ -179,12 +182,12 @@
             connection.drop()
 
     def close_idle(self) -> None:
-        """Close the connections without a request, unless one lies unread on them."""
+        """Close the silent and idle connections that have no unread input."""
         self._close_overdue("silent", 0.0, len(self))
         self._close_overdue("idle", 0.0, len(self))
 
     def close(self) -> None:
-        """Close all connections, and end the sweep."""
+        """Close all connections, and stop the sweep."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
             self._sweep_timer = None
--- a/harriertide/http/errors.py
+++ b/harriertide/http/errors.py
@@ -1,4 +1,4 @@
-"""Why an attempt brought no response, and whose fault that was."""
+"""Errors of attempts without a response, by whether the broker or the node is at fault."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class AttemptFailedError(Exception):
     """An attempt ended without a complete response.
 
-    :param outcome: how the decision module counts it
-    :param reason: in a few words, for logs
+    :param outcome: outcome to report to the decision module
+    :param reason: short description for logs
     """
 
     def __init__(self, outcome: api.OutcomeKind, reason: str) -> None:
@@ -19,8 +19,8 @@
 
 
 class AttemptWithheldError(AttemptFailedError):
-    """The broker sent nothing, as it could not, or its core no longer allowed it. Not the node's fault."""
+    """The broker could not send the request, or its core did not allow it. The node is not at fault."""
 
 
 class NodeFailureError(AttemptFailedError):
-    """The node or the network on the way to it failed: no connection, no response, or a malformed one."""
+    """The node or the network path to it failed: no connection, no response, or a malformed response."""
--- a/harriertide/http/limits.py
+++ b/harriertide/http/limits.py
@@ -1,4 +1,4 @@
-"""How the file descriptors and the memory that the process may have are shared out."""
+"""The division of the process's file descriptors and memory among its uses."""
 
 from __future__ import annotations
 
@@ -7,35 +7,36 @@
 
 from harriertide.decide.settings import SettingsSection
 
-# Standard streams, the loop's own, listeners, peers, two watches on discovery, the catalogue, logs.
+# Standard streams, event loop, listeners, peers, two discovery watches, catalogue and log files.
 OWN_DESCRIPTOR_COUNT = 28
-OPERATOR_DESCRIPTOR_COUNT = 32  # callers at the operators' address, where there is one, and its listener
-# Of the descriptors: connections that were accepted and are not yet evicted, or whose close is not yet done.
+OPERATOR_DESCRIPTOR_COUNT = 32  # connections and listener of the operators' address, if configured
+# Fraction of the descriptors kept for accepted connections that still wait for an eviction, and for
+# connections whose close is not complete.
 SPARE_DESCRIPTOR_RATIO = 0.1
-NODE_CONNECTION_RATIO = 0.35  # of what is left, for connections to nodes
-MIN_CONNECTION_COUNT = 16  # of both sides together, however few descriptors are granted
-MIN_SOCKETS = 64  # in the settings; with fewer there is no room for a connection beside the process's own
+NODE_CONNECTION_RATIO = 0.35  # fraction of the remaining descriptors for connections to nodes
+MIN_CONNECTION_COUNT = 16  # to clients and nodes together, however few descriptors are available
+MIN_SOCKETS = 64  # lowest value of the `sockets` setting; fewer leave none for connections
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 256
-OWN_MEMORY_MB = 44  # the interpreter, the core and the connections themselves, with some margin
+OWN_MEMORY_MB = 44  # interpreter, core and connection objects, with a margin
 MIN_BUFFER_MEMORY_MB = 16
-# One response that is buffered as a whole may have a 16th of the memory for buffers, within these bounds.
+# A fully buffered response may use a 16th of the buffer memory, within these bounds.
 RESPONSE_MEMORY_DIVISOR = 16
 MIN_RESPONSE_BYTES = 1 << 20
 MAX_RESPONSE_BYTES = 8 << 20
-# A third of the memory for buffers goes to responses, one to requests; the last is a margin.
+# Responses and requests each get a third of the buffer memory; the last third is a margin.
 BUFFER_MEMORY_DIVISOR = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one process may hold.
+    """The connection and memory limits of one process.
 
-    :param max_client_connections: open at once, of all listeners
-    :param max_node_connections: open at once, to all storage nodes
-    :param max_response_bytes: of one response of a node that is buffered as a whole
-    :param max_buffered_response_bytes: of all responses that are buffered, on either side
-    :param max_buffered_request_bytes: of all request bodies that are buffered, for a first attempt or a retry
+    :param max_client_connections: open at the same time on all listeners
+    :param max_node_connections: open at the same time to all storage nodes
+    :param max_response_bytes: maximum size of one fully buffered node response
+    :param max_buffered_response_bytes: maximum total size of buffered responses, for nodes and clients each
+    :param max_buffered_request_bytes: maximum total size of request bodies buffered for attempts and retries
     """
 
     max_client_connections: int
@@ -45,7 +46,7 @@
     max_buffered_request_bytes: int
 
     def split(self, max_client_connections: int, max_node_connections: int) -> Limits:
-        """For one of two processes that count as one broker: so many connections, and half of the memory."""
+        """Return the limits for one of a broker's two processes: these connections, and half the memory."""
         return Limits(
             max_client_connections=max_client_connections,
             max_node_connections=max_node_connections,
@@ -55,16 +56,16 @@
         )
 
     def half(self) -> Limits:
-        """For a process beside another one of which nothing is known."""
+        """Return half of all limits, for a process beside another one whose limits are unknown."""
         return self.split(self.max_client_connections // 2, self.max_node_connections // 2)
 
     @classmethod
     def from_resources(cls, sockets: int, memory_mb: int, reserved: int = 0) -> Limits:
-        """Share out what the process has.
+        """Divide the available descriptors and memory.
 
-        :param sockets: descriptors that it may open
-        :param memory_mb: memory that it may use
-        :param reserved: descriptors that are left out, beside the process's own
+        :param sockets: number of descriptors that the process may open
+        :param memory_mb: memory that the process may use
+        :param reserved: number of descriptors to keep free in addition to OWN_DESCRIPTOR_COUNT
         """
         available = (sockets - OWN_DESCRIPTOR_COUNT - reserved) * (1 - SPARE_DESCRIPTOR_RATIO)
         connections = max(MIN_CONNECTION_COUNT, int(available))
@@ -80,19 +81,19 @@
         )
 
 
-def read_limits(stated: SettingsSection | None = None, reserved: int = 0) -> Limits:
-    """The limits that the configuration states, but never more than the system grants.
+def read_limits(section: SettingsSection | None = None, reserved: int = 0) -> Limits:
+    """Return the configured limits, capped at the descriptor limit of the operating system.
 
-    :param stated: the part `limits` of the configuration; None or a missing key: the defaults
-    :param reserved: descriptors that are left out, beside the process's own
-    :raises ValueError: a figure can't be used
+    :param section: the section `limits` of the configuration; None or a missing key means the defaults
+    :param reserved: number of descriptors to keep free in addition to OWN_DESCRIPTOR_COUNT
+    :raises ValueError: a value is invalid
     """
-    stated = stated or SettingsSection({}, "limits")
-    granted, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    sockets = stated.integer("sockets", 0) or DEFAULT_SOCKETS
-    memory_mb = int(stated.number("memory_mb", 0)) or DEFAULT_MEMORY_MB
+    section = section or SettingsSection({}, "limits")
+    descriptor_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    sockets = section.integer("sockets", 0) or DEFAULT_SOCKETS
+    memory_mb = int(section.number("memory_mb", 0)) or DEFAULT_MEMORY_MB
     if sockets < MIN_SOCKETS:
         raise ValueError(f"limits.sockets: must be at least {MIN_SOCKETS}")
-    if granted > 0:  # RLIM_INFINITY is negative
-        sockets = min(sockets, granted)
+    if descriptor_limit > 0:  # RLIM_INFINITY is negative
+        sockets = min(sockets, descriptor_limit)
     return Limits.from_resources(sockets, memory_mb, reserved)
--- a/harriertide/http/listener.py
+++ b/harriertide/http/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: opened here, or inherited from the platform."""
+"""Listening sockets, opened by this process or inherited from the platform."""
 
 from __future__ import annotations
 
@@ -6,99 +6,103 @@
 import socket
 from collections.abc import Callable
 
-ACCEPTS_PER_TURN = 4  # connections accepted in one turn of the event loop; more wait in the system's queue
-ACCEPT_TURN_COUNT = 3  # turns from when a connection is accepted until its protocol hears of it
-# Connections that may have been accepted and be unknown to the connection table
-UNREPORTED_ACCEPT_COUNT = ACCEPTS_PER_TURN * ACCEPT_TURN_COUNT
-QUEUE_LENGTH = 512  # connections that wait for their accept: a crowd that comes at once finds room
+ACCEPTS_PER_TURN = 4  # per iteration of the event loop; further connections wait in the kernel's queue
+ACCEPT_REPORT_TURN_COUNT = 3  # iterations between the accept of a connection and connection_made()
+# Maximum number of accepted connections that the connection table does not know of yet.
+UNREPORTED_ACCEPT_COUNT = ACCEPTS_PER_TURN * ACCEPT_REPORT_TURN_COUNT
+LISTEN_BACKLOG = 512  # connections waiting to be accepted; large enough for many clients connecting at once
 
 Address = tuple[str, int]
 
 
 class InheritError(ValueError):
-    """The platform has handed over a descriptor that is not the socket it should be."""
+    """The descriptor inherited from the platform is not the expected listening socket."""
 
 
 class _ListeningSocket(socket.socket):
-    """A socket that listens already. The loop would make its queue as short as its accepts in a turn."""
+    """A listening socket that keeps its backlog when the event loop calls listen() with ACCEPTS_PER_TURN."""
 
     def listen(self, backlog: int = 0, /) -> None:
-        """Leave the queue as long as it is: one that is shortened for a moment turns connections away."""
+        """Keep the backlog: shortening it even briefly would refuse connections."""
 
 
-def _open_socket(at: Address) -> socket.socket:
-    opened = socket.socket(socket.AF_INET6 if ":" in at[0] else socket.AF_INET, socket.SOCK_STREAM)
+def _open_socket(address: Address) -> socket.socket:
+    sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.bind(at)
-        opened.listen(QUEUE_LENGTH)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind(address)
+        sock.listen(LISTEN_BACKLOG)
     except BaseException:
-        opened.close()
+        sock.close()
         raise
-    return opened
+    return sock
 
 
-def inherit(descriptor: int, at: Address) -> socket.socket:
-    """A copy of the listening socket that the platform holds.
+def inherit(descriptor: int, address: Address) -> socket.socket:
+    """Return a duplicate of the listening socket that the platform has opened.
 
-    :param at: the address on which it should listen
-    :raises InheritError: the descriptor is no socket, or another one
+    :param address: the address that the socket must listen on
+    :raises InheritError: the descriptor is not a socket, or not the expected one
     """
     try:
         inherited = socket.fromfd(descriptor, socket.AF_INET, socket.SOCK_STREAM)
-    except OSError as fault:
-        raise InheritError(f"descriptor {descriptor} is not open: {fault.strerror}") from None
+    except OSError as error:
+        raise InheritError(f"descriptor {descriptor} is not open: {error.strerror}") from None
     try:
-        _check_inherited(inherited, descriptor, at)
+        _check_inherited(inherited, descriptor, address)
     except OSError:
         inherited.close()
-        raise InheritError(f"descriptor {descriptor} is no socket") from None
+        raise InheritError(f"descriptor {descriptor} is not a socket") from None
     except InheritError:
         inherited.close()
         raise
     return inherited
 
 
-def _check_inherited(inherited: socket.socket, descriptor: int, at: Address) -> None:
-    kind = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
+def _check_inherited(inherited: socket.socket, descriptor: int, address: Address) -> None:
+    socket_type = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
     family = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_DOMAIN)
     is_listening = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-    if kind != socket.SOCK_STREAM or family != socket.AF_INET or not is_listening:
-        raise InheritError(f"descriptor {descriptor} is no listening TCP socket")
-    if inherited.getsockname() != at:
+    if socket_type != socket.SOCK_STREAM or family != socket.AF_INET or not is_listening:
+        raise InheritError(f"descriptor {descriptor} is not a listening IPv4 TCP socket")
+    if inherited.getsockname() != address:
         host, port = inherited.getsockname()
-        raise InheritError(f"descriptor {descriptor} listens on {host}:{port}, not on {at[0]}:{at[1]}")
+        raise InheritError(
+            f"descriptor {descriptor} listens on {host}:{port}, not on {address[0]}:{address[1]}"
+        )
 
 
-async def listen(at: Address | socket.socket, protocol: Callable[[], asyncio.BaseProtocol]) -> asyncio.Server:
-    """A listener that accepts a few connections in a turn of the loop, and leaves many in the queue.
+async def listen(
+    address: Address | socket.socket, protocol_factory: Callable[[], asyncio.BaseProtocol]
+) -> asyncio.Server:
+    """Start a server that accepts at most ACCEPTS_PER_TURN connections per iteration of the event loop.
 
-    Guards against a crowd that takes all descriptors before the first of its connections can be evicted.
+    Otherwise many clients that connect at once could use up all descriptors before a connection is evicted.
 
-    :param at: an address, or a socket that listens already, of whose descriptor a copy is used
-    :param protocol: makes the protocol of each connection
+    :param address: an address, or a listening socket, whose descriptor is duplicated
+    :param protocol_factory: creates the protocol of each connection
     """
-    opened = at.dup() if isinstance(at, socket.socket) else _open_socket(at)
-    listening = _ListeningSocket(fileno=opened.detach())
+    sock = address.dup() if isinstance(address, socket.socket) else _open_socket(address)
+    listening_socket = _ListeningSocket(fileno=sock.detach())
     try:
         return await asyncio.get_running_loop().create_server(
-            protocol, sock=listening, backlog=ACCEPTS_PER_TURN
+            protocol_factory, sock=listening_socket, backlog=ACCEPTS_PER_TURN
         )
     except BaseException:
-        listening.close()
+        listening_socket.close()
         raise
 
 
 def stop_listening(server: asyncio.Server) -> None:
-    """Accept nothing more, from this moment on; what was accepted before is served.
+    """Stop accepting connections immediately; connections already accepted are served.
 
-    Guards against a close in the turn of the loop in which a connection was accepted: the loop hands it to
-    its server one turn later, and drops it where the server is closed by then.
+    The event loop passes an accepted connection to its server one iteration later, and drops the connection
+    if the server is closed by then. The server is therefore closed two iterations after accepting stops.
     """
-    if not isinstance(server, asyncio.Server):  # on the laboratory's simulated network
+    if not isinstance(server, asyncio.Server):  # the simulated network of the test laboratory
         server.close()
         return
     loop = asyncio.get_running_loop()
-    for listening in server.sockets:
-        loop.remove_reader(listening.fileno())
+    for listening_socket in server.sockets:
+        loop.remove_reader(listening_socket.fileno())
     loop.call_soon(loop.call_soon, server.close)
--- a/harriertide/http/node_client.py
+++ b/harriertide/http/node_client.py
@@ -1,4 +1,4 @@
-"""The client of storage nodes: one exchange per attempt, on pooled connections, never sent twice."""
+"""The client for storage nodes, which makes one exchange per attempt and never sends an attempt twice."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from harriertide.http.body_stream import ResponseRemainder
 from harriertide.http.errors import AttemptFailedError, AttemptWithheldError, NodeFailureError
 from harriertide.http.limits import Limits
-from harriertide.http.node_connection import MAX_FORWARDED_BYTES, NodeConnection
+from harriertide.http.node_connection import MAX_FORWARDED_RESPONSE_BYTES, NodeConnection
 from harriertide.http.node_pool import NodeConnectionPool
 from harriertide.http.node_response import IncomingResponse, Reply, classify_response
 from harriertide.http.request_format import Body, Headers, encode_request_head, header_rows
 
-# Part of the time after which a node closes an idle connection for which one is kept here: a request that
-# crosses the node's close ends as a reset.
-IDLE_KEEP_RATIO = 0.5
-MAX_BODY_BYTES = 64 * 1024  # of a response, where the caller asks for no other bound
+# An idle connection is kept for this fraction of the node's idle timeout: a request that is sent while the
+# node closes the connection would end in a reset.
+IDLE_TIMEOUT_RATIO = 0.5
+MAX_BODY_BYTES = 64 * 1024  # of a response, unless the caller sets another limit
 
 
 @dataclass(slots=True)
 class _Exchange:
-    """The state of one attempt's exchange, and what has to be released after it.
+    """The state of one attempt's exchange, and the resources to release after it.
 
-    :param connection: that it goes over
+    :param connection: the connection that carries the exchange
     :param is_sent: the request, or the first part of it, was written
-    :param response: whose head was read
-    :param body_task: writes the rest of a body that is streamed
+    :param response: the response, once its head was read
+    :param body_task: writes the rest of a streamed body
     """
 
     connection: NodeConnection | None = None
@@ -44,10 +44,10 @@
     body_task: asyncio.Task[None] | None = None
 
     def to_failure(self, outcome: api.OutcomeKind, reason: str) -> NodeFailureError:
-        """The error for an exchange that broke off or ran out of time.
+        """Return the error for an exchange that was interrupted or timed out.
 
-        A node starts a request with its last byte: one that was not written out never ran. A node that
-        answered, if nothing of use, has shown that it lives and how fast it is.
+        A node executes a request only after its last byte, so a request that was not fully written never ran.
+        A malformed response still shows that the node is alive and how fast it responds.
         """
         connection = self.connection
         if connection is not None and connection.is_malformed:
@@ -57,15 +57,15 @@
         return NodeFailureError(outcome, reason)
 
     def _is_written_out(self, connection: NodeConnection) -> bool:
-        """Whether the system has taken all bytes of the request."""
+        """Whether the kernel has accepted all bytes of the request."""
         task = self.body_task
-        body_is_out = task is None or (task.done() and not task.cancelled() and task.exception() is None)
-        return self.is_sent and body_is_out and not connection.writing_paused
+        is_body_written = task is None or (task.done() and not task.cancelled() and task.exception() is None)
+        return self.is_sent and is_body_written and not connection.writing_paused
 
-    def stop_body(self) -> bool:
-        """Write no more of a streamed body.
+    def stop_body_task(self) -> bool:
+        """Stop writing a streamed body.
 
-        :returns: whether all of it was written, or its connection was aborted before
+        :returns: whether the body was written completely, or the connection was already aborted
         """
         task = self.body_task
         if task is None:
@@ -76,20 +76,20 @@
 
 
 class NodeClient:
-    """Exchanges with storage nodes.
+    """Exchanges requests and responses with storage nodes.
 
-    :param find: the host:port of a node, by its ID; None if it has none
-    :param connect_us: for a new connection, in microseconds
-    :param idle_us: after which nodes close idle connections, in microseconds
+    :param find_address: returns the host:port of a node by its ID, or None if the node has no address
+    :param connect_us: timeout for opening a connection, in microseconds
+    :param idle_timeout_us: time after which nodes close idle connections, in microseconds
     """
 
     def __init__(
-        self, find: Callable[[str], str | None], connect_us: int, idle_us: int, limits: Limits
+        self, find_address: Callable[[str], str | None], connect_us: int, idle_timeout_us: int, limits: Limits
     ) -> None:
         self.counts: Counter[str] = Counter()
-        self.pool = NodeConnectionPool(limits, IDLE_KEEP_RATIO * idle_us / 1_000_000)
+        self.pool = NodeConnectionPool(limits, IDLE_TIMEOUT_RATIO * idle_timeout_us / 1_000_000)
         self.connect_us = connect_us
-        self._find_address = find
+        self._find_address = find_address
 
     async def close(self) -> None:
         """Close all connections."""
@@ -106,88 +106,88 @@
         max_body_bytes: int | None = MAX_BODY_BYTES,
         may_forward: bool = False,
     ) -> AsyncIterator[IncomingResponse]:
-        """Send the request of an attempt, and give its response once its head is read.
+        """Send the request of an attempt, and yield its response once the head is read.
 
-        :param body: of the request; an iterator is streamed
-        :param max_body_bytes: see NodeConnection.send_request, as `may_forward`
+        :param body: the request body; an iterator is streamed
+        :param max_body_bytes: see NodeConnection.send_request, also for `may_forward`
         :raises AttemptWithheldError: nothing was sent
-        :raises NodeFailureError: the exchange broke off, ran out of time, or the response is malformed
+        :raises NodeFailureError: the exchange was interrupted or timed out, or the response is malformed
         """
         address = self._find_address(attempt.node_id)
         if address is None:
             raise AttemptWithheldError("rejected", "the node has no address")
         exchange = _Exchange()
         try:
-            async with asyncio.timeout_at(attempt.runtime.clock.loop_time(attempt.stop_at_us)) as limit:
+            async with asyncio.timeout_at(attempt.runtime.clock.loop_time(attempt.stop_at_us)) as timeout:
                 first_part = body if isinstance(body, bytes) else await anext(body)
-                connection = await self._acquire(exchange, address, attempt, limit)
+                connection = await self._acquire(exchange, address, attempt, timeout)
                 head = encode_request_head(method, target, header_rows(headers))
                 connection.send_request(head + first_part, max_body_bytes, may_forward)
                 self.pool.mark_active(connection, attempt.request_id)
                 exchange.is_sent = True
                 if not isinstance(body, bytes):
-                    writing = self._write_body(connection, body, attempt)
-                    exchange.body_task = asyncio.get_running_loop().create_task(writing)
+                    body_writer = self._write_body(connection, body, attempt)
+                    exchange.body_task = asyncio.get_running_loop().create_task(body_writer)
                 message, content = await connection.read()
                 response = IncomingResponse(message.code, message.headers, content, connection)
                 exchange.response = response
                 yield response
         except TimeoutError:
-            raise exchange.to_failure("timeout", "no response in time") from None
+            raise exchange.to_failure("timeout", "no complete response before the deadline") from None
         except (aiohttp.ClientError, HttpProcessingError, OSError):
             raise exchange.to_failure("reset", "the connection broke") from None
         finally:
             self._release(exchange)
 
     async def _acquire(
-        self, exchange: _Exchange, address: str, attempt: Attempt, limit: asyncio.Timeout
+        self, exchange: _Exchange, address: str, attempt: Attempt, timeout: asyncio.Timeout
     ) -> NodeConnection:
-        """A connection on which the attempt may be written in this very turn of the loop.
+        """Return a connection to which the attempt may be written in the current iteration of the event loop.
 
-        :raises AttemptWithheldError: there is no room for a connection, or the core no longer allows it
+        :raises AttemptWithheldError: the connection limit is reached, or the core forbids the attempt
         """
         await self._await_exclusive(attempt)
         connection = self.pool.take_idle(address)
-        if connection is None:  # not `or`: an idle connection is falsy, as it is an empty queue of messages
-            connection = await self._connect(address, attempt, limit)
+        if connection is None:  # not `or`: a connection is a queue of messages, and falsy while it is empty
+            connection = await self._connect(address, attempt, timeout)
         exchange.connection = connection
         outcome = attempt.may_write()
         if outcome is not None:
             exchange.connection = None
             self.pool.keep_idle(connection)
-            raise AttemptWithheldError(outcome, "withheld at the moment of writing")
+            raise AttemptWithheldError(outcome, "the core no longer allows the attempt to be written")
         return connection
 
     def _release(self, exchange: _Exchange) -> None:
-        """Return the connection to the pool, unless the response has taken it over."""
-        all_written = exchange.stop_body()
+        """Return the connection to the pool, unless the forwarded response still uses it."""
+        is_fully_written = exchange.stop_body_task()
         connection = exchange.connection
         if connection is None:
             return
-        if not all_written:
-            connection.force_close()  # an early response: the rest of the body would be taken for a request
+        if not is_fully_written:
+            connection.force_close()  # early response: the node would take the rest of the body for a request
         if exchange.response is None or not exchange.response.detached:
             self.pool.release(connection)
 
-    async def _connect(self, address: str, attempt: Attempt, limit: asyncio.Timeout) -> NodeConnection:
-        """A new connection, within the time for one."""
+    async def _connect(self, address: str, attempt: Attempt, timeout: asyncio.Timeout) -> NodeConnection:
+        """Open a new connection within the connect timeout."""
         clock = attempt.runtime.clock
-        stop_at = clock.loop_time(attempt.stop_at_us)
-        limit.reschedule(min(stop_at, clock.loop_time(clock.now_us() + self.connect_us)))
+        deadline = clock.loop_time(attempt.stop_at_us)
+        timeout.reschedule(min(deadline, clock.loop_time(clock.now_us() + self.connect_us)))
         connection = await self.pool.connect(address)
         if connection is None:
-            # rejected early: nothing is wrong with the node, so this must not count against its health
+            # The outcome is `rejected`: the node is not at fault, so this must not count against its health.
             self.counts["no_room"] += 1
             raise AttemptWithheldError("rejected", "all connections to nodes are in use")
         self.counts["connected"] += 1
-        limit.reschedule(stop_at)
+        timeout.reschedule(deadline)
         return connection
 
     async def _await_exclusive(self, attempt: Attempt) -> None:
-        """Wait until the attempt may be written, and no other attempt of its request can run any more.
+        """Wait until the attempt may be written, and no other attempt of its request can still run.
 
-        The reducer starts no attempt before the last one has ended, and its descriptor is closed then. Guards
-        against one that is not: a second copy may run twice what may run once.
+        The reducer starts an attempt only after the previous one has ended and its connection is closed. This
+        is a second safeguard: with two copies in flight, a non-idempotent request could run twice.
         """
         if attempt.not_before_us > attempt.runtime.clock.now_us():
             await sleep_until(attempt.runtime.clock.loop_time(attempt.not_before_us))
@@ -200,18 +200,18 @@
     async def _write_body(
         self, connection: NodeConnection, body: AsyncIterator[bytes], attempt: Attempt
     ) -> None:
-        """Write the rest of a streamed body."""
+        """Write the rest of a streamed request body."""
         try:
             async for chunk in body:
-                await connection.send_more(chunk)
+                await connection.send_body_chunk(chunk)
             await connection.flush()
             attempt.body_written_us = attempt.runtime.clock.now_us()
         except BaseException:
-            connection.abort()  # with its last byte missing the node does not start it
+            connection.abort()  # without the last byte the node does not execute the request
             raise
 
     async def probe(self, node: str, target: str) -> api.OutcomeKind:
-        """Ask a node for a page beside all requests, within the time for a connection; how that ended."""
+        """Send a GET request for a health probe within the connect timeout, and return its outcome."""
         address = self._find_address(node)
         if address is None:
             return "rejected"
@@ -219,7 +219,7 @@
         try:
             async with asyncio.timeout(self.connect_us / 1_000_000):
                 connection = self.pool.take_idle(address)
-                if connection is None:  # not `or`: an idle connection is falsy
+                if connection is None:  # not `or`: see _acquire
                     connection = await self.pool.connect(address)
                 if connection is None:
                     return "rejected"
@@ -238,10 +238,10 @@
     async def forward(
         self, attempt: Attempt, method: str, target: str, headers: Headers, body: Body
     ) -> tuple[api.OutcomeKind, Reply | None]:
-        """An exchange whose response is forwarded: over with its first part, if that is good and not all."""
+        """Make an exchange that ends with the first part of its response if the rest can be forwarded."""
         try:
             async with self.open(
-                attempt, method, target, headers, body, MAX_FORWARDED_BYTES, may_forward=True
+                attempt, method, target, headers, body, MAX_FORWARDED_RESPONSE_BYTES, may_forward=True
             ) as response:
                 first_part = await response.read_first_part()
                 outcome = classify_response(response)
@@ -258,7 +258,7 @@
     async def exchange(
         self, attempt: Attempt, method: str, target: str, headers: Headers, body: bytes
     ) -> tuple[api.OutcomeKind, Reply | None]:
-        """An exchange whose response is read to its end."""
+        """Make an exchange whose response is read completely."""
         if body or method != "GET":
             headers = [*header_rows(headers), (b"Content-Length", b"%d" % len(body))]
         try:
--- a/harriertide/http/node_connection.py
+++ b/harriertide/http/node_connection.py
@@ -1,8 +1,8 @@
-"""A connection to a storage node: one response at a time, within bounds.
+"""A connection to a storage node, which carries one bounded response at a time.
 
-It is built on aiohttp's client protocol and parser. aiohttp's session and connector stand aside: the session
-keeps what a node sends beyond its response and gives it to the next request on the connection, and their pool
-bounds only connections that carry a request, not those that lie idle.
+The connection uses aiohttp's client protocol and parser, but not its session and connector: the session keeps
+bytes that a node sends after its response and passes them to the next request on the connection, and the
+connector's pool limits only connections that carry a request, not idle ones.
 """
 
 from __future__ import annotations
@@ -26,102 +26,105 @@
     MalformedResponseError,
     ResponsePhase,
     closes_connection,
-    stated_length,
+    declared_length,
 )
 
-READ_AHEAD_BYTES = 64 * 1024  # of a body, before who takes it has taken what is there
-CHUNK_BYTES = 32 * 1024  # read from a connection at a time: each chunk is in memory several times over
-MAX_FORWARDED_BYTES = 64 * 1024 * 1024  # of a response that is forwarded; the longest are half of that
-FORWARD_READ_AHEAD_BYTES = 32 * 1024  # of such a response
-# Of such a response in memory at most, but for some moments, on both sides of the broker.
+READ_AHEAD_BYTES = 64 * 1024  # of a response body; above it, reading pauses until the consumer catches up
+SOCKET_READ_BYTES = 32 * 1024  # maximum per read: several copies of the data read are in memory at once
+MAX_FORWARDED_RESPONSE_BYTES = 64 * 1024 * 1024  # twice the longest expected response
+FORWARD_READ_AHEAD_BYTES = 32 * 1024  # READ_AHEAD_BYTES for a response that is forwarded
+# Maximum memory for one forwarded response on both sides of the broker together; exceeded only briefly.
 FORWARD_BUFFER_BYTES = 4 * FORWARD_READ_AHEAD_BYTES
-STALL_TIMEOUT_S = 0.06  # between two parts of a response that is buffered: nodes send them at once, or never
+# Between two reads of a buffered response. Nodes send a response without pauses; one that pauses never ends.
+STALL_TIMEOUT_S = 0.06
 
 
 def limit_read_size(transport: asyncio.BaseTransport) -> None:
-    """Have the loop read CHUNK_BYTES at a time, where it would read eight times as much."""
-    if hasattr(transport, "max_size"):  # of asyncio's transports of sockets
-        transport.max_size = CHUNK_BYTES
+    """Limit the event loop's reads to SOCKET_READ_BYTES; asyncio's default is eight times as much."""
+    if hasattr(transport, "max_size"):  # only asyncio's socket transports have it
+        transport.max_size = SOCKET_READ_BYTES
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool."""
+    """The part of the pool's interface that a connection uses."""
 
     max_response_bytes: int
 
     def reserve(self, connection: NodeConnection, size: int) -> bool:
-        """Whether there is memory for so much more of a response."""
+        """Reserve memory for `size` more bytes of a response; False if the pool's memory limit forbids it."""
 
     def remove(self, connection: NodeConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection from the pool."""
 
 
 class NodeConnection(ResponseHandler):
-    """One connection to a storage node. It reads just the bytes that belong to the response asked for.
+    """One connection to a storage node, which accepts only the bytes of the requested response.
 
-    Guards against what nodes in trouble send: heads and bodies without end, lengths that can't be, a second
-    message or noise behind a good response or while the connection lies idle. Whatever is surplus makes the
-    connection unfit for another request, and never reaches one.
+    Guards against faulty nodes that send endless heads or bodies, invalid lengths, or further bytes after a
+    valid response or on an idle connection. Surplus bytes are never delivered to another request, and the
+    connection that received them is not reused.
 
     :param address: host:port of the node
-    :param pool: that the connection belongs to
+    :param pool: the pool that the connection belongs to
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: str, pool: ConnectionOwner) -> None:
         super().__init__(loop)
         self.address = address
-        self.idle_since = 0.0  # by the loop's clock
-        self.request_id = ""  # whose attempt was written last
-        self.buffered_bytes = 0  # of its response, as they count against the pool's limit
-        self.has_surplus = False  # bytes came that belong to no response
-        self.is_malformed = False  # the response can't be used
+        self.idle_since = 0.0  # in the event loop's time
+        self.request_id = ""  # of the attempt that was written last
+        self.buffered_bytes = 0  # of the response, counted against the pool's memory limit
+        self.has_surplus = False  # bytes were received that belong to no response
+        self.is_malformed = False  # the response was malformed
         self._pool = pool
         self._phase = ResponsePhase.IDLE
-        self._message: RawResponseMessage | None = None  # the head that the parser read last
+        self._message: RawResponseMessage | None = None  # the head that the parser returned last
         self._head_buffer = HeadBuffer()
-        self._remaining_bytes = 0  # of the body, or of what it may have
+        self._remaining_bytes = 0  # of a sized body, or of the limit for an unsized one
         self._max_body_bytes = 0
         self._max_buffered_bytes = 0
-        self._is_buffered = False  # the response is read as a whole, or its first part is
+        self._is_buffered = False  # the response, or its first part, is buffered
         self._is_chunked = False
-        self._body_end = b""  # of a body in chunks: as many of its last bytes as END_OF_CHUNKS has
-        self._node_has_ended = False
+        self._body_tail = b""  # the last len(END_OF_CHUNKS) bytes of a chunked body
+        self._has_received_eof = False
         self._stall_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start; any byte that the system has not taken counts as unsent."""
+        """Set up the transport. Writing counts as paused while any byte has not been passed to the kernel."""
         super().connection_made(transport)
         assert isinstance(transport, asyncio.WriteTransport)
         transport.set_write_buffer_limits(0)
         limit_read_size(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Account for the close. Only an orderly close by the node ends a body without a length.
+        """Leave the pool. An unsized body that is incomplete fails unless the node has sent an EOF.
 
-        Guards against half a response that passes for complete: the parser takes a reset for the body's end.
+        The parser treats a reset as the end of such a body, so a truncated response would pass for complete.
         """
-        is_cut_off = self._phase is ResponsePhase.UNSIZED_BODY and not self._node_has_ended
-        if is_cut_off and self._payload is not None:
+        is_truncated = self._phase is ResponsePhase.UNSIZED_BODY and not self._has_received_eof
+        if is_truncated and self._payload is not None:
             if not self._payload.is_eof():
-                self._payload.set_exception(aiohttp.ClientConnectionResetError("a reset in the response"))
+                self._payload.set_exception(
+                    aiohttp.ClientConnectionResetError("connection reset within the response body")
+                )
             self._phase = ResponsePhase.IDLE
         super().connection_lost(exc)
-        self._watch_for_stall(False)
+        self._set_stall_timer(False)
         self._pool.remove(self)
 
     def eof_received(self) -> None:
-        """The node has closed its write side."""
-        self._node_has_ended = True
+        """Record that the node has closed its write side."""
+        self._has_received_eof = True
         super().eof_received()
 
     # --- requests ------------------------------------------------------------------------------
 
     def send_request(self, data: bytes, max_body_bytes: int | None, may_forward: bool = False) -> None:
-        """Write a request, or the beginning of one.
+        """Write a request, or its head and the first part of its body.
 
-        :param max_body_bytes: that the response may have; None: it will be buffered as a whole, within the
-            pool's limit
-        :param may_forward: its first part will be buffered, and then maybe forwarded with the rest
+        :param max_body_bytes: maximum length of the response body; None: the whole response is buffered, and
+            the pool's max_response_bytes applies
+        :param may_forward: the first part of the response is buffered, and the rest may be forwarded
         :raises ClientConnectionResetError: the connection is closed
         """
         if self.transport is None:
@@ -139,8 +142,8 @@
         )
         self.transport.write(data)
 
-    async def send_more(self, data: bytes) -> None:
-        """Write more of a request, when what was written before is out.
+    async def send_body_chunk(self, data: bytes) -> None:
+        """Write the next chunk of the request body once the kernel has accepted all earlier data.
 
         :raises ClientConnectionResetError: the connection is closed
         """
@@ -150,29 +153,29 @@
         self.transport.write(data)
 
     async def flush(self) -> None:
-        """Wait until all that was written is out."""
+        """Wait until the kernel has accepted all written data."""
         await self._drain_helper()
 
     def start_forwarding(self) -> None:
-        """The response is streamed to its client from here on: it may arrive slowly."""
+        """Stop buffering the response, which is now streamed to its client and may arrive slowly."""
         self._is_buffered = False
-        self._watch_for_stall(False)
+        self._set_stall_timer(False)
 
     def abort(self) -> None:
-        """Close the connection in this very turn of the loop.
+        """Close the connection in the current iteration of the event loop.
 
-        asyncio closes the descriptor one turn later. Guards against a retry that is written meanwhile on
-        another connection and reaches its node before this end does.
+        asyncio closes the descriptor one iteration later. A retry that is written to another connection in
+        between could reach its node before this connection ends.
         """
         transport = self.transport
-        if transport is not None and (own_socket := transport.get_extra_info("socket")) is not None:
-            with suppress(OSError):  # it is closed already
-                own_socket.shutdown(socket.SHUT_RDWR)
+        if transport is not None and (sock := transport.get_extra_info("socket")) is not None:
+            with suppress(OSError):  # the socket is closed already
+                sock.shutdown(socket.SHUT_RDWR)
         super().abort()
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may go over it: the last response came whole, and nothing beside it."""
+        """Whether another request may use the connection: the response is complete, without surplus."""
         return (
             self._phase is ResponsePhase.COMPLETE
             and not (self.has_surplus or self.should_close or self.writing_paused)
@@ -180,35 +183,35 @@
         )
 
     def mark_idle(self) -> None:
-        """No request is under way from now on."""
+        """Record that the connection no longer carries a request."""
         self._phase = ResponsePhase.IDLE
         self._message = None
 
     # --- responses -----------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Take the bytes that belong to the response."""
-        if not data:  # the reader has caught up
+        """Pass the bytes of the response to the parser, and detect surplus bytes and stalls."""
+        if not data:  # aiohttp passes no data when the reader has caught up and reading resumes
             super().data_received(data)
             self._check_chunked_end()
             return
-        self._take(data)
+        self._feed_response(data)
         if self._is_buffered:
-            self._watch_for_stall(self._phase in INCOMPLETE_PHASES)
+            self._set_stall_timer(self._phase in INCOMPLETE_PHASES)
 
-    def _take(self, data: bytes) -> None:
+    def _feed_response(self, data: bytes) -> None:
         while self._phase is ResponsePhase.HEAD and data:
-            data = self._take_head(data)
+            data = self._feed_head(data)
         if not data:
             return
         if self._phase is ResponsePhase.SIZED_BODY:
-            self._take_sized_body(data)
+            self._feed_sized_body(data)
         elif self._phase is ResponsePhase.UNSIZED_BODY:
-            self._take_unsized_body(data)
+            self._feed_unsized_body(data)
         else:
             self._on_surplus()
 
-    def _take_sized_body(self, data: bytes) -> None:
+    def _feed_sized_body(self, data: bytes) -> None:
         expected_bytes = self._remaining_bytes
         self._remaining_bytes = max(0, expected_bytes - len(data))
         if not self._remaining_bytes:
@@ -217,45 +220,46 @@
         if len(data) > expected_bytes:
             self._on_surplus()
 
-    def _take_unsized_body(self, data: bytes) -> None:
+    def _feed_unsized_body(self, data: bytes) -> None:
         self._remaining_bytes -= len(data)
         if self._remaining_bytes < 0 or (self._is_buffered and not self._reserve_memory(len(data))):
-            self._fail(MalformedResponseError("a body over its bound"))
+            self._fail(MalformedResponseError("response body exceeds its size limit"))
             return
-        self._body_end = (self._body_end + data[-len(END_OF_CHUNKS) :])[-len(END_OF_CHUNKS) :]
+        self._body_tail = (self._body_tail + data[-len(END_OF_CHUNKS) :])[-len(END_OF_CHUNKS) :]
         super().data_received(data)
         self._check_chunked_end()
 
     def _check_chunked_end(self) -> None:
-        """Whether a body in chunks has come whole, and nothing behind it.
+        """Complete the response once its chunked body has ended, and detect bytes after the last chunk.
 
-        The parser goes on behind the last chunk: a second head there is another message, noise an error, and
-        what is neither yet can't end as the chunks do. With any of these no other request goes over it.
+        The parser continues after the last chunk: it reads a second head as another message and reports
+        garbage as an error, and an incomplete head does not end like a chunked body. In all three cases the
+        connection is not reused.
         """
         body = self._payload
         is_chunked_body = self._phase is ResponsePhase.UNSIZED_BODY and self._is_chunked
         if not is_chunked_body or body is None or not body.is_eof():
             return
-        if self._message is not None or self._body_end != END_OF_CHUNKS:
+        if self._message is not None or self._body_tail != END_OF_CHUNKS:
             self.has_surplus = True
         self._phase = ResponsePhase.COMPLETE
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
-        """The parser has read a head. 1xx in front of the response are skipped."""
+        """Receive a head from the parser. Interim responses (1xx) are skipped."""
         self._message = data[0]
         if not 100 <= data[0].code < 200:
             super().feed_data(data, size)
 
-    def _take_head(self, data: bytes) -> bytes:
-        """Take one head, if it has come whole; what lies behind it."""
+    def _feed_head(self, data: bytes) -> bytes:
+        """Parse one head if it is complete, and return the bytes after it."""
         try:
-            taken = self._head_buffer.feed(data)
-        except MalformedResponseError as fault:
-            self._fail(fault)
+            head_and_rest = self._head_buffer.feed(data)
+        except MalformedResponseError as error:
+            self._fail(error)
             return b""
-        if taken is None:
+        if head_and_rest is None:
             return b""
-        head, rest = taken
+        head, rest = head_and_rest
         super().data_received(head)
         message = self._message
         self._message = None
@@ -264,67 +268,67 @@
             self.is_malformed = True
             return b""
         if message is None or message.code == 101:
-            self._fail(MalformedResponseError("no response in its head"))
+            self._fail(MalformedResponseError("response head was not parsed or has status 101"))
         elif message.code >= 200:
             self._start_body(message)
         return rest
 
     def _start_body(self, message: RawResponseMessage) -> None:
-        """A head was read: how far does its body reach?"""
+        """Determine from a head where the response body ends."""
         try:
-            length = stated_length(message)
-        except MalformedResponseError as fault:
-            self._fail(fault)
+            length = declared_length(message)
+        except MalformedResponseError as error:
+            self._fail(error)
             return
         if length is not None:
             self._remaining_bytes = length
             self._phase = ResponsePhase.SIZED_BODY if length else ResponsePhase.COMPLETE
             if length > self._max_body_bytes or (self._is_buffered and not self._reserve_memory(length)):
-                self._fail(MalformedResponseError("a body over its bound"))
+                self._fail(MalformedResponseError("response body exceeds its size limit"))
         elif message.code in BODILESS_STATUSES:
             self._phase = ResponsePhase.COMPLETE
         elif message.chunked or closes_connection(message):
             self._phase = ResponsePhase.UNSIZED_BODY
-            self._remaining_bytes = self._max_body_bytes + MAX_HEAD_BYTES  # with the framing of its chunks
+            self._remaining_bytes = self._max_body_bytes + MAX_HEAD_BYTES  # allows for the chunk framing
             self._is_chunked = message.chunked
-            self._body_end = b""
+            self._body_tail = b""
         else:
-            self._fail(MalformedResponseError("a body without a length"))
+            self._fail(MalformedResponseError("response body has no length and its end is not marked"))
 
     def _reserve_memory(self, size: int) -> bool:
-        """Whether there is memory for so much more of the response, as far as it will be buffered."""
-        countable_bytes = max(0, min(size, self._max_buffered_bytes - self.buffered_bytes))
-        return self._pool.reserve(self, countable_bytes)
+        """Reserve memory for `size` more bytes of the response, up to the limit of what is buffered."""
+        counted_bytes = max(0, min(size, self._max_buffered_bytes - self.buffered_bytes))
+        return self._pool.reserve(self, counted_bytes)
 
-    # --- responses that can't be used ----------------------------------------------------------
+    # --- malformed responses --------------------------------------------------------------------
 
-    def _watch_for_stall(self, is_on: bool) -> None:
-        """Look out for a response that stops short.
+    def _set_stall_timer(self, is_enabled: bool) -> None:
+        """Restart or cancel the timer that detects an incomplete response.
 
-        Guards against nodes that announce more than they send and keep the connection open: once a part has
-        come, the rest follows at once, or never. Responses that are forwarded as they come are not watched.
+        Guards against nodes that announce a longer body than they send and keep the connection open: once a
+        part has arrived, the rest follows immediately or never. Forwarded responses are not timed.
         """
         if self._stall_timer is not None:
             self._stall_timer.cancel()
         self._stall_timer = (
-            self._loop.call_at(self._loop.time() + STALL_TIMEOUT_S, self._on_stall) if is_on else None
+            self._loop.call_at(self._loop.time() + STALL_TIMEOUT_S, self._on_stall) if is_enabled else None
         )
 
     def _on_stall(self) -> None:
         self._stall_timer = None
-        self._fail(MalformedResponseError("a response that stopped short"))
+        self._fail(MalformedResponseError("response stalled before it was complete"))
 
     def _on_surplus(self) -> None:
-        """Bytes came that belong to no response. One that is complete stays good."""
+        """Record surplus bytes. A response that is already complete stays valid."""
         self.has_surplus = True
         if self._phase is ResponsePhase.IDLE:
             self.abort()
 
-    def _fail(self, fault: MalformedResponseError) -> None:
-        """The response can't be used, nor the connection."""
+    def _fail(self, error: MalformedResponseError) -> None:
+        """Fail the malformed response, and abort the connection."""
         if self._payload is not None:
-            self._payload.set_exception(fault)
-        self.set_exception(fault)
+            self._payload.set_exception(error)
+        self.set_exception(error)
         self._phase = ResponsePhase.IDLE
         self.has_surplus = True
         self.is_malformed = True
--- a/harriertide/http/node_pool.py
+++ b/harriertide/http/node_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to storage nodes. It is bounded, and hands out only clean connections."""
+"""The bounded pool of connections to storage nodes. It returns no connection with unread or surplus input."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from harriertide.http.node_connection import NodeConnection
 from harriertide.http.socket_state import has_unread_input
 
-# Behind a response, for what a node in trouble sends some milliseconds after it.
+# Delay after a response before the connection is reused: a faulty node may send surplus bytes some
+# milliseconds after its response.
 REUSE_DELAY_S = 0.01
 
 
 class NodeConnectionPool:
-    """All connections to nodes: idle ones, and those that carry an exchange.
+    """All connections to nodes, idle or active.
 
-    :param idle_timeout_s: after which an idle connection is closed
+    :param idle_timeout_s: time after which an idle connection is closed
     """
 
     def __init__(self, limits: Limits, idle_timeout_s: float) -> None:
@@ -25,14 +26,14 @@
         self._loop = asyncio.get_running_loop()
         self._connections: set[NodeConnection] = set()
         self._connecting_count = 0
-        self._buffered_bytes = 0  # of all responses
+        self._buffered_bytes = 0  # reserved for all responses
         self._idle: dict[NodeConnection, None] = {}  # longest idle first
         self._idle_by_address: dict[str, list[NodeConnection]] = {}  # longest idle first
         self._active: dict[str, NodeConnection] = {}  # by request ID
         self._expiry_timer: asyncio.TimerHandle | None = None
 
     def apply_limits(self, limits: Limits) -> None:
-        """Go by these limits from now on."""
+        """Apply new limits; open connections above them are closed when they are released."""
         self.max_connections = limits.max_node_connections
         self.max_response_bytes = limits.max_response_bytes
         self.max_buffered_bytes = limits.max_buffered_response_bytes
@@ -41,13 +42,13 @@
         return len(self._connections) + self._connecting_count
 
     def connections(self) -> list[NodeConnection]:
-        """All connections that are up."""
+        """Return all open connections."""
         return list(self._connections)
 
     # --- memory for responses ------------------------------------------------------------------
 
     def reserve(self, connection: NodeConnection, size: int) -> bool:
-        """Whether there is memory for so much more of a response; it is returned with its connection."""
+        """Reserve memory for a response until its connection is released; False above the limit."""
         if self._buffered_bytes + size > self.max_buffered_bytes:
             return False
         connection.buffered_bytes += size
@@ -61,10 +62,10 @@
     # --- connections for requests --------------------------------------------------------------
 
     def take_idle(self, address: str) -> NodeConnection | None:
-        """An idle connection that may carry a request: the one used last, so that spare ones run out.
+        """Take the most recently used idle connection to an address, so that surplus connections expire.
 
-        Guards against a request on a connection whose close, or whose surplus bytes, lie there unread or are
-        still on their way: what follows a response late would pass for the response to the next request.
+        Connections with an unread close or unread bytes are aborted, and those used within REUSE_DELAY_S are
+        skipped: bytes that arrive late would be taken for the response to the next request.
         """
         now = self._loop.time()
         for connection in reversed(self._idle_by_address.get(address, [])[:]):
@@ -78,9 +79,9 @@
         return None
 
     async def connect(self, address: str) -> NodeConnection | None:
-        """Open a connection; None if the limit is reached and there is no idle one to close instead.
+        """Open a connection; None if the limit is reached and no idle connection can be closed instead.
 
-        :raises OSError: it can't be established
+        :raises OSError: the connection cannot be established
         """
         if len(self) >= self.max_connections:
             if not self._idle:
@@ -95,16 +96,16 @@
         finally:
             self._connecting_count -= 1
         if connection.transport is None:
-            raise ConnectionResetError("the connection is closed")
+            raise ConnectionResetError("the connection was closed while it was being established")
         self._connections.add(connection)
         return connection
 
     def active_connection(self, request_id: str) -> NodeConnection | None:
-        """The connection that an attempt of a request was written to, until it is idle or closed."""
+        """Return the connection that carries an attempt of a request; None once it is idle or closed."""
         return self._active.get(request_id)
 
     def mark_active(self, connection: NodeConnection, request_id: str) -> None:
-        """An attempt of a request was written to a connection."""
+        """Record that an attempt of a request was written to a connection."""
         connection.request_id = request_id
         self._active[request_id] = connection
 
@@ -112,10 +113,10 @@
         if self._active.get(connection.request_id) is connection:
             del self._active[connection.request_id]
 
-    # --- connections that are returned ----------------------------------------------------------
+    # --- released and closed connections ---------------------------------------------------------
 
     def release(self, connection: NodeConnection) -> None:
-        """Take a connection back after an exchange: keep it if it can carry another one, else close it."""
+        """Take a connection back after an exchange: keep it if it is reusable, else abort it."""
         self._return_memory(connection)
         if not connection.is_reusable or len(self) > self.max_connections:
             connection.abort()
@@ -124,7 +125,7 @@
         self.keep_idle(connection)
 
     def keep_idle(self, connection: NodeConnection) -> None:
-        """Keep a connection for later requests."""
+        """Keep a connection idle for later requests."""
         connection.mark_idle()
         connection.idle_since = self._loop.time()
         self._idle[connection] = None
@@ -134,7 +135,7 @@
             self._expiry_timer = self._loop.call_at(expires_at, self._close_expired)
 
     def remove(self, connection: NodeConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection."""
         self._return_memory(connection)
         self._mark_inactive(connection)
         self._connections.discard(connection)
@@ -142,7 +143,7 @@
             self._remove_idle(connection)
 
     def _remove_idle(self, connection: NodeConnection) -> None:
-        """A connection is no longer idle."""
+        """Remove a connection from the idle ones."""
         del self._idle[connection]
         connections = self._idle_by_address[connection.address]
         connections.remove(connection)
@@ -154,7 +155,7 @@
         connection.abort()
 
     def _close_expired(self) -> None:
-        """Close what has been idle for too long."""
+        """Close the connections that have been idle for longer than the idle timeout."""
         self._expiry_timer = None
         while self._idle:
             connection = next(iter(self._idle))
@@ -165,12 +166,12 @@
             self._close_idle(connection)
 
     async def close(self) -> None:
-        """Close all connections, and wait for their ends."""
+        """Close all connections, and wait until they are closed."""
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
-        closed_events: list[Any] = [
+        close_waiters: list[Any] = [
             closed for connection in self._connections if (closed := connection.closed) is not None
         ]
         for connection in list(self._connections):
             connection.abort()
-        await asyncio.gather(*closed_events, return_exceptions=True)
+        await asyncio.gather(*close_waiters, return_exceptions=True)
--- a/harriertide/http/node_response.py
+++ b/harriertide/http/node_response.py
@@ -1,4 +1,4 @@
-"""Responses of storage nodes: read as a whole, up to their first part, or as they come."""
+"""Responses of storage nodes, read completely, up to the first part, or as a stream."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from harriertide.http.body_stream import ResponseRemainder
 from harriertide.http.node_connection import NodeConnection
 
-# An attempt whose response is forwarded is over with so much of it, or so long behind its first bytes. What
-# breaks before that can be made good by another attempt.
+# An attempt whose response is forwarded ends after this many bytes of the body, or this long after the first
+# bytes. A failure before that point can still be retried.
 FIRST_PART_BYTES = 64 * 1024
 FIRST_PART_WAIT_S = 0.05
-FIRST_PART_MIN_BYTES = 4096  # of a body of unknown length, before it may end the attempt
+FIRST_PART_MIN_BYTES = 4096  # of a body of unknown length, before its attempt may end
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A node's response: all of it, or as far as it has come.
+    """A node's response with its whole body, or with the first part of it.
 
-    :param rest: what follows in the body; None: nothing does
+    :param rest: the rest of the body; None if `body` is complete
     """
 
     status: int
@@ -32,13 +32,13 @@
     rest: ResponseRemainder | None = None
 
     def dispose(self) -> None:
-        """Let go of the connection: nobody wants the rest any more."""
+        """Release the connection, if the rest of the body is not needed any more."""
         if self.rest is not None:
             self.rest.dispose()
 
 
 class IncomingResponse:
-    """A node's response, its head read and its body on the way. The connection bounds how much may come."""
+    """A node's response whose head was read. The connection limits the size of the body."""
 
     __slots__ = ("status", "headers", "content", "connection", "detached")
 
@@ -49,52 +49,52 @@
         self.headers = headers
         self.content = content
         self.connection = connection
-        self.detached = False  # its connection has another owner now
+        self.detached = False  # the connection was passed to a ResponseRemainder
 
     async def read(self) -> bytes:
-        """The whole body."""
+        """Read the whole body."""
         return await self.content.read()
 
     async def read_first_part(self) -> bytes:
-        """Read FIRST_PART_BYTES of the body, or what has come FIRST_PART_WAIT_S after its first bytes.
+        """Read FIRST_PART_BYTES of the body, or what has arrived FIRST_PART_WAIT_S after its first bytes.
 
-        It is less only where more is sure to follow: the head's length says so, or FIRST_PART_MIN_BYTES have
-        come and it goes on.
+        The shorter part is returned only if the stated length exceeds FIRST_PART_BYTES, or if at least
+        FIRST_PART_MIN_BYTES have arrived and the body has not ended. Otherwise the body is read to its end.
         """
         loop = asyncio.get_running_loop()
         is_long = (self.content_length or 0) > FIRST_PART_BYTES
-        part = bytearray()
-        enough_at: float | None = None
-        while len(part) < FIRST_PART_BYTES and not self.content.at_eof():
-            is_enough = is_long or len(part) >= FIRST_PART_MIN_BYTES
-            if is_enough and enough_at is not None and loop.time() >= enough_at:
+        first_part = bytearray()
+        wait_until: float | None = None
+        while len(first_part) < FIRST_PART_BYTES and not self.content.at_eof():
+            is_enough = is_long or len(first_part) >= FIRST_PART_MIN_BYTES
+            if is_enough and wait_until is not None and loop.time() >= wait_until:
                 break
-            limit = asyncio.timeout_at(enough_at if is_long else None)
+            timeout = asyncio.timeout_at(wait_until if is_long else None)
             try:
-                async with limit:
-                    part += await self.content.readany()
+                async with timeout:
+                    first_part += await self.content.readany()
             except TimeoutError:
-                if not limit.expired():  # the deadline of the attempt, not of its first part
+                if not timeout.expired():  # the attempt's deadline, not the first part's
                     raise
                 break
-            if enough_at is None and part:
-                enough_at = loop.time() + FIRST_PART_WAIT_S
-        return bytes(part)
+            if wait_until is None and first_part:
+                wait_until = loop.time() + FIRST_PART_WAIT_S
+        return bytes(first_part)
 
     @property
     def content_length(self) -> int | None:
-        """The length that the head states."""
+        """The body length stated in the head."""
         text = self.headers.get("Content-Length")
         return int(text) if text is not None else None
 
 
 def classify_response(response: IncomingResponse | Reply) -> api.OutcomeKind:
-    """What a response means for its attempt, by its status."""
+    """Return the outcome of an attempt from the status of its response."""
     if 200 <= response.status < 300:
         return "ok"
     if response.headers.get("X-Rejected") == "1":
         if response.status == 503:
             return "rejected"
-        if response.status == 504:  # the request is over, or for another shard: no fault of the node
+        if response.status == 504:  # the request expired or is for another shard: not the node's fault
             return "not_sent"
     return "error"
--- a/harriertide/http/response_framing.py
+++ b/harriertide/http/response_framing.py
@@ -1,4 +1,4 @@
-"""How far a node's response is, and where its head and its body end."""
+"""Framing of a node's response: its phases, and where its head and body end."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from aiohttp import HttpVersion11
 from aiohttp.http_parser import RawResponseMessage
 
-MAX_HEAD_BYTES = 16 * 1024  # of all heads of one response, those with 1xx in front included
+MAX_HEAD_BYTES = 16 * 1024  # of all heads of one response, including interim (1xx) ones
 END_OF_HEAD = b"\r\n\r\n"
-END_OF_CHUNKS = b"\r\n\r\n"  # the empty line behind the last chunk, or behind its trailers
+END_OF_CHUNKS = b"\r\n\r\n"  # the empty line after the last chunk or its trailers
 BODILESS_STATUSES = frozenset((204, 304))
 
 
 class ResponsePhase(Enum):
-    """How far a response is."""
+    """The phase of receiving a response."""
 
-    IDLE = 0  # nothing is asked
+    IDLE = 0  # no request was sent
     HEAD = 1
-    SIZED_BODY = 2  # its length was stated
-    UNSIZED_BODY = 3  # its end has to be found
+    SIZED_BODY = 2  # the head states its length
+    UNSIZED_BODY = 3  # chunked, or up to the end of the connection
     COMPLETE = 4
 
 
@@ -28,11 +28,11 @@
 
 
 class MalformedResponseError(aiohttp.ClientPayloadError):
-    """The node's response can't be used, which is the node's fault; the connection goes with it."""
+    """The node sent a malformed response; the connection is closed."""
 
 
 class HeadBuffer:
-    """Collects the bytes of a response's heads, those with 1xx in front included."""
+    """Buffers the heads of a response, including interim (1xx) ones, until each is complete."""
 
     __slots__ = ("_partial", "_total_bytes")
 
@@ -41,23 +41,23 @@
         self._total_bytes = 0
 
     def start_response(self) -> None:
-        """Another response is asked for: its heads are counted anew."""
+        """Reset the byte count for the heads of the next response."""
         self._total_bytes = 0
 
     def feed(self, data: bytes) -> tuple[bytes, bytes] | None:
-        """Take the next bytes.
+        """Add received bytes.
 
-        :returns: a head, and the bytes behind it; None while the head is incomplete
-        :raises MalformedResponseError: the heads of this response have more than MAX_HEAD_BYTES
+        :returns: a head and the bytes after it; None while the head is incomplete
+        :raises MalformedResponseError: the heads of this response exceed MAX_HEAD_BYTES
         """
-        known_bytes = len(self._partial)
+        searched_bytes = len(self._partial)
         self._partial += data
-        found_at = self._partial.find(END_OF_HEAD, max(0, known_bytes - len(END_OF_HEAD) + 1))
-        head_end = found_at + len(END_OF_HEAD) if found_at >= 0 else len(self._partial)
-        self._total_bytes += head_end - known_bytes
+        terminator_at = self._partial.find(END_OF_HEAD, max(0, searched_bytes - len(END_OF_HEAD) + 1))
+        head_end = terminator_at + len(END_OF_HEAD) if terminator_at >= 0 else len(self._partial)
+        self._total_bytes += head_end - searched_bytes
         if self._total_bytes > MAX_HEAD_BYTES:
-            raise MalformedResponseError("a head over its bound")
-        if found_at < 0:
+            raise MalformedResponseError("response head exceeds its size limit")
+        if terminator_at < 0:
             return None
         head = self._partial[:head_end]
         rest = self._partial[head_end:]
@@ -65,17 +65,17 @@
         return head, rest
 
 
-def stated_length(message: RawResponseMessage) -> int | None:
-    """The length of the body as the head states it; None where it states none.
+def declared_length(message: RawResponseMessage) -> int | None:
+    """Return the body length stated in the head, or None.
 
-    :raises MalformedResponseError: it states two of them
+    :raises MalformedResponseError: the head has two Content-Length fields, or also a Transfer-Encoding
     """
     lengths = message.headers.getall("Content-Length", [])
     if len(lengths) > 1 or (lengths and "Transfer-Encoding" in message.headers):
-        raise MalformedResponseError("two lengths")
+        raise MalformedResponseError("conflicting Content-Length or Transfer-Encoding fields")
     return int(lengths[0]) if lengths else None
 
 
 def closes_connection(message: RawResponseMessage) -> bool:
-    """Whether the node ends the connection behind its response."""
+    """Whether the node closes the connection after its response."""
     return message.version < HttpVersion11 or "close" in message.headers.get("Connection", "").lower()
--- a/harriertide/http/socket_state.py
+++ b/harriertide/http/socket_state.py
@@ -1,8 +1,8 @@
-"""What a connection's socket has received that the event loop has not read yet.
+"""Detection of socket input that the event loop has not read yet.
 
-The loop polls sockets only in its next turn. A decision to use or to close a connection that seems idle must
-poll by itself, which takes one system call. Transports without a socket offer callables for it as extra info
-'unread' and 'ended'.
+The event loop polls sockets only once per iteration. Before a seemingly idle connection is used or closed,
+its socket must be polled directly, at the cost of one system call. Transports without a socket provide
+callables for this purpose as extra info 'unread' and 'ended'.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 def has_unread_input(transport: asyncio.BaseTransport | None, include_end: bool = False) -> bool:
     """Whether there are unread bytes or an unread end of stream; True for a closed transport.
 
-    :param include_end: also look for an end of stream behind unread bytes
+    :param include_end: also detect an end of stream after unread bytes
     """
     if transport is None or transport.is_closing():
         return True
-    own_check = transport.get_extra_info("unread")
-    if own_check is not None:
-        return bool(own_check())
+    transport_check = transport.get_extra_info("unread")
+    if transport_check is not None:
+        return bool(transport_check())
     return _poll(transport, select.POLLIN | (select.POLLRDHUP if include_end else 0))
 
 
 def is_closed_by_peer(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the peer has closed the connection or its write side, also behind unread bytes.
+    """Whether the peer has closed the connection or its write side, even if unread bytes precede the close.
 
-    A transport that can't tell counts as open.
+    A transport that cannot detect this counts as open.
     """
     if transport is None or transport.is_closing():
         return True
-    own_check = transport.get_extra_info("ended")
-    if own_check is not None:
-        return bool(own_check())
+    transport_check = transport.get_extra_info("ended")
+    if transport_check is not None:
+        return bool(transport_check())
     return transport.get_extra_info("socket") is not None and _poll(transport, select.POLLRDHUP)
 
 
 def _poll(transport: asyncio.BaseTransport, events: int) -> bool:
-    """Whether one of these events is there now, or the connection is broken."""
+    """Whether one of the events is pending, or the connection is broken."""
     descriptor = transport.get_extra_info("socket").fileno()
     _POLL.register(descriptor, events)
     try:
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -8,7 +8,7 @@
 
 from harriertide.decide.settings import SettingsSection
 from harriertide.http.limits import OWN_DESCRIPTOR_COUNT, OWN_MEMORY_MB, Limits, read_limits
-from harriertide.http.node_client import IDLE_KEEP_RATIO, NodeClient
+from harriertide.http.node_client import IDLE_TIMEOUT_RATIO, NodeClient
 from harriertide.http.node_pool import NodeConnectionPool
 
 LIMITS = Limits.from_resources(256, 64)
@@ -25,7 +25,7 @@
         pool = NodeConnectionPool(LIMITS, 0.05)
         assert (
             NodeClient(lambda node: None, 250_000, 10_000_000, LIMITS).pool.idle_timeout_s
-            == IDLE_KEEP_RATIO * 10
+            == IDLE_TIMEOUT_RATIO * 10
             < 10
         )
         connection = await pool.connect(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
