--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,26 +1,27 @@
-"""The scenario language: lines of ACTOR send|expect|close ..., and wait SECONDS.
+"""The scenario language of the tests: lines of ACTOR send|expect|close ..., and wait SECONDS.
 
-Actors: c, c2, ... clients; b1, b2, ... stub nodes; s, s2 discovery; o the operator; d the daemon.
+Actors: c, c2, ... are clients; b1, b2, ... stub nodes; s, s2 discovery stubs; o the operator; d the daemon.
 
     c send METHOD TARGET [Header=Value ...] [@SHARD] [body=TEXT | body=N*TEXT]
     b1 expect METHOD TARGET-PATTERN [Header=PATTERN ...] [body=TEXT]   (or: b1 expect nothing)
     b1 send STATUS [Header=Value ...] [body=TEXT]                      (or: b1 send bytes TEXT, with escapes)
-    b1 made N                                                          the count of connections to it
-    b1 head BYTES                the head of its last request, byte for byte; escapes, * for what may vary
+    b1 made N                                         N connections to the node were opened so far
+    b1 head BYTES                the head of its last request, byte for byte; escapes, * as a wildcard
     c expect STATUS [Header=PATTERN ...] [body=PATTERN]                (or: c expect eof | c expect short)
-    c send raw body=TEXT                                               more of a body
-    c send / c send bytes TEXT                                         connect; bytes, with escapes
-    c close / b1 close                                                 the connection last used
-    b1 reset                                                           the same, once all it sent was read
-    b1 end                                                             its side of that connection, in order
-    s eof                                                              it was closed by the daemon
-    s send list b1=draining ...   one line of the watch, in two chunks;   s send raw TEXT
-    o send b1=draining|gone|up ...   plan and apply in one;   d close    SIGTERM's course begins
-    d set boxes.BOUND=N / clients.BOUND=N       a bound of either side's connections
-    d send config PATH=JSON ...   SIGHUP's course, with the configuration file changed there
-    d expect COUNTER=VALUE ...                                         of the core
-
-@SHARD writes the platform's headers. {NAME} is what an earlier "expect ... >NAME=REGEX" took from a body.
+    c send raw body=TEXT                                               continue a body
+    c send / c send bytes TEXT                           connect only; connect and send bytes, with escapes
+    c close / b1 close                                                 abort the last used connection
+    b1 reset                                  reset the connection once the daemon has read all its bytes
+    b1 end                                                             shut down its write side
+    s eof                                                  expect that the daemon closed the connection
+    s send list b1=draining ...   send one line of the watch in two chunks;   s send raw TEXT   any line
+    o send b1=draining|gone|up ...   plan and apply together;   d close      shut down as on SIGTERM
+    d set boxes.LIMIT=N / clients.LIMIT=N       set a limit of the connections to nodes or clients
+    d send config PATH=JSON ...   change the configuration file at PATH, and reload as on SIGHUP
+    d expect COUNTER=VALUE ...                                         check counters of the core
+
+@SHARD adds the platform's headers. {NAME} is replaced by the text that an earlier "expect ... >NAME=REGEX"
+captured from a body.
 """
 
 from __future__ import annotations
@@ -44,16 +45,19 @@
 
 
 class HttpConnection:
-    """One connection, either side of it."""
+    """The client or server side of one HTTP connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.is_head_request = False  # the request was a HEAD
-        self.raw_head = b""  # the last head as it came
-        self.is_mid_line = False  # a line of a watch is half written
+        self.raw_head = b""  # the last received head, unparsed
+        self.is_mid_line = False  # a line of a watch is partly written
 
-    async def message(self, head: bool = False) -> tuple[list[str], Headers, bytes, bool]:
-        """First line, headers, body, and whether the body is as long as it says. head: it has none."""
+    async def read_message(self, head: bool = False) -> tuple[list[str], Headers, bytes, bool]:
+        """Read a message: first line, headers, body, and whether the body is complete.
+
+        :param head: the message has no body, as the response to a HEAD request
+        """
         self.raw_head = await self.reader.readuntil(b"\r\n\r\n")
         first, *rest = self.raw_head.decode("utf-8", "surrogateescape").split("\r\n")[:-2]
         headers = dict(row.split(": ", 1) for row in rest)
@@ -66,7 +70,7 @@
 
 
 class StubServer:
-    """A stub of a node or of discovery: hands out whole requests in the order of their last byte."""
+    """A stub of a node or of discovery, which queues complete requests in the order of their last bytes."""
 
     def __init__(self) -> None:
         self.requests: asyncio.Queue[tuple[list[str], Headers, bytes, HttpConnection]] = asyncio.Queue()
@@ -84,7 +88,7 @@
         self.connection_count += 1
         try:
             while True:
-                first, headers, body, is_complete = await connection.message()
+                first, headers, body, is_complete = await connection.read_message()
                 if not is_complete:
                     self.incomplete_request_count += 1
                     return
@@ -99,7 +103,7 @@
 
 
 class ScenarioRunner:
-    """A daemon with its stand-ins, and the run of a scenario on them."""
+    """Runs scenarios on a daemon and its stub servers."""
 
     def __init__(self, stubs: dict[str, StubServer], ports: dict[str, int], daemon: Any) -> None:
         self.stubs, self.ports, self.daemon = stubs, ports, daemon
@@ -112,16 +116,16 @@
         self.heartbeats: list[asyncio.Task[Any]] = []
 
     async def run(self, script: str) -> None:
-        for raw in filter(None, map(str.strip, script.splitlines())):
-            text = re.sub(r"\{(\w+)\}", lambda found: self.captures.get(found[1], found[0]), raw)
+        for line in filter(None, map(str.strip, script.splitlines())):
+            text = re.sub(r"\{(\w+)\}", lambda match: self.captures.get(match[1], match[0]), line)
             actor, *words = shlex.split(text)
             try:
                 async with asyncio.timeout(STEP_TIMEOUT_S):
                     await self._step(actor, words)
             except (AssertionError, TimeoutError, EOFError, ConnectionError) as error:
-                raise AssertionError(f"at: {raw}\n{type(error).__name__}: {error}") from error
+                raise AssertionError(f"scenario line: {line}\n{type(error).__name__}: {error}") from error
         for name, stub in self.stubs.items():
-            assert stub.requests.empty(), f"{name} got a request that no line expects"
+            assert stub.requests.empty(), f"{name} received a request that no line of the scenario expects"
 
     async def _step(self, actor: str, words: list[str]) -> None:
         verb, words = (words[0], words[1:]) if actor != "wait" else ("wait", words)
@@ -146,7 +150,7 @@
         elif actor in self.stubs:
             if verb == "made":
                 assert self.stubs[actor].connection_count == int(words[0]), (
-                    f"made {self.stubs[actor].connection_count}"
+                    f"{self.stubs[actor].connection_count} connections were opened"
                 )
                 return
             if verb == "head":
@@ -183,7 +187,7 @@
             self.clients[actor].writer.write(data)
             return
         if words[0] == "raw":
-            self.clients[actor].writer.write(self._fields(words[1:], {}))
+            self.clients[actor].writer.write(self._parse_fields(words[1:], {}))
             return
         method, target, *rest = words
         self.clients[actor].is_head_request = method == "HEAD"
@@ -198,41 +202,41 @@
                 "X-Storage-Class": "gold",
             }
             headers |= {"X-Budget-Ms": "1500", "X-Extent": extent}
-        body = self._fields([word for word in rest if not word.startswith("@")], headers)
+        body = self._parse_fields([word for word in rest if not word.startswith("@")], headers)
         if body or method in ("PUT", "POST"):
             headers.setdefault("Content-Length", str(len(body)))
         headers = {name: value for name, value in headers.items() if value != "-"}
-        self._write(self.clients[actor], f"{method} {target} HTTP/1.1", headers, body)
+        self._write_message(self.clients[actor], f"{method} {target} HTTP/1.1", headers, body)
 
     async def _expect_response(self, actor: str, words: list[str]) -> None:
         connection = self.clients[actor]
         if words[0] == "eof":
-            with suppress(ConnectionError):  # closed on bytes that it did not read
+            with suppress(ConnectionError):  # the broker closed the connection with unread input
                 assert await connection.reader.read() == b""
             return
         if words[0] == "100":
             assert (await connection.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
             return
-        first, headers, body, is_complete = await connection.message(connection.is_head_request)
+        first, headers, body, is_complete = await connection.read_message(connection.is_head_request)
         if words[0] == "short":
-            assert not is_complete, "the answer is whole"
+            assert not is_complete, "the response is complete"
             return
-        assert is_complete, "the answer is short"
+        assert is_complete, "the response is truncated"
         assert fnmatchcase(first[1], words[0]), f"status {first[1]} {body[:200]!r}"
         self._assert_matches(words[1:], headers, body)
 
     async def disconnect(self, actor: str, words: list[str]) -> None:
         self.clients.pop(actor).writer.transport.abort()
 
-    # --- stand-ins -----------------------------------------------------------------------------
+    # --- stub servers --------------------------------------------------------------------------
 
     async def _expect_request(self, actor: str, words: list[str]) -> None:
         stub = self.stubs[actor]
         if words[0] == "nothing":
-            assert stub.requests.empty(), f"{actor} got {stub.requests.get_nowait()[:2]}"
+            assert stub.requests.empty(), f"{actor} received {stub.requests.get_nowait()[:2]}"
             return
         first, headers, body, stub.last_connection = await stub.requests.get()
-        assert first[0] == words[0] and fnmatchcase(first[1], words[1]), f"{actor} got {first}"
+        assert first[0] == words[0] and fnmatchcase(first[1], words[1]), f"{actor} received {first}"
         self._assert_matches(words[2:], headers, body)
 
     async def _send_response(self, actor: str, words: list[str]) -> None:
@@ -242,7 +246,7 @@
             connection.writer.write(words[1].encode().decode("unicode_escape").encode("latin-1"))
             return
         if words[0] in ("list", "raw"):
-            text = self._endpoint_page(words[1:]) if words[0] == "list" else words[1] + "\n"
+            text = self._encode_endpoint_page(words[1:]) if words[0] == "list" else words[1] + "\n"
             connection.is_mid_line = True
             for part in filter(None, (text[: len(text) // 2], text[len(text) // 2 :])):
                 connection.writer.write(f"{len(part):x}\r\n{part}\r\n".encode())
@@ -250,21 +254,21 @@
             connection.is_mid_line = False
             return
         headers: Headers = {}
-        body = self._fields(words[1:], headers)
+        body = self._parse_fields(words[1:], headers)
         if headers.get("Transfer-Encoding") != "chunked":
             headers.setdefault("Content-Length", str(len(body)))
-        self._write(connection, f"HTTP/1.1 {words[0]} X", headers, body)
+        self._write_message(connection, f"HTTP/1.1 {words[0]} X", headers, body)
         if actor.startswith("s") and headers.get("Transfer-Encoding") == "chunked":
             self.heartbeats.append(asyncio.create_task(self._send_heartbeats(connection)))
 
     async def _send_heartbeats(self, connection: HttpConnection) -> None:
-        """As discovery does, an empty line now and then: a scenario may take longer than a watch may rest."""
+        """Send empty lines, as discovery does: a scenario may outlast the idle timeout of a watch."""
         while not connection.writer.transport.is_closing():
             await asyncio.sleep(HEARTBEAT_S)
             if not connection.is_mid_line:
                 connection.writer.write(b"1\r\n\n\r\n")
 
-    def _endpoint_page(self, words: list[str]) -> str:
+    def _encode_endpoint_page(self, words: list[str]) -> str:
         hosts = [self.endpoint_entry(*word.split("=")) for word in words]
         return json.dumps({"seq": 9, "whole": False, "hosts": hosts}) + "\n"
 
@@ -281,12 +285,13 @@
         stub.last_connection.writer.transport.abort()
 
     async def _reset(self, actor: str, words: list[str]) -> None:
-        """A reset that crosses nothing: what was sent before it has been read."""
+        """Reset the connection after the daemon has read all data that was sent before."""
         connection = self.stubs[actor].last_connection
         assert connection is not None
         transport = connection.writer.transport
         while transport.get_write_buffer_size() or any(
-            has_unread_input(each.transport) for each in self.daemon.client.pool.connections()
+            has_unread_input(connection_to_node.transport)
+            for connection_to_node in self.daemon.client.pool.connections()
         ):
             await asyncio.sleep(0)
         node_socket = transport.get_extra_info("socket")
@@ -302,18 +307,18 @@
         connection = self.stubs[actor].last_connection
         assert connection is not None
         while not connection.reader.at_eof():
-            await asyncio.sleep(0.01)  # the serving task is the one that reads
+            await asyncio.sleep(0.01)  # StubServer._serve reads from the connection
 
-    # --- words ---------------------------------------------------------------------------------
+    # --- arguments of scenario lines -----------------------------------------------------------
 
     @staticmethod
-    def _fields(words: list[str], headers: Headers) -> bytes:
+    def _parse_fields(words: list[str], headers: Headers) -> bytes:
         body = b""
         for word in words:
             name, _, value = word.partition("=")
             if name == "body":
-                times, star, text = value.partition("*")
-                body = (text * int(times) if star and times.isdigit() else value).encode()
+                count, star, text = value.partition("*")
+                body = (text * int(count) if star and count.isdigit() else value).encode()
             else:
                 headers[name] = value
         return body
@@ -322,17 +327,17 @@
         for word in words:
             name, _, value = word.partition("=")
             if name.startswith(">"):
-                found = re.search(value, body.decode())
-                assert found, f"{value} is not in {body!r}"
-                self.captures[name[1:]] = found[1]
+                match = re.search(value, body.decode())
+                assert match, f"{value} does not match {body!r}"
+                self.captures[name[1:]] = match[1]
             elif name == "body":
-                times, star, text = value.partition("*")
-                expected = text * int(times) if star and times.isdigit() else value
+                count, star, text = value.partition("*")
+                expected = text * int(count) if star and count.isdigit() else value
                 assert fnmatchcase(body.decode(), expected), f"body {body[:200]!r}"
             else:
                 assert fnmatchcase(headers.get(name, "-"), value), f"{name}: {headers.get(name)}"
 
     @staticmethod
-    def _write(connection: HttpConnection, first: str, headers: Headers, body: bytes) -> None:
+    def _write_message(connection: HttpConnection, first: str, headers: Headers, body: bytes) -> None:
         rows = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         connection.writer.write(f"{first}\r\n{rows}\r\n".encode() + body)
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -1,4 +1,4 @@
-"""The close of a client's connection, and what crosses it."""
+"""Closing a client's connection while the client sends."""
 
 from __future__ import annotations
 
@@ -14,11 +14,10 @@
 from tests.socket_broker import short_shutdown as short_shutdown  # a fixture
 
 
-def test_a_request_that_crosses_the_close_of_an_idle_connection_is_ended_in_order_and_not_forwarded() -> None:
-    """The broker ends its side of an idle connection, and a request comes before the client could hear of
-    that.
+def test_a_request_during_the_close_of_an_idle_connection_sees_eof_and_is_not_forwarded() -> None:
+    """The broker closes its side of an idle connection, and a request arrives before the client sees it.
 
-    The client must see an orderly end: behind a reset it could not tell whether its request ran.
+    The client must see an EOF: after a reset it could not tell whether its request ran.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -35,9 +34,11 @@
     run_with_broker(scenario)
 
 
-def test_a_request_that_crosses_the_eviction_of_its_connection_sees_the_end_first() -> None:
-    """An idle connection is evicted, as its descriptor is needed at once. Its end is sent before the turn
-    in which it is closed, so a request that crosses it sees the end and no reset.
+def test_a_request_during_the_eviction_of_its_connection_sees_eof_first() -> None:
+    """An idle connection is evicted because its descriptor is needed immediately.
+
+    The EOF is sent before the iteration of the event loop in which the socket is closed, so that a request
+    sent at that moment sees the EOF and no reset.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -45,7 +46,7 @@
         client.setblocking(False)
         assert client.recv(65536).endswith(b"ready\n")
         assert broker.daemon.clients._evict_one(False)
-        assert client.recv(65536) == b""  # no turn of the loop has passed; without its end this would block
+        assert client.recv(65536) == b""  # the event loop has not run since; without an EOF this would block
         client.sendall(broker.request())
         await broker.wait_until_settled()
         assert broker.node.requests.empty() and broker.daemon.core.counts["taken"] == 0
@@ -55,8 +56,9 @@
 
 
 def test_a_final_response_is_delivered_whole_before_unexpected_bytes() -> None:
-    """A client sends on while it gets the last response of its connection. The bytes are read, as unread
-    ones would reset the connection and take the response with them.
+    """A client keeps sending while it receives the last response on its connection.
+
+    The broker reads these bytes: unread input would reset the connection and destroy the response.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -70,15 +72,15 @@
     run_with_broker(scenario)
 
 
-def test_a_flood_behind_the_final_response_is_read_up_to_a_bound() -> None:
-    """A client goes on sending behind its last answer.
+def test_a_flood_after_the_final_response_is_read_up_to_a_limit() -> None:
+    """A client keeps sending after its last response.
 
-    What comes is thrown away up to a bound, and then left unread, as it would cost other clients their time.
+    The input is discarded up to LINGER_BYTES and then left unread, so that it does not delay other clients.
     """
 
     async def scenario(broker: SocketBroker) -> None:
         client = await broker.connect_in_state("/nowhere", "lingering")
-        (server_side,) = broker.daemon.clients.in_state("lingering")
+        (server_connection,) = broker.daemon.clients.in_state("lingering")
         client.setblocking(False)
         loop = asyncio.get_running_loop()
         with suppress(ConnectionError):
@@ -86,7 +88,9 @@
                 for _ in range(1000):
                     await loop.sock_sendall(client, FLOOD)
         assert (
-            client_connection.LINGER_BYTES < server_side.discarded <= client_connection.LINGER_BYTES + 262_144
+            client_connection.LINGER_BYTES
+            < server_connection.discarded
+            <= client_connection.LINGER_BYTES + 262_144
         )
         assert len(broker.daemon.clients) == 0
         client.close()
@@ -94,8 +98,8 @@
     run_with_broker(scenario)
 
 
-def test_a_connection_whose_client_never_ends_its_side_is_closed() -> None:
-    """A client neither reads the end of its connection nor ends its side.
+def test_a_connection_whose_client_never_closes_its_side_is_closed() -> None:
+    """A client neither reads the EOF on its connection nor closes its side.
 
     The connection is closed after the linger timeout.
     """
@@ -103,12 +107,12 @@
     async def scenario(broker: SocketBroker) -> None:
         client = await broker.connect_in_state("/health/ready", "idle")
         loop = asyncio.get_running_loop()
-        started_at = loop.time()
+        start_time = loop.time()
         broker.daemon.clients.close_idle()
         while len(broker.daemon.clients):
             await asyncio.sleep(0.01)
         assert (
-            loop.time() - started_at
+            loop.time() - start_time
             < connection_table.LINGER_TIMEOUT_S + 2 * connection_table.SWEEP_INTERVAL_S + 0.2
         )
         client.close()
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits of descriptors and memory, and the idle timeout of connections to nodes."""
+"""Limits of descriptors and memory, and the idle timeout of node connections."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def test_idle_connections_are_closed_before_the_node_would() -> None:
-    """A node closes connections that were idle for long.
+    """A node closes connections after an idle timeout.
 
-    A request that crosses its close would end as a reset, so the pool closes them first.
+    A request sent at that moment would end in a reset, so the pool closes idle connections earlier.
     """
 
     async def main() -> None:
@@ -46,7 +46,7 @@
             limits.max_client_connections + limits.max_node_connections + OWN_DESCRIPTOR_COUNT < sockets
             or sockets == 64
         )
-        # clients hold up to a third of them for requests
+        # clients may hold up to a third of the descriptors for requests
         assert (
             sockets == 64
             or limits.max_client_connections >= sockets / 3
--- a/tests/test_request_streaming.py
+++ b/tests/test_request_streaming.py
@@ -1,4 +1,4 @@
-"""Long request bodies: buffered and retried, or streamed once where memory does not hold them."""
+"""Long request bodies: buffered and retried, or streamed once if the memory budget is exhausted."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RecordingNode:
-    """A node that takes one request as it comes, in any framing, and shows what it has received."""
+    """A node that records the bytes of one request in any framing."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -40,14 +40,14 @@
 
 @pytest.fixture
 def exhausted_body_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No budget for bodies beyond the small ones."""
+    """Exhaust the body budget for all bodies that may not exceed it."""
     monkeypatch.setattr(body_stream.BodyBudget, "reserve", lambda self, size, may_exceed=False: may_exceed)
 
 
-def test_a_buffered_request_is_retried_whole_where_a_node_fails_it() -> None:
-    """A node answers a write with an error.
+def test_a_buffered_request_is_retried_whole_if_a_node_fails_it() -> None:
+    """A node responds to a write with an error.
 
-    The body was buffered, so a retry sends all of it again, and its memory is returned with the answer.
+    The body is buffered, so the retry sends all of it again. Its memory is returned with the response.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -69,17 +69,15 @@
 
 
 def test_a_request_body_is_in_memory_once(exhausted_body_budget: None) -> None:
-    """Bodies are sent whole, or as far as they had come. A copy of each at its connection would double the
-    memory.
-    """
+    """A request body is not copied into the buffer of its connection, which would double the memory."""
 
     async def scenario(broker: SocketBroker) -> None:
         for size in (ALWAYS_BUFFERED_BYTES, len(LONG_BODY)):
             client = broker.connect()
             client.sendall(request_head(broker, f"Content-Length: {size}\r\n", "PUT") + LONG_BODY[:size])
             _, _, body, connection = await broker.node.requests.get()
-            (server_side,) = broker.daemon.clients.in_state("busy")
-            assert body == LONG_BODY[:size] and server_side._buffer._parts == []  # type: ignore[attr-defined]
+            (server_connection,) = broker.daemon.clients.in_state("busy")
+            assert body == LONG_BODY[:size] and server_connection._buffer._parts == []  # type: ignore[attr-defined]
             send_response(connection)
             assert (await receive_all(client, b"ok")).endswith(b"ok")
             client.close()
@@ -88,9 +86,9 @@
 
 
 def test_a_chunked_request_with_extensions_and_trailers_is_buffered_whole() -> None:
-    """A client does not know the length of its body, and waits for 100 Continue.
+    """A client sends a body of unknown length in chunks, after it has received 100 Continue.
 
-    The body is buffered without the framing that the client chose.
+    The body is buffered without the client's chunk framing.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -107,9 +105,9 @@
 
 
 def test_a_request_beyond_the_body_budget_is_streamed(exhausted_body_budget: None) -> None:
-    """The budget for bodies is used up.
+    """The body budget is exhausted.
 
-    A long body is streamed: the node has most of it before its last byte has come.
+    A long body is streamed: the node receives most of it before its last byte has arrived.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -120,7 +118,7 @@
         client.sendall(LONG_BODY[:-1])
         while not (broker.node.connections and broker.daemon.core.counts["attempts"]):
             await asyncio.sleep(0.005)
-        assert broker.node.requests.empty()  # its last byte has not come
+        assert broker.node.requests.empty()  # the last byte was not sent yet
         client.sendall(LONG_BODY[-1:])
         _, headers, body, connection = await broker.node.requests.get()
         assert body == LONG_BODY and headers["Content-Length"] == str(len(LONG_BODY))
@@ -131,9 +129,9 @@
 
 
 def test_a_streamed_request_is_not_retried(exhausted_body_budget: None) -> None:
-    """A body was streamed, so nobody has it any more when the node answers with an error.
+    """A streamed body is not in memory any more when the node responds with an error.
 
-    There is no retry; the client is rejected with Retry-After.
+    There is no retry; the request is rejected with 503 and Retry-After.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -151,10 +149,7 @@
 
 
 def test_a_chunked_request_is_streamed_in_chunks(exhausted_body_budget: None) -> None:
-    """A body of unknown length is streamed.
-
-    Its length is not known to the node either, so it goes on in chunks.
-    """
+    """A body of unknown length is streamed to the node in chunks."""
 
     async def scenario(broker: SocketBroker) -> None:
         recording_node = RecordingNode()
@@ -179,12 +174,13 @@
     run_with_broker(scenario)
 
 
-def test_the_node_never_gets_the_last_byte_of_a_streamed_request_whose_client_left(
+def test_a_node_never_gets_the_last_byte_of_a_streamed_request_if_the_client_disconnects(
     exhausted_body_budget: None,
 ) -> None:
-    """A client leaves in the middle of a body that is streamed.
+    """A client disconnects in the middle of a streamed body.
 
-    A node starts a request with its last byte: it must never get one, and the memory is returned.
+    A node executes a request when it receives the last byte, so it must never receive one. The memory is
+    returned.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -207,9 +203,9 @@
 def test_a_streamed_request_beyond_its_size_limit_is_rejected(
     exhausted_body_budget: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A body of unknown length goes on and on while it is streamed.
+    """A streamed body of unknown length exceeds the size limit.
 
-    At the bound the client gets one answer, and the node no last byte.
+    The client receives one response with status 413, and the node never receives the last byte.
     """
     monkeypatch.setattr(request_body, "MAX_REQUEST_BODY_BYTES", 200_000)
 
@@ -229,9 +225,9 @@
 
 
 def test_no_request_is_streamed_to_a_warming_node(exhausted_body_budget: None) -> None:
-    """The only node warms up.
+    """The only node is in its slow start.
 
-    A body that can be sent only once is not risked on it: the request is rejected.
+    A body that can be sent only once is not sent to such a node: the request is rejected.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -249,9 +245,9 @@
 
 
 def test_the_timeout_of_a_slow_upload_grows_with_its_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client sends a body slower than a request's timeout allows.
+    """A client sends a body more slowly than REQUEST_TIMEOUT_S allows.
 
-    As its bytes keep coming, its time grows with them.
+    The timeout is extended as bytes keep arriving.
     """
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.3)
 
@@ -271,7 +267,7 @@
 
 
 def test_bodies_share_one_budget() -> None:
-    """Bodies of many connections share one budget. Small ones may exceed it, and still count."""
+    """Bodies of all connections share one budget. Small bodies may exceed it, but count against it."""
     budget = body_stream.BodyBudget(100)
     assert budget.reserve(60) and not budget.reserve(60) and budget.reserve(60, may_exceed=True)
     budget.release(120)
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -1,4 +1,4 @@
-"""Long responses: forwarded byte for byte, with bounded memory, and what happens when they break off."""
+"""Long responses: forwarding with bounded memory, truncation and retries."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 @pytest.mark.parametrize("response", LONG_RESPONSES.values(), ids=LONG_RESPONSES.keys())
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
 def test_a_long_response_is_forwarded_byte_for_byte(response: bytes, version: str) -> None:
-    """A node answers at length, in each framing that HTTP has.
+    """A node sends a long response, in each framing of HTTP.
 
-    The client gets the same bytes, also where it speaks HTTP/1.0 and reads no chunks, and no memory stays
+    The client receives the same bytes, even if it uses HTTP/1.0 and cannot read chunks, and no memory stays
     reserved.
     """
 
@@ -59,10 +59,10 @@
 
 
 def test_an_attempt_ends_with_the_first_part_of_its_response_and_connections_are_kept() -> None:
-    """A long response takes its time.
+    """A node takes a while to send a long response.
 
-    Its attempt ends with the first part, so that it holds no slot of the node; the rest is forwarded beside
-    it, and both connections carry another request afterwards.
+    The attempt ends with the first part, so that it does not occupy a slot of the node. The rest is forwarded
+    after that, and both connections carry another request afterwards.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -78,7 +78,7 @@
         assert (
             broker.daemon.core.open_request_count() == 0 and len(broker.daemon.clients.in_state("busy")) == 1
         )
-        await asyncio.sleep(0.15)  # more than an answer may stop short that is held
+        await asyncio.sleep(0.15)  # longer than the stall timeout of a buffered response
         connection.writer.write(LONG_BODY[1000:])
         assert response_body(await receive_all(client, LONG_BODY[-2000:])) == LONG_BODY
         async with asyncio.timeout(2):
@@ -93,10 +93,10 @@
     run_with_broker(scenario)
 
 
-def test_chunks_of_any_size_are_forwarded_as_they_come() -> None:
+def test_data_of_any_size_is_forwarded_on_arrival() -> None:
     """A node sends the middle of its response byte by byte.
 
-    Nothing is lost, and nobody takes it for stalled.
+    No byte is lost, and the response does not count as stalled.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -115,12 +115,12 @@
 
 
 @pytest.mark.parametrize("response", list(LONG_RESPONSES.values())[:2], ids=list(LONG_RESPONSES)[:2])
-def test_a_response_that_breaks_behind_its_first_part_is_truncated_without_a_retry(
+def test_a_response_that_fails_after_its_first_part_is_truncated_without_a_retry(
     response: bytes,
 ) -> None:
-    """A node breaks off when the client has a part of the response already.
+    """A node aborts its response when the client has already received a part of it.
 
-    A retry would mix two responses, so there is none, and the client can tell that it has not all of it.
+    A retry would mix two responses, so there is none. The client can tell that the response is incomplete.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -145,10 +145,9 @@
 
 
 def test_a_truncated_response_that_ends_with_its_connection_is_reset() -> None:
-    """A client of HTTP/1.0 takes the end of the connection for the end of the body.
+    """An HTTP/1.0 client takes the end of the connection for the end of the body.
 
-    Where the node breaks off, an orderly close would pass half a response for a whole one: the connection is
-    reset.
+    If the node aborts the response, an orderly close would make it look complete, so the connection is reset.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -165,8 +164,8 @@
     run_with_broker(scenario)
 
 
-def test_a_response_that_breaks_within_its_first_part_is_retried() -> None:
-    """A node breaks off before anything went to the client. A retry makes it good, unseen."""
+def test_a_response_that_fails_within_its_first_part_is_retried() -> None:
+    """A node aborts its response before the client has received any of it, and a retry succeeds."""
 
     async def scenario(broker: SocketBroker) -> None:
         client = broker.connect()
@@ -184,10 +183,10 @@
 
 
 def test_reading_from_the_node_pauses_while_the_client_does_not_read() -> None:
-    """A client asks for 32 MiB and does not read.
+    """A client requests 32 MiB and does not read.
 
-    The broker must not take the response into its memory: it stops reading from the node, and goes on when
-    the client does.
+    The broker must not buffer the response in memory: it stops reading from the node, and continues when the
+    client reads.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -198,19 +197,19 @@
         connection = await broker.next_request()
         size = 32 << 20
         connection.writer.write(RESPONSE_HEAD + b"Content-Length: %d\r\n\r\n" % size)
-        written = asyncio.create_task(write_body(connection, size))
+        body_writer = asyncio.create_task(write_body(connection, size))
         await asyncio.sleep(0.3)
-        assert not written.done()  # what the sockets hold is not all of it
-        (server_side,) = broker.daemon.clients.in_state("busy")
-        buffered_bytes = server_side.unsent_bytes() + sum(
-            each._payload._size
-            for each in broker.daemon.client.pool.connections()
-            if each._payload is not None
+        assert not body_writer.done()  # the socket buffers cannot hold the whole body
+        (server_connection,) = broker.daemon.clients.in_state("busy")
+        buffered_bytes = server_connection.unsent_bytes() + sum(
+            node_connection._payload._size
+            for node_connection in broker.daemon.client.pool.connections()
+            if node_connection._payload is not None
         )
         assert buffered_bytes <= FORWARD_BUFFER_BYTES + FIRST_PART_BYTES
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         assert len(response_body(await receive_all(client))) == size
-        await written
+        await body_writer
 
     run_with_broker(scenario)
 
@@ -222,8 +221,8 @@
         await connection.writer.drain()
 
 
-def test_a_client_that_leaves_a_long_response_frees_the_nodes_connection() -> None:
-    """A client leaves in the middle of a long response.
+def test_a_client_that_disconnects_during_a_long_response_frees_the_node_connection() -> None:
+    """A client disconnects in the middle of a long response.
 
     The connection to the node is closed and its memory returned.
     """
@@ -245,11 +244,10 @@
     run_with_broker(scenario)
 
 
-def test_a_long_response_for_a_client_that_left_is_discarded() -> None:
-    """A client leaves before its response begins.
+def test_a_long_response_for_a_disconnected_client_is_discarded() -> None:
+    """A client disconnects before its response begins, and the node still sends the response.
 
-    The response comes all the same: nobody wants it, so its connection is closed and no memory stays
-    reserved.
+    The connection to the node is closed, and no memory stays reserved.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -275,7 +273,7 @@
 ) -> None:
     """A node sends a third of a response and then nothing, on a connection that stays open.
 
-    The client's connection ends after the idle timeout of a stream.
+    The client's connection ends after STREAM_IDLE_TIMEOUT_S.
     """
     monkeypatch.setattr(body_stream, "STREAM_IDLE_TIMEOUT_S", 0.1)
 
@@ -291,4 +289,4 @@
 
 def test_the_first_part_of_a_response_fits_the_forward_buffer() -> None:
     assert node_response.FIRST_PART_MIN_BYTES < FIRST_PART_BYTES <= FORWARD_BUFFER_BYTES
-    assert FORWARD_BUFFER_BYTES <= 128 * 1024  # of each of many answers at once
+    assert FORWARD_BUFFER_BYTES <= 128 * 1024  # for each of many concurrent responses
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: hand-written batches in, replies out."""
+"""The simulator link as a process: batches of events on its standard input, replies on its output."""
 
 import json
 import os
@@ -35,22 +35,22 @@
     "safety": {"coldFrom": 0.2, "coldUs": 1000000, "fallUs": 1500000},
     "limits": {"peers": True, "retryAfter": True, "maxRetryAfterUs": 500000, "tryLimit": 3},
 }
-WHO = "head/0"
-OPEN = [
+INSTANCE = "head/0"
+OPENING_LINES = [
     {"batch": {"clockUs": 5_000_000}},
-    {"begin": {"who": WHO, "initSeed": 3, "settings": SETTINGS}},
+    {"begin": {"who": INSTANCE, "initSeed": 3, "settings": SETTINGS}},
     {
         "manifest": {
             "page": 0,
             "records": [{"zone": 0, "state": "live", "shelf": "a:1", "pod": 0, "extra": 9}],
         }
     },
-    {"view": {"who": WHO, "mode": "cached", "rev": 1, "page": 0}},
+    {"view": {"who": INSTANCE, "mode": "cached", "rev": 1, "page": 0}},
     {"eob": {}},
 ]
-ASK = {
+DEMAND = {
     "demand": {
-        "who": WHO,
+        "who": INSTANCE,
         "req": "q",
         "band": 0,
         "policyNo": 0,
@@ -77,13 +77,11 @@
     )
 
 
-def test_a_request_from_arrival_to_answer() -> None:
-    """The course without a failure: an arrival becomes an attempt, its end is the last that is heard of
-    it.
-    """
-    done = {
+def test_a_request_from_arrival_to_response() -> None:
+    """An arrival starts an attempt, and nothing is sent for the request after the attempt has succeeded."""
+    finished = {
         "done": {
-            "who": WHO,
+            "who": INSTANCE,
             "req": "q",
             "complete": True,
             "code": 0,
@@ -92,33 +90,36 @@
             "delaySeenUs": 9,
         }
     }
-    end = run(
-        *OPEN,
+    result = run(
+        *OPENING_LINES,
         {"batch": {"clockUs": 5_002_000}},
-        ASK,
+        DEMAND,
         {"eob": {}},
         {"batch": {"clockUs": 5_062_000}},
-        done,
+        finished,
         {"eob": {}},
     )
-    lines = [json.loads(line) for line in end.stdout.splitlines()]
-    assert end.returncode == 0 and not end.stderr
-    assert {"tail": {"who": WHO, "enable": True}} in lines
-    assert {"try": {"who": WHO, "req": "q", "stopAtUs": 7_000_000, "shelf": "a:1"}} in lines
+    lines = [json.loads(line) for line in result.stdout.splitlines()]
+    assert result.returncode == 0 and not result.stderr
+    assert {"tail": {"who": INSTANCE, "enable": True}} in lines
+    assert {"try": {"who": INSTANCE, "req": "q", "stopAtUs": 7_000_000, "shelf": "a:1"}} in lines
     assert sum("next" in line for line in lines) == 3 and "next" in lines[-1]
 
 
 def test_hash_seeds_change_nothing() -> None:
-    """The simulator compares runs byte for byte: the order of sets and dicts may not show."""
-    asks = [{"demand": {**ASK["demand"], "req": f"q{i}", "owner": f"v{i % 5}"}} for i in range(30)]
-    batch = [*OPEN, {"batch": {"clockUs": 5_002_000}}, *asks, {"eob": {}}]
-    first = run(*batch, hash_seed="1").stdout
-    assert first == run(*batch, hash_seed="77").stdout
-    assert "try" in first
+    """The simulator compares runs byte for byte, so the output must not depend on set or dict order."""
+    demands = [
+        {"demand": {**DEMAND["demand"], "req": f"q{number}", "owner": f"v{number % 5}"}}
+        for number in range(30)
+    ]
+    batch = [*OPENING_LINES, {"batch": {"clockUs": 5_002_000}}, *demands, {"eob": {}}]
+    first_output = run(*batch, hash_seed="1").stdout
+    assert first_output == run(*batch, hash_seed="77").stdout
+    assert "try" in first_output
 
 
 @pytest.mark.parametrize(
-    ("line", "word"),
+    ("line", "error_text"),
     [
         ("{nonsense", "not JSON"),
         ("[1]", "one key"),
@@ -127,41 +128,47 @@
         ('{"batch":{}}', "clockUs"),
     ],
 )
-def test_a_line_it_cannot_use_ends_it_plainly(line: str, word: str) -> None:
-    """The simulator sends a line that is not JSON or of no known form: the link ends and names the line."""
-    end = run(*OPEN, line)
-    assert end.returncode == 2
-    assert end.stderr.count("\n") == 1 and "line 6" in end.stderr and word in end.stderr
-    assert end.stdout.endswith('{"next":{}}\n')
-
-
-def test_a_missing_field_is_named_and_no_reply_is_begun() -> None:
-    """A field is missing in the middle of a batch: half a reply would be worse than none."""
-    bad = {"demand": {k: v for k, v in ASK["demand"].items() if k != "owner"}}
-    end = run(*OPEN, {"batch": {"clockUs": 5_002_000}}, ASK, bad)
-    assert end.returncode == 2 and "owner" in end.stderr and "line 8" in end.stderr
-    assert end.stdout.count("next") == 1 and "try" not in end.stdout
+def test_an_invalid_line_ends_the_process_with_one_error_line(line: str, error_text: str) -> None:
+    """On a line that is not JSON or has an invalid form, the process exits and reports the line number."""
+    result = run(*OPENING_LINES, line)
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1 and "line 6" in result.stderr and error_text in result.stderr
+    assert result.stdout.endswith('{"next":{}}\n')
+
+
+def test_a_missing_field_is_reported_and_no_reply_is_started() -> None:
+    """If a field is missing in the middle of a batch, no partial reply is written."""
+    incomplete_event = {
+        "demand": {field: value for field, value in DEMAND["demand"].items() if field != "owner"}
+    }
+    result = run(*OPENING_LINES, {"batch": {"clockUs": 5_002_000}}, DEMAND, incomplete_event)
+    assert result.returncode == 2 and "owner" in result.stderr and "line 8" in result.stderr
+    assert result.stdout.count("next") == 1 and "try" not in result.stdout
 
 
-def test_an_unknown_event_is_named_once_and_disregarded() -> None:
-    """A newer simulator sends a word that this release does not know: it is reported once and passed over."""
-    odd = {"novelty": {"who": WHO}}
-    end = run(*OPEN, {"batch": {"clockUs": 5_002_000}}, odd, odd, {"eob": {}})
-    assert end.returncode == 0 and end.stderr.count("novelty") == 1
+def test_an_unknown_event_is_reported_once_and_ignored() -> None:
+    """An event that only a newer simulator knows is reported once and otherwise ignored."""
+    unknown_event = {"novelty": {"who": INSTANCE}}
+    result = run(*OPENING_LINES, {"batch": {"clockUs": 5_002_000}}, unknown_event, unknown_event, {"eob": {}})
+    assert result.returncode == 0 and result.stderr.count("novelty") == 1
 
 
-def test_settings_out_of_range_become_die() -> None:
-    """An instance is given settings out of range: it alone ends, and the reply says why."""
-    first = json.loads(json.dumps(OPEN))
-    first[1]["begin"]["settings"]["groupSize"] = 0
-    end = run(*first)
-    assert "ValueError" in end.stderr and "settings.groupSize" in end.stdout and '"die"' in end.stdout
+def test_an_instance_with_invalid_settings_sends_die() -> None:
+    """An instance with settings out of range ends, and the reply gives the reason."""
+    opening_lines = json.loads(json.dumps(OPENING_LINES))
+    opening_lines[1]["begin"]["settings"]["groupSize"] = 0
+    result = run(*opening_lines)
+    assert (
+        "ValueError" in result.stderr and "settings.groupSize" in result.stdout and '"die"' in result.stdout
+    )
 
 
 def test_a_killed_instance_is_forgotten() -> None:
-    """The simulator kills an instance with an event still in the batch: nothing is answered for it."""
-    end = run(*OPEN, {"batch": {"clockUs": 5_002_000}}, ASK, {"down": {"who": WHO}}, {"eob": {}})
-    assert end.returncode == 0 and end.stdout.endswith('{"next":{}}\n{"next":{}}\n')
+    """If an instance is killed in a batch that has events for it, the reply has no actions for it."""
+    result = run(
+        *OPENING_LINES, {"batch": {"clockUs": 5_002_000}}, DEMAND, {"down": {"who": INSTANCE}}, {"eob": {}}
+    )
+    assert result.returncode == 0 and result.stdout.endswith('{"next":{}}\n{"next":{}}\n')
 
 
 ACTIONS: list[tuple[api.Action, str]] = [
@@ -178,14 +185,14 @@
 
 
 @pytest.mark.parametrize(("action", "line"), ACTIONS, ids=[type(action).__name__ for action, _ in ACTIONS])
-def test_an_action_is_the_same_line_as_in_the_release_before(action: api.Action, line: str) -> None:
-    """A field of the interface is renamed: the simulator must not see it, nor the instance end on it."""
-    assert encode_action(WHO, action) == line.encode()
+def test_the_encoding_of_actions_is_unchanged(action: api.Action, line: str) -> None:
+    """Renaming a field of an action class must not change the line that the simulator receives."""
+    assert encode_action(INSTANCE, action) == line.encode()
 
 
 EVENTS: dict[str, tuple[dict[str, Any], api.Event]] = {
     "demand": (
-        ASK["demand"],
+        DEMAND["demand"],
         api.Arrival("q", 0, 0, "v", 0, 7_000_000, units=2, key="i", sharing_broker_count=1, is_retry=False),
     ),
     "established": ({"req": "q", "sendNo": 1}, api.ResponseStarted("q", 1)),
@@ -200,14 +207,14 @@
 }
 
 
-@pytest.mark.parametrize("word", EVENTS)
-def test_an_event_means_what_it_did_in_the_release_before(word: str) -> None:
-    """As for actions: the wire's names are mapped in one place, and a rename must not reach it."""
-    fields, event = EVENTS[word]
+@pytest.mark.parametrize("name", EVENTS)
+def test_the_decoding_of_events_is_unchanged(name: str) -> None:
+    """Renaming a field of an event class must not change which fields are read from the simulator's line."""
+    fields, event = EVENTS[name]
     assert set(EVENTS) == set(EVENT_DECODERS)
-    assert EVENT_DECODERS[word](fields) == event
+    assert EVENT_DECODERS[name](fields) == event
 
 
-def test_a_message_that_was_garbled_on_its_way_counts_as_empty() -> None:
-    """The simulator's network damages messages, as a real one does: that is no fault of the line."""
+def test_a_corrupted_peer_message_is_decoded_as_empty() -> None:
+    """The simulated network corrupts messages as a real one does; this must not end the process."""
     assert EVENT_DECODERS["noteFrom"]({"neighbour": 2, "body": "%%"}) == api.PeerMessageReceived(2, b"")
