--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""Scenarios on real sockets: the platform's front and the object front against stand-ins."""
+"""Scenarios on real sockets: the platform listener and the object listener with stub servers."""
 
 from __future__ import annotations
 
@@ -50,29 +50,29 @@
 }
 
 OK = "b1 send 200 body=data"
-WATCH = """s expect GET /registry/instances?watch=1&after=7
+WATCH_LINES = """s expect GET /registry/instances?watch=1&after=7
         s send 200 Transfer-Encoding=chunked
         s send raw ''
 """
-NO_LENGTH = r"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf"
-PLATFORM = {
-    "a reset does not end an answer without a length": f"""
+RESPONSE_WITHOUT_LENGTH = r"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf"
+PLATFORM_SCENARIOS = {
+    "a reset does not complete a response without a length": f"""
         c send GET /api @0
         b1 expect GET /api
-        b1 send bytes '{NO_LENGTH}'
+        b1 send bytes '{RESPONSE_WITHOUT_LENGTH}'
         b1 reset
         b1 expect GET /api
         {OK}
         c expect 200 body=data
         d expect outcome_reset=1 outcome_ok=1""",
-    "an orderly end does": f"""
+    "an orderly close completes a response without a length": f"""
         c send GET /api @0
         b1 expect GET /api
-        b1 send bytes '{NO_LENGTH}'
+        b1 send bytes '{RESPONSE_WITHOUT_LENGTH}'
         b1 end
         c expect 200 body=half
         d expect outcome_ok=1""",
-    "a node that closes a kept connection while it is idle costs no attempt": f"""
+    "a node that closes an idle connection costs no attempt": f"""
         c send GET /api @0
         b1 expect GET /api
         {OK}
@@ -84,12 +84,12 @@
         {OK}
         c expect 200
         d expect attempts=2 outcome_ok=2""",
-    "a request passes unchanged and its answer too": """
+    "a request and its response are forwarded unchanged": """
         c send PUT /api?key=00000000000000AB&x=%41%2f @0 body=ab
         b1 expect PUT /api?key=00000000000000AB&x=%41%2f X-Call-Id=id1 X-Budget-Ms=* body=ab
         b1 send 200 body=data
         c expect 200 body=data""",
-    "a kept connection serves again, also after a body that came in pieces": f"""
+    "a connection is reused, also after a body that arrived in pieces": f"""
         c send GET /api @0
         b1 expect GET /api
         {OK}
@@ -117,7 +117,7 @@
         {OK}
         c expect 200
         d expect outcome_error=1 outcome_ok=1 attempts=2""",
-    "a kept connection that breaks is not repeated by the client library behind the core's back": f"""
+    "a request on a reused connection that fails is not repeated without the core's decision": f"""
         c send PUT /api @0
         b1 expect PUT /api
         {OK}
@@ -141,7 +141,7 @@
         b1 send 500
         c expect 503 Retry-After=0.*
         d expect outcome_rejected=2 outcome_error=1""",
-    "a request that its node calls expired is rejected at once and not retried": """
+    "a request that its node reports as expired is rejected immediately and not retried": """
         c send GET /api @0
         b1 expect GET /api
         b1 send 504 X-Rejected=1
@@ -153,7 +153,7 @@
         c send GET /api @0
         c expect 503 Retry-After=0.*
         d expect outcome_connect_failed=3""",
-    "a response that breaks off in its body is retried": f"""
+    "a response that is truncated in its body is retried": f"""
         c send GET /api @0
         b1 expect GET /api
         b1 send 200 Content-Length=9 body=da
@@ -162,7 +162,7 @@
         {OK}
         c expect 200 body=data
         d expect outcome_reset=1""",
-    "an answer is never decompressed, redirects are not followed": """
+    "a response is not decompressed, and redirects are not followed": """
         c send GET /api @0
         b1 expect GET /api
         b1 send 200 Content-Encoding=gzip body=nogzip
@@ -173,12 +173,12 @@
         b1 expect GET /api
         b1 send 200
         c expect 200""",
-    "the deadline counts from the request: a node that does not answer costs no more": """
+    "the deadline counts from the arrival of the request if a node does not respond": """
         c send GET /api @0 X-Budget-Ms=200
         b1 expect GET /api X-Budget-Ms=1*
         c expect 503
         d expect outcome_timeout=1""",
-    "a client that leaves gets nothing, and the attempt's outcome is recorded": f"""
+    "a client disconnects, and the outcome of its attempt is recorded": f"""
         c send GET /api @0
         b1 expect GET /api
         c close
@@ -190,7 +190,7 @@
         {OK}
         c2 expect 200
         d expect left=1 outcome_ok=2""",
-    "malformed requests are answered at once, by their reason": """
+    "malformed requests are rejected immediately with the reason": """
         c1 send GET /api
         c1 expect 400 body=X-Call-Id*
         c2 send GET /api @0 X-Call-Class=odd
@@ -211,21 +211,21 @@
         c9 expect 404
         c10 send GET /health/ready
         c10 expect 200""",
-    "what is not HTTP is answered too": """
+    "input that is not HTTP gets a response": """
         c send odd stuff\x01
         c expect 400
         c expect eof""",
-    "an oversize body is rejected": """
+    "an oversized body is rejected": """
         c send PUT /api @0 Content-Length=33554433 body=x
         c expect 413""",
-    "an id in use is rejected": f"""
+    "a request ID that is in use is rejected": f"""
         c send GET /api @0 X-Call-Id=same
         b1 expect GET /api
         c2 send GET /api @0 X-Call-Id=same
         c2 expect 400 body=*use*
         {OK}
         c expect 200""",
-    "an attempt that hangs while its node answers others is cancelled and retried": f"""
+    "an attempt that hangs while its node serves others is cancelled and retried": f"""
         c send GET /api @0
         b1 expect GET /api
         c2 send GET /api @0
@@ -241,8 +241,8 @@
         {OK}
         c expect 200
         d expect outcome_cancelled=1 outcome_ok=3 attempts=4""",
-    "a drain on the watch, in pieces, ends sends": f"""
-        {WATCH}
+    "a drain received on the watch in pieces stops attempts": f"""
+        {WATCH_LINES}
         s send list b1=draining
         wait 0.05
         c send GET /api @0
@@ -253,8 +253,8 @@
         b1 expect GET /api
         {OK}
         c expect 200""",
-    "a watch that breaks, is rejected or sends nonsense is reopened from the last known version": f"""
-        {WATCH}
+    "a watch that ends, is rejected or sends invalid data is reopened from the last known version": f"""
+        {WATCH_LINES}
         s send list b1=up
         wait 0.05
         s close
@@ -264,7 +264,7 @@
         s send 200 Transfer-Encoding=chunked
         s send raw nonsense
         s expect GET /registry/instances?watch=1&after=9""",
-    "on SIGTERM it is not ready, still takes, answers all it took and closes": f"""
+    "on SIGTERM the broker reports not ready, still serves requests, completes them and closes": f"""
         c4 send GET /health/ready
         c4 expect 200
         c send GET /health/ready
@@ -290,7 +290,7 @@
         {OK}
         c expect 200 Connection=close body=data
         c expect eof""",
-    "what is open at the end of the time to stop is answered, not dropped": """
+    "a request that is open at the end of the shutdown time is rejected, not dropped": """
         c send GET /health/ready
         c expect 200
         d close
@@ -301,34 +301,34 @@
         c expect eof""",
 }
 
-GOOD_ANSWER = r"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndata"
-CHUNKED = r"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-SURPLUS = {
-    "a duplicate response right behind": GOOD_ANSWER + GOOD_ANSWER,
-    "noise right behind": GOOD_ANSWER + r"\x00\xffnoise\r\n\r\n",
-    "a part of a head right behind": GOOD_ANSWER + "HTTP/1.1 200 OK",
-    "noise behind chunks": CHUNKED + r"4\r\ndata\r\n0\r\n\r\n\x00\xff",
+VALID_RESPONSE = r"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndata"
+CHUNKED_HEAD = r"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSES_WITH_SURPLUS = {
+    "a duplicate response": VALID_RESPONSE + VALID_RESPONSE,
+    "garbage": VALID_RESPONSE + r"\x00\xffnoise\r\n\r\n",
+    "a part of a head": VALID_RESPONSE + "HTTP/1.1 200 OK",
+    "garbage after the last chunk": CHUNKED_HEAD + r"4\r\ndata\r\n0\r\n\r\n\x00\xff",
     "a Connection: close": r"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndata",
 }
-SPOILT = {
-    "noise": r"\x01\x02\r\n\r\n",
-    "a status that is none": r"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndata",
+MALFORMED_RESPONSES = {
+    "garbage": r"\x01\x02\r\n\r\n",
+    "an invalid status": r"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndata",
     "a negative length": r"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\ndata",
     "two lengths": r"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\ndata",
-    "length and chunks": CHUNKED.replace("Tr", r"Content-Length: 4\r\nTr") + r"0\r\n\r\n",
-    "less than announced": r"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata",
-    "half a head": r"HTTP/1.1 200 OK\r\nConte",
-    "3 GB announced": r"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ndata",
-    "no length on a kept connection": r"HTTP/1.1 200 OK\r\n\r\ndata",
-    "chunks without end": CHUNKED + r"ffffff\r\n" + "x" * 60_000,  # behind 64 KiB it would be passed on
-    "a head without end": r"HTTP/1.1 200 OK\r\n" + r"X-Pad: pppppppp\r\n" * 1200,
-    "1xx without end": r"HTTP/1.1 100 Go on\r\n\r\n" * 1200,
-    "another protocol": r"HTTP/1.1 101 Switch\r\nUpgrade: websocket\r\nConnection: upgrade\r\n\r\n",
+    "a length and chunks": CHUNKED_HEAD.replace("Tr", r"Content-Length: 4\r\nTr") + r"0\r\n\r\n",
+    "a body shorter than its length": r"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata",
+    "an incomplete head": r"HTTP/1.1 200 OK\r\nConte",
+    "a length of 3 GB": r"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ndata",
+    "no length on a persistent connection": r"HTTP/1.1 200 OK\r\n\r\ndata",
+    "endless chunks": CHUNKED_HEAD + r"ffffff\r\n" + "x" * 60_000,  # above 64 KiB it would be forwarded
+    "an endless head": r"HTTP/1.1 200 OK\r\n" + r"X-Pad: pppppppp\r\n" * 1200,
+    "endless interim responses": r"HTTP/1.1 100 Go on\r\n\r\n" * 1200,
+    "a switch of protocols": r"HTTP/1.1 101 Switch\r\nUpgrade: websocket\r\nConnection: upgrade\r\n\r\n",
 }
 
-RELOADS = {
-    "a reload moves the watch: the old address is watched until the new one has sent a full list": f"""
-        {WATCH}
+RELOAD_SCENARIOS = {
+    "after a reload the old address is watched until the new one has sent a full list": f"""
+        {WATCH_LINES}
         d send config 'discovery="s2"'
         s2 expect GET /registry/instances
         s expect nothing
@@ -345,8 +345,8 @@
         {OK}
         c expect 200
         d expect list_failed=0""",
-    "where the new address does not answer, the old is watched on and its end is no failure": f"""
-        {WATCH}
+    "if the new address does not respond, the old one stays watched and its end is not a failure": f"""
+        {WATCH_LINES}
         s2 close listen
         d send config 'discovery="s2"'
         wait 0.05
@@ -358,7 +358,7 @@
         wait 0.05
         s expect nothing
         d expect list_failed=1 list_delta=1""",
-    "a reload that changes the settings: open requests keep their deadline, class and plan": f"""
+    "open requests keep their deadline, class and plan when a reload changes the settings": f"""
         c send GET /api @0
         b1 expect GET /api
         d send config 'settings.classes.0.name="odd"' settings.classes.0.deadlineUs=9
@@ -367,8 +367,8 @@
         c expect 200
         c send GET /api @0
         c expect 400 body=X-Call-Class*""",
-    "an invalid configuration leaves the old one in force": f"""
-        {WATCH}
+    "an invalid configuration leaves the previous one in effect": f"""
+        {WATCH_LINES}
         d send config 'settings.classes=[]'
         d send config 'peers=["x:y"]' 'discovery="s2"'
         d send config settings=7
@@ -379,41 +379,41 @@
         s2 expect nothing""",
 }
 
-CREATE = """
+CREATE_UPLOAD = """
         c send POST /v/big?uploads
         c expect 200 >up=<UploadId>(.*)</UploadId>
 """
 
 
-def part(number: int, text: str, box: str = "b1") -> str:
-    """An UploadPart that the box takes."""
+def upload_part(number: int, text: str, node: str = "b1") -> str:
+    """The scenario lines of an UploadPart request that the node accepts."""
     return f"""
         c send PUT /v/big?partNumber={number}&uploadId={{up}} body={text}
-        {box} expect PUT /v/* body={text}
-        {box} send 200 ETag=t{number}
+        {node} expect PUT /v/* body={text}
+        {node} send 200 ETag=t{number}
         c expect 200 >e{number}=()
 """
 
 
-def parts(*rows: tuple[int, str]) -> str:
-    """The body of Complete."""
+def complete_body(*numbered_parts: tuple[int, str]) -> str:
+    """The body of a CompleteMultipartUpload request."""
     from hashlib import md5
 
-    inner = "".join(
+    part_elements = "".join(
         f"<Part><PartNumber>{number}</PartNumber><ETag>{md5(text.encode()).hexdigest()}</ETag></Part>"
-        for number, text in rows
+        for number, text in numbered_parts
     )
-    return f"'body=<CompleteMultipartUpload>{inner}</CompleteMultipartUpload>'"
+    return f"'body=<CompleteMultipartUpload>{part_elements}</CompleteMultipartUpload>'"
 
 
-PUT = """
+PUT_LINES = """
         c send PUT /v/a Content-Type=text/plain body=0123456789
         b1 expect PUT /v/* Content-Length=10 body=0123456789
         b1 send 200 ETag=t1
         c expect 200 ETag="781e5e245d69b566979b86e28d23f2c7"
 """.replace('ETag="781e5e245d69b566979b86e28d23f2c7"', "'ETag=\"781e5e245d69b566979b86e28d23f2c7\"'")
-OBJECTS = {
-    "a node's permanent rejection is no invitation to retry, and is not retried": """
+OBJECT_SCENARIOS = {
+    "a permanent rejection by a node is not retried and becomes an internal error": """
         c send PUT /v/a body=0123456789
         b1 expect PUT /v/*
         b1 send 413 'body=too much'
@@ -430,7 +430,7 @@
         b1 expect GET /v/*
         b1 send 403
         c expect 500 body=*InternalError*""",
-    "an object is written and read, whole and by range": f"""{PUT}
+    "an object is written, and read whole and by range": f"""{PUT_LINES}
         c send GET /v/a
         b1 expect GET /v/* Range=bytes=0-9 If-Match=t1
         b1 send 206 'Content-Range=bytes 0-9/10' body=0123456789
@@ -459,7 +459,7 @@
         c expect 404 body=*NoSuchKey*
         b1 expect DELETE /v/*
         b1 send 204""",
-    "a range read cut midway goes on from there, under If-Match": f"""{PUT}
+    "an interrupted range read continues from the same offset with If-Match": f"""{PUT_LINES}
         c send GET /v/a Range=bytes=1-8
         b1 expect GET /v/* Range=bytes=1-8 If-Match=t1
         b1 send 206 'Content-Range=bytes 1-8/10' Content-Length=8 body=123
@@ -469,7 +469,7 @@
         b1 expect nothing
         b1 send 206 'Content-Range=bytes 4-8/10' body=45678
         c expect 206 body=12345678""",
-    "a cut read that can't go on ends visibly short": f"""{PUT}
+    "an interrupted read that cannot continue is visibly truncated": f"""{PUT_LINES}
         c send GET /v/a
         b1 expect GET /v/*
         b1 send 206 'Content-Range=bytes 0-9/10' Content-Length=10 body=012
@@ -478,7 +478,7 @@
         b1 expect GET /v/* Range=bytes=3-9
         b1 send 412
         c expect short""",
-    "a node that answers with another byte range is not trusted": f"""{PUT}
+    "a response with another byte range is not used": f"""{PUT_LINES}
         c send GET /v/a Range=bytes=1-2
         b1 expect GET /v/*
         b1 send 206 'Content-Range=bytes 0-1/10' body=01
@@ -492,12 +492,12 @@
         b1 expect PUT /v/* body=ab
         b1 send 200
         c expect 200""",
-    "past the buffer a write can't be repeated: SlowDown": """
+    "a write longer than the buffer is not retried and gets SlowDown": """
         c send PUT /v/a body=3000*x
         b1 expect PUT /v/* Content-Length=3000
         b1 send 500
         c expect 503 Retry-After=0.* body=*SlowDown*""",
-    "buffers of all clients together are bounded": """
+    "the buffers of all clients together are limited": """
         c send PUT /v/a body=2048*x
         b1 expect PUT /v/*
         c2 send PUT /v/b body=2048*x
@@ -508,17 +508,17 @@
         c expect 200
         b2 send 200
         c2 expect 200""",
-    "a client that stalls mid-body is answered by its deadline, and what came is cleaned up": """
+    "a client that stalls within its body gets a response by its deadline, and the blob is deleted": """
         c send PUT /v/a Content-Length=9000 X-Budget-Ms=300 body=4000*x
         c expect 503 body=*SlowDown*
         b1 expect DELETE /v/*
         b1 send 204
         d expect outcome_cancelled=1""",
-    "a node that does not answer: the absolute deadline ends the call": """
+    "the absolute deadline ends a call if the node does not respond": """
         c send PUT /v/a X-Budget-Ms=250 body=ab
         b1 expect PUT /v/* X-Budget-Ms=2*
         c expect 503 body=*SlowDown*""",
-    "a client that leaves mid-body: the node sees no whole request, the blob is cleaned up": """
+    "a client disconnects within its body: the node gets no complete request, the blob is deleted": """
         c send PUT /v/a Content-Length=9000 body=4000*x
         wait 0.1
         c close
@@ -527,7 +527,7 @@
         c2 send GET /v/a
         c2 expect 404
         d expect outcome_cancelled=1""",
-    "a client that leaves mid-answer owes nothing to later ones": f"""{PUT}
+    "a client that disconnects within its response does not affect later requests": f"""{PUT_LINES}
         c send GET /v/a
         b1 expect GET /v/*
         b1 send 206 'Content-Range=bytes 0-9/10' Content-Length=10 body=012
@@ -539,22 +539,22 @@
         b1 expect GET /v/* Range=bytes=0-9
         b1 send 206 'Content-Range=bytes 0-9/10' body=0123456789
         c2 expect 200""",
-    "multipart: parts, a list, Complete repeated, a read over all parts": f"""{CREATE}{part(1, "hello")}
+    "multipart: list, repeated Complete, read across parts": f"""{CREATE_UPLOAD}{upload_part(1, "hello")}
         c send PUT /v/big?partNumber=2&uploadId={{up}} body=world
         b1 expect PUT /v/*
         b1 send 200 ETag=t2
         c expect 200
         c send GET /v/big?uploadId={{up}}&max-parts=1
         c expect 200 body=*<IsTruncated>true*<PartNumber>1*<Size>5*
-        c send POST /v/big?uploadId={{up}} {parts((2, "world"), (1, "hello"))}
+        c send POST /v/big?uploadId={{up}} {complete_body((2, "world"), (1, "hello"))}
         c expect 400 body=*InvalidPartOrder*
-        c send POST /v/big?uploadId={{up}} {parts((1, "other"))}
+        c send POST /v/big?uploadId={{up}} {complete_body((1, "other"))}
         c expect 400 body=*InvalidPart*
         c send POST /v/big?uploadId={{up}} body=<x
         c expect 400 body=*MalformedXML*
-        c send POST /v/big?uploadId={{up}} {parts((1, "hello"), (2, "world"))}
+        c send POST /v/big?uploadId={{up}} {complete_body((1, "hello"), (2, "world"))}
         c expect 200 body=*-2*
-        c send POST /v/big?uploadId={{up}} {parts((1, "hello"), (2, "world"))}
+        c send POST /v/big?uploadId={{up}} {complete_body((1, "hello"), (2, "world"))}
         c expect 200 body=*-2*
         c send DELETE /v/big?uploadId={{up}}
         c expect 404 body=*NoSuchUpload*
@@ -564,18 +564,18 @@
         b1 expect GET /v/* Range=bytes=0-1 If-Match=t2
         b1 send 206 'Content-Range=bytes 0-1/5' body=wo
         c expect 206 'Content-Range=bytes 3-6/10' body=lowo""",
-    "abort, repeated, and its parts cleaned up": f"""{CREATE}{part(1, "hello")}
+    "an upload is aborted twice, and its parts are deleted": f"""{CREATE_UPLOAD}{upload_part(1, "hello")}
         c send DELETE /v/big?uploadId={{up}}
         c expect 204
         c send DELETE /v/big?uploadId={{up}}
         c expect 204
         c send PUT /v/big?partNumber=2&uploadId={{up}} body=x
         c expect 404 body=*NoSuchUpload*
-        c send POST /v/big?uploadId={{up}} {parts((1, "hello"))}
+        c send POST /v/big?uploadId={{up}} {complete_body((1, "hello"))}
         c expect 404 body=*NoSuchUpload*
         b1 expect DELETE /v/*
         b1 send 204""",
-    "a part that arrives while its upload is aborted is not kept": f"""{CREATE}
+    "a part that arrives while its upload is aborted is not kept": f"""{CREATE_UPLOAD}
         c send PUT /v/big?partNumber=1&uploadId={{up}} body=x
         b1 expect PUT /v/*
         c2 send DELETE /v/big?uploadId={{up}}
@@ -585,15 +585,15 @@
         b1 expect DELETE /v/*
         b1 send 204""",
     "a node that starts draining between parts: later ones go elsewhere, Complete answers once": f"""
-        {CREATE}{part(1, "hello")}
+        {CREATE_UPLOAD}{upload_part(1, "hello")}
         o send b1=draining
         wait 0.25
-        {part(2, "world", "b2")}{part(3, "again", "b2")}
+        {upload_part(2, "world", "b2")}{upload_part(3, "again", "b2")}
         b1 expect nothing
-        c send POST /v/big?uploadId={{up}} {parts((1, "hello"), (2, "world"), (3, "again"))}
+        c send POST /v/big?uploadId={{up}} {complete_body((1, "hello"), (2, "world"), (3, "again"))}
         c expect 200 body=*-3*""",
     "a part whose client pauses while its node drains goes elsewhere, held or passing through": f"""
-        {CREATE}
+        {CREATE_UPLOAD}
         c send PUT /v/big?partNumber=1&uploadId={{up}} Content-Length=5
         c2 send PUT /v/big?partNumber=2&uploadId={{up}} Content-Length=3000
         wait 0.1
@@ -615,13 +615,13 @@
         b1 expect PUT /v/* body=ab
         b1 send 200
         c expect 200""",
-    "parts on a node that is removed from the list do not count": f"""{CREATE}{part(1, "hello")}
+    "parts on a node that was removed do not count": f"""{CREATE_UPLOAD}{upload_part(1, "hello")}
         o send b1=gone
         wait 0.05
-        c send POST /v/big?uploadId={{up}} {parts((1, "hello"))}
+        c send POST /v/big?uploadId={{up}} {complete_body((1, "hello"))}
         c expect 400 body=*InvalidPart*
-        {part(1, "anew", "b2")}
-        c send POST /v/big?uploadId={{up}} {parts((1, "anew"))}
+        {upload_part(1, "anew", "b2")}
+        c send POST /v/big?uploadId={{up}} {complete_body((1, "anew"))}
         c expect 200""",
     "all nodes drain: SlowDown at once": """
         o send b1=draining b2=draining
@@ -636,7 +636,7 @@
         c expect 200 Content-Length=0 body=
         c send GET /v/empty Range=bytes=0-
         c expect 416""",
-    "a write with If-None-Match or If-Match takes the place of what it names only": f"""{PUT}
+    "a write with If-None-Match or If-Match takes the place of what it names only": f"""{PUT_LINES}
         c send PUT /v/a If-None-Match=* body=other
         c expect 412 body=*PreconditionFailed*
         c send PUT /v/a 'If-Match="0123"' body=other
@@ -677,7 +677,7 @@
         b1 expect PUT /v/* body=x
         b1 send 200
         c expect 200
-        c send POST /v/up?uploadId={{up}} {parts((1, "x"))}
+        c send POST /v/up?uploadId={{up}} {complete_body((1, "x"))}
         c expect 200
         c send HEAD /v/up
         c expect 200 Content-Disposition=inline x-amz-meta-desk=metro""",
@@ -813,12 +813,12 @@
             await stand.close()
 
 
-@pytest.mark.parametrize("script", PLATFORM.values(), ids=PLATFORM.keys())
+@pytest.mark.parametrize("script", PLATFORM_SCENARIOS.values(), ids=PLATFORM_SCENARIOS.keys())
 def test_platform(script: str, tmp_path: Path) -> None:
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-@pytest.mark.parametrize("answer", SURPLUS.values(), ids=SURPLUS.keys())
+@pytest.mark.parametrize("answer", RESPONSES_WITH_SURPLUS.values(), ids=RESPONSES_WITH_SURPLUS.keys())
 def test_a_response_with_surplus_bytes_is_served_and_its_connection_not_reused(
     answer: str, tmp_path: Path
 ) -> None:
@@ -836,7 +836,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-@pytest.mark.parametrize("stray", [GOOD_ANSWER, "x", r"\xff\r\n\r\n"])
+@pytest.mark.parametrize("stray", [VALID_RESPONSE, "x", r"\xff\r\n\r\n"])
 @pytest.mark.parametrize("wait", ["", "wait 0.05"], ids=["at once", "later"])
 def test_bytes_on_an_idle_connection_never_reach_a_client(stray: str, wait: str, tmp_path: Path) -> None:
     """A node sends something on an idle connection.
@@ -858,7 +858,7 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-@pytest.mark.parametrize("answer", SPOILT.values(), ids=SPOILT.keys())
+@pytest.mark.parametrize("answer", MALFORMED_RESPONSES.values(), ids=MALFORMED_RESPONSES.keys())
 def test_a_malformed_response_is_a_failed_attempt_that_may_have_run(answer: str, tmp_path: Path) -> None:
     """Guards against answers without bounds, and against passing on what no box made."""
     script = f"""
@@ -956,12 +956,12 @@
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-@pytest.mark.parametrize("script", RELOADS.values(), ids=RELOADS.keys())
+@pytest.mark.parametrize("script", RELOAD_SCENARIOS.values(), ids=RELOAD_SCENARIOS.keys())
 def test_reload(script: str, tmp_path: Path) -> None:
     asyncio.run(play(script, objects=False, folder=tmp_path))
 
 
-@pytest.mark.parametrize("script", OBJECTS.values(), ids=OBJECTS.keys())
+@pytest.mark.parametrize("script", OBJECT_SCENARIOS.values(), ids=OBJECT_SCENARIOS.keys())
 def test_objects(script: str, tmp_path: Path) -> None:
     asyncio.run(play(script, objects=True, folder=tmp_path))
 
@@ -973,7 +973,7 @@
 def test_a_silent_watch_is_abandoned(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Discovery goes silent on a watch. The watch is ended, and another one opened."""
     monkeypatch.setattr(endpoint_watch, "WATCH_SILENCE_S", 0.4)
-    script = f"""{WATCH}
+    script = f"""{WATCH_LINES}
         wait 0.3
         s send raw ''
         wait 0.3
@@ -992,7 +992,7 @@
         return line
 
     monkeypatch.setattr(NodeConnectionPool, "connect", slow)
-    script = f"""{WATCH}
+    script = f"""{WATCH_LINES}
         wait 0.3
         c send GET /api @0
         wait 0.05
