--- a/harriertide/http/client_connection.py
+++ b/harriertide/http/client_connection.py
@@ -22,7 +22,7 @@
 REQUEST_TIMEOUT_S = 2.4
 # Maximum input discarded while a connection lingers. Further input is left unread, so that a flood does not
 # take processor time from other clients.
-LINGER_BYTES = 256 * 1024
+MAX_LINGER_BYTES = 256 * 1024
 
 ConnectionState = Literal["silent", "reading", "busy", "idle", "lingering"]  # parts of counter names
 
@@ -95,9 +95,9 @@
             self.drop()
 
     def discard(self, data: bytes) -> None:
-        """Count discarded input, and stop reading beyond LINGER_BYTES."""
+        """Count discarded input, and stop reading beyond MAX_LINGER_BYTES."""
         self.discarded += len(data)
-        if self.discarded > LINGER_BYTES and self.transport is not None:
+        if self.discarded > MAX_LINGER_BYTES and self.transport is not None:
             self.transport.pause_reading()
 
     def drop(self) -> None:
--- a/harriertide/http/client_server.py
+++ b/harriertide/http/client_server.py
@@ -14,7 +14,7 @@
 
 MAX_BODY_BYTES = 64 * 1024  # of a request, unless the caller sets another limit
 MAX_START_LINE_BYTES = 16_384  # of a request
-BODY_LINGER_S = 1.0  # time to read and discard an unread request body after the response
+BODY_LINGER_S = 1.0  # time to discard an unread request body, for servers that accept large bodies
 
 # The transport of the request being handled, for calls made on behalf of its client.
 CLIENT_TRANSPORT: ContextVar[asyncio.BaseTransport | None] = ContextVar(
--- a/harriertide/http/listener.py
+++ b/harriertide/http/listener.py
@@ -6,10 +6,10 @@
 import socket
 from collections.abc import Callable
 
-ACCEPTS_PER_TURN = 4  # per iteration of the event loop; further connections wait in the kernel's queue
-ACCEPT_REPORT_TURN_COUNT = 3  # iterations between the accept of a connection and connection_made()
+ACCEPTS_PER_ITERATION = 4  # per iteration of the event loop; further connections wait in the kernel's queue
+ACCEPT_REPORT_ITERATION_COUNT = 3  # iterations between the accept of a connection and connection_made()
 # Maximum number of accepted connections that the connection table does not know of yet.
-UNREPORTED_ACCEPT_COUNT = ACCEPTS_PER_TURN * ACCEPT_REPORT_TURN_COUNT
+UNREPORTED_ACCEPT_COUNT = ACCEPTS_PER_ITERATION * ACCEPT_REPORT_ITERATION_COUNT
 LISTEN_BACKLOG = 512  # connections waiting to be accepted; large enough for many clients connecting at once
 
 Address = tuple[str, int]
@@ -20,7 +20,7 @@
 
 
 class _ListeningSocket(socket.socket):
-    """A listening socket that keeps its backlog when the event loop calls listen() with ACCEPTS_PER_TURN."""
+    """A listening socket that ignores the smaller backlog (ACCEPTS_PER_ITERATION) of the event loop."""
 
     def listen(self, backlog: int = 0, /) -> None:
         """Keep the backlog: shortening it even briefly would refuse connections."""
@@ -75,7 +75,7 @@
 async def listen(
     address: Address | socket.socket, protocol_factory: Callable[[], asyncio.BaseProtocol]
 ) -> asyncio.Server:
-    """Start a server that accepts at most ACCEPTS_PER_TURN connections per iteration of the event loop.
+    """Start a server that accepts at most ACCEPTS_PER_ITERATION connections per iteration of the event loop.
 
     Otherwise many clients that connect at once could use up all descriptors before a connection is evicted.
 
@@ -86,7 +86,7 @@
     listening_socket = _ListeningSocket(fileno=sock.detach())
     try:
         return await asyncio.get_running_loop().create_server(
-            protocol_factory, sock=listening_socket, backlog=ACCEPTS_PER_TURN
+            protocol_factory, sock=listening_socket, backlog=ACCEPTS_PER_ITERATION
         )
     except BaseException:
         listening_socket.close()
--- a/harriertide/http/response_framing.py
+++ b/harriertide/http/response_framing.py
@@ -17,7 +17,7 @@
 class ResponsePhase(Enum):
     """The phase of receiving a response."""
 
-    IDLE = 0  # no request was sent
+    IDLE = 0  # no request is in progress
     HEAD = 1
     SIZED_BODY = 2  # the head states its length
     UNSIZED_BODY = 3  # chunked, or up to the end of the connection
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -150,7 +150,7 @@
         elif actor in self.stubs:
             if verb == "made":
                 assert self.stubs[actor].connection_count == int(words[0]), (
-                    f"{self.stubs[actor].connection_count} connections were opened"
+                    f"connections opened: {self.stubs[actor].connection_count}"
                 )
                 return
             if verb == "head":
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -75,7 +75,7 @@
 def test_a_flood_after_the_final_response_is_read_up_to_a_limit() -> None:
     """A client keeps sending after its last response.
 
-    The input is discarded up to LINGER_BYTES and then left unread, so that it does not delay other clients.
+    The input is discarded up to MAX_LINGER_BYTES, then left unread so that it does not delay other clients.
     """
 
     async def scenario(broker: SocketBroker) -> None:
@@ -88,9 +88,9 @@
                 for _ in range(1000):
                     await loop.sock_sendall(client, FLOOD)
         assert (
-            client_connection.LINGER_BYTES
+            client_connection.MAX_LINGER_BYTES
             < server_connection.discarded
-            <= client_connection.LINGER_BYTES + 262_144
+            <= client_connection.MAX_LINGER_BYTES + 262_144
         )
         assert len(broker.daemon.clients) == 0
         client.close()
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -31,7 +31,7 @@
     "another response without a body": SHORT_RESPONSE + RESPONSE_HEAD + b"Content-Length: 0\r\n\r\n",
     "a part of a head": SHORT_RESPONSE + b"HTTP/1.1 2",
     "an incomplete head with a field": SHORT_RESPONSE + b"HTTP/1.1 200 OK\r\nX-Long: 1\r\n",
-    "noise": SHORT_RESPONSE + b"\xff\r\n\r\n",
+    "garbage": SHORT_RESPONSE + b"\xff\r\n\r\n",
 }
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -106,7 +106,7 @@
     assert sum("next" in line for line in lines) == 3 and "next" in lines[-1]
 
 
-def test_hash_seeds_change_nothing() -> None:
+def test_the_output_does_not_depend_on_the_hash_seed() -> None:
     """The simulator compares runs byte for byte, so the output must not depend on set or dict order."""
     demands = [
         {"demand": {**DEMAND["demand"], "req": f"q{number}", "owner": f"v{number % 5}"}}
@@ -163,7 +163,7 @@
     )
 
 
-def test_a_killed_instance_is_forgotten() -> None:
+def test_a_killed_instance_gets_no_actions() -> None:
     """If an instance is killed in a batch that has events for it, the reply has no actions for it."""
     result = run(
         *OPENING_LINES, {"batch": {"clockUs": 5_002_000}}, DEMAND, {"down": {"who": INSTANCE}}, {"eob": {}}
