--- a/harriertide/http/node_connection.py
+++ b/harriertide/http/node_connection.py
@@ -223,7 +223,7 @@
     def _feed_unsized_body(self, data: bytes) -> None:
         self._remaining_bytes -= len(data)
         if self._remaining_bytes < 0 or (self._is_buffered and not self._reserve_memory(len(data))):
-            self._fail(MalformedResponseError("response body exceeds its size limit"))
+            self._fail(MalformedResponseError("response body exceeds its size or memory limit"))
             return
         self._body_tail = (self._body_tail + data[-len(END_OF_CHUNKS) :])[-len(END_OF_CHUNKS) :]
         super().data_received(data)
@@ -284,7 +284,7 @@
             self._remaining_bytes = length
             self._phase = ResponsePhase.SIZED_BODY if length else ResponsePhase.COMPLETE
             if length > self._max_body_bytes or (self._is_buffered and not self._reserve_memory(length)):
-                self._fail(MalformedResponseError("response body exceeds its size limit"))
+                self._fail(MalformedResponseError("response body exceeds its size or memory limit"))
         elif message.code in BODILESS_STATUSES:
             self._phase = ResponsePhase.COMPLETE
         elif message.chunked or closes_connection(message):
