--- a/harriertide/decide/handover/records.py
+++ b/harriertide/decide/handover/records.py
@@ -23,7 +23,7 @@
         "request_number": "number",
         "min_useful_units": "least",
         "is_short": "short",
-        "unanswered": "misses",
+        "unanswered_count": "misses",
         "requested_at_us": "asked_us",
         "retry_at_us": "again_us",
         "used_units": "used",
@@ -37,7 +37,7 @@
     wanted: int
     min_useful_units: float
     is_short: bool
-    unanswered: int
+    unanswered_count: int
     requested_at_us: int
     retry_at_us: int
     used_units: int
--- a/harriertide/decide/quota_grants.py
+++ b/harriertide/decide/quota_grants.py
@@ -1,4 +1,7 @@
-"""What the holder of a plan's limit grants to other brokers: one shared bucket for each volume. Pure."""
+"""The shared token buckets of volumes, from which a lease holder grants units of the rate limit to brokers.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,8 @@
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US, REQUEST_NUMBER_COUNT, UNIT_COUNTER_COUNT
 from harriertide.decide.units import SECOND_US
 
-# Units that were granted and not sent come back with the next request of that broker, but not after so long:
-# it has restarted, or asks elsewhere.
+# A broker's next request returns the granted units that it has not sent, up to this time after the grant. A
+# broker that does not ask for so long has restarted or asks another holder.
 RECLAIM_US = 4_000_000
 
 
@@ -19,8 +22,8 @@
 class QuotaDemand:
     """A broker's request for units of a volume.
 
-    used_units: what it has sent in all so far, modulo UNIT_COUNTER_COUNT. epoch: of its start. number: of the
-    request, modulo REQUEST_NUMBER_COUNT.
+    used_units: units that the broker has sent for the volume since it started, modulo UNIT_COUNTER_COUNT.
+    epoch: identifies the broker's start. number: of the request, modulo REQUEST_NUMBER_COUNT.
     """
 
     wanted_units: int
@@ -39,37 +42,38 @@
     granted_at_us: int
 
     def is_reclaimable(self, now_us: int) -> bool:
-        """Whether what was not sent of it may still come back."""
+        """Whether units of the grant that were not sent may still be returned."""
         return now_us <= self.granted_at_us + RECLAIM_US
 
     def is_followed_by(self, number: int) -> bool:
-        """Whether a request of that number was made after it; else it came twice, or late."""
+        """Whether a request of that number is newer than the grant's; if not, it is a duplicate or late."""
         return 0 < (number - self.number) % REQUEST_NUMBER_COUNT < REQUEST_NUMBER_COUNT // 2
 
     def unsent_units(self, used_units: int) -> int:
-        """What the broker has not sent of it, as its count of units tells."""
+        """Return the grant's units that the broker has not sent, by its counter of sent units."""
         return max(0, self.granted_units - (used_units - self.used_units_before) % UNIT_COUNTER_COUNT)
 
 
 @dataclass(slots=True)
 class SharedTokenBucket:
-    """A volume's bucket at its holder. lease_since_us: the lease under which it was begun."""
+    """A volume's token bucket at the lease holder. lease_since_us: the start of that lease."""
 
     lease_since_us: int
     units: float
     refilled_at_us: int
     requested_at_us: int = 0
-    grants: dict[int, Grant] = field(default_factory=dict)  # the last one of each broker
+    grants: dict[int, Grant] = field(default_factory=dict)  # by broker, its last grant
 
     def outstanding_units(self, now_us: int) -> int:
-        """Units that are granted and may come back."""
+        """Return the granted units that may still be returned."""
         return sum(grant.granted_units for grant in self.grants.values() if grant.is_reclaimable(now_us))
 
     def refill(self, now_us: int, rate: float, capacity: float) -> None:
-        """Add what has accrued.
+        """Add the units that have accrued since the last call.
 
-        Invariant: bucket and outstanding units hold no more than a bucket that is filled up to its capacity
-        and gives each unit as it is sent. Guards against filling up in place of what comes back later.
+        Invariant: the bucket and the outstanding units together hold no more than an ideal bucket of the same
+        capacity that gives up each unit when the unit is sent. Otherwise the bucket would fill up in place of
+        units that are returned later, and both could be sent at once.
         """
         accrued = rate * max(0, now_us - self.refilled_at_us) / SECOND_US
         self.units = min(capacity - self.outstanding_units(now_us), self.units + accrued)
@@ -77,33 +81,33 @@
 
 
 class QuotaGrants:
-    """The buckets of the volumes whose slots this broker holds."""
+    """The token buckets of the volumes whose slots this broker holds."""
 
     def __init__(self, leases: Leases) -> None:
         self._leases = leases
-        self.buckets: dict[int, SharedTokenBucket] = {}  # by volume, the longest without a request first
+        self.buckets: dict[int, SharedTokenBucket] = {}  # by volume key, the least recently requested first
 
     def grant(
         self, now_us: int, broker: int, volume_key: int, demand: QuotaDemand, rate: float, capacity: float
     ) -> int | None:
-        """Units for a broker's requests of a volume.
+        """Grant units to a broker for its requests of a volume.
 
-        What was granted to it before and not sent is void, as a new request gives that up, and goes back.
+        With a new request the broker gives up the unsent units of its last grant; they return to the bucket.
 
-        :param rate: units a second of the volume's plan
-        :param capacity: the most units that may be sent at once
-        :returns: units granted; None if no answer is due
+        :param rate: rate limit of the volume's plan, in units a second
+        :param capacity: burst limit of the volume's plan, in units
+        :returns: the units granted; None if the request gets no answer
         """
         slot = self._leases.slot_of(volume_key)
         if not self._leases.is_holder(slot, now_us):
             return None
         bucket = self._bucket(volume_key, self._leases.slots[slot].held_since_us)
         bucket.requested_at_us = now_us
-        last = bucket.grants.get(broker)
-        if last is not None and last.epoch == demand.epoch and last.is_reclaimable(now_us):
-            if not last.is_followed_by(demand.number):
-                return None  # after RECLAIM_US any number may be new, as many requests went elsewhere
-            bucket.units += last.unsent_units(demand.used_units)
+        last_grant = bucket.grants.get(broker)
+        if last_grant is not None and last_grant.epoch == demand.epoch and last_grant.is_reclaimable(now_us):
+            if not last_grant.is_followed_by(demand.number):
+                return None  # after RECLAIM_US any number may be new, as other brokers may have been asked
+            bucket.units += last_grant.unsent_units(demand.used_units)
             del bucket.grants[broker]
         bucket.refill(now_us, rate, capacity)
         granted = max(0, min(demand.wanted_units, int(bucket.units)))
@@ -112,10 +116,11 @@
         return granted
 
     def _bucket(self, volume_key: int, lease_since_us: int) -> SharedTokenBucket:
-        """The volume's bucket, last in order of requests; a new one under a new lease.
+        """Return the volume's bucket as the most recently requested one; a new lease starts with a new
+        bucket.
 
-        What another holder granted just before is not known: until that is sent or void, a new bucket is
-        empty.
+        The grants of the previous holder are not known, so a new bucket stays empty until they are spent or
+        have expired.
         """
         bucket = self.buckets.pop(volume_key, None)
         if bucket is None or bucket.lease_since_us != lease_since_us:
@@ -124,5 +129,5 @@
         return bucket
 
     def forget(self, before_us: int) -> None:
-        """Forget buckets that nobody asked of since then: they are full again."""
+        """Remove buckets without a request since before_us: they are full again."""
         expire_oldest(self.buckets, lambda bucket: bucket.requested_at_us < before_us)
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -1,8 +1,9 @@
-"""Where a plan's limit is held, and how long a request waits for it.
+"""Enforcement of the plans' rate limits, and how long a request waits for its plan's rate limit.
 
-A limit holds for all brokers together. Where a volume comes through this broker alone, or brokers cannot tell
-each other anything, its bucket is here, with an even part of the limit; else the holder of the volume's slot
-(leases) has the bucket and grants units of it (quota_grants), which are spent here (quota_credit).
+A rate limit covers a volume's requests at all brokers together. If only this broker serves the volume, or
+brokers do not exchange messages, this broker keeps the volume's token bucket with an even part of the limit.
+Otherwise the holder of the volume's slot (leases) keeps the bucket and grants units from it (quota_grants),
+and this broker spends them as credit (quota_credit).
 """
 
 from __future__ import annotations
@@ -21,25 +22,26 @@
 from harriertide.decide.token_bucket import TokenBucket
 from harriertide.decide.units import SECOND_US
 
-# Even parts of a volume's quota that each of its brokers counts on: the busiest one uses more than one part.
+# Even parts of a volume's quota that each of its brokers may use: the busiest broker needs more than one
+# part.
 LOCAL_QUOTA_FACTOR = 2.0
-# Between requests for units that nobody answers: two trips of a message, mostly.
+# Time until an unanswered request for units is repeated; usually enough for a message and its answer.
 QUOTA_RETRY_US = 45_000
-# A request waits for its plan's limit up to this part of its latency objective: what waits longer comes late,
-# and holds up the next.
-LIMIT_WAIT_OBJECTIVE_RATIO = 0.5
-# A wait longer than any latency objective: a client's retry may not wait for a bucket that is short, as its
-# units are left to requests that come for the first time.
-NEVER_IN_TIME_US = 60 * SECOND_US
+# A request waits for its plan's rate limit for at most this part of its latency objective. After a longer
+# wait its answer would be late, and the request would delay the requests behind it.
+MAX_WAIT_OBJECTIVE_RATIO = 0.5
+# A wait longer than any latency objective. A client's retry does not wait for units that are short, because
+# first requests have priority for them.
+EXCESSIVE_WAIT_US = 60 * SECOND_US
 
 
 class RateLimits:
-    """The volumes in use, their buckets, and this broker's part in the leases of plan limits."""
+    """The volumes in use, their token buckets, and this broker's part in the leases of rate limits."""
 
     def __init__(self, context: DecisionContext, exchange: PeerExchange) -> None:
         self._context = context
         self._exchange = exchange
-        self.volumes: dict[int, VolumeState] = {}  # by key, the longest unused first
+        self.volumes: dict[int, VolumeState] = {}  # by key, least recently used first
         self.leases: Leases | None = None
         self.grants: QuotaGrants | None = None
         exchange.register(LeaseVoteRequest, self._on_vote_request)
@@ -50,7 +52,7 @@
     # --- settings and time ---------------------------------------------------------------------------
 
     def apply_settings(self) -> None:
-        """Take part in leases, if brokers share limits, from this broker's start on."""
+        """Take part in leases once this broker has started, if the brokers share rate limits."""
         context = self._context
         has_limits = any(plan.rate_limit > 0 for plan in context.settings.plans)
         if context.derived.is_standalone or not has_limits:
@@ -62,23 +64,26 @@
             context.timers.schedule(context.now_us, LeaseTimer(self.leases))
 
     def reset(self) -> None:
-        """The fleet of brokers has changed: no lease holds, and what was sent of the limits is not known."""
+        """Drop leases and credits and empty the rate limits' buckets.
+
+        Called when the set of brokers has changed: what other brokers have sent before is unknown.
+        """
         self.leases = self.grants = None
         for volume in self.volumes.values():
             volume.rate_limit_bucket = TokenBucket(0.0, self._context.now_us)
             volume.credit = QuotaCredit()
 
     def on_lease_timer(self, timer: LeaseTimer) -> None:
-        """Ask for votes, and again after a while."""
+        """Request votes and schedule the next request for votes."""
         context = self._context
         if timer.leases is not self.leases:
-            return  # of leases that the settings have ended
+            return  # a settings change has ended the leases of this timer
         for vote in timer.leases.request_votes(context.now_us):
             self._exchange.send(vote.broker, LeaseVoteRequest(vote.slot, vote.number))
         context.timers.schedule(context.now_us + VOTE_INTERVAL_US, timer)
 
     def forget_idle(self) -> None:
-        """Forget volumes that were not used for so long that all their buckets are full again."""
+        """Remove volumes that have been idle for so long that all their buckets are full again."""
         now_us, retention_us = self._context.now_us, self._context.derived.volume_retention_us
         if self.grants is not None:
             self.grants.forget(now_us - retention_us)
@@ -87,13 +92,13 @@
     # --- volumes -------------------------------------------------------------------------------------
 
     def use_volume(self, arrival: api.Arrival) -> VolumeState:
-        """The volume of a request that has come, which counts as used now."""
+        """Return the volume of an arriving request, and mark it as used now."""
         context = self._context
         key = crc32(arrival.volume.encode())
         volume = self.volumes.get(key)
         if volume is None:
             reserved = TokenBucket(context.settings.max_request_units, context.now_us)
-            # the limit's bucket starts as just spent: this broker may have restarted
+            # the rate limit's bucket starts empty, as this broker may have spent its units before a restart
             limit = TokenBucket(0.0, context.started_at_us)
             local_ratio = min(1.0, LOCAL_QUOTA_FACTOR / max(1, arrival.sharing_broker_count))
             volume = VolumeState(key, local_ratio, reserved, limit)
@@ -101,7 +106,7 @@
         return volume
 
     def add_volume(self, volume: VolumeState) -> None:
-        """Keep a volume, as used now and therefore the last in order."""
+        """Add a volume as the most recently used one, or move a known volume to that place."""
         self.volumes.pop(volume.key, None)
         self.volumes[volume.key] = volume
         volume.used_at_us = self._context.now_us
@@ -109,10 +114,10 @@
     # --- requests ------------------------------------------------------------------------------------
 
     def request_wait_us(self, request: RequestState) -> int:
-        """How long a request has to wait for its plan's limit; 0: not at all.
+        """Return how long a request has to wait for its plan's rate limit; 0: it may be sent now.
 
-        Asks the holder of the limit for units where they are due. Only a request's first attempt counts in
-        the limit; a client's retry is a request of its own and counts like any other.
+        Asks the lease holder for units if needed. Only a request's first attempt counts against the rate
+        limit; a client's retry is a separate request and counts like any other.
         """
         plan = self._context.settings.plans[request.arrival.plan]
         if plan.rate_limit <= 0 or request.attempt_count:
@@ -123,23 +128,27 @@
         return self._shared_wait_us(request, plan, leases)
 
     def is_wait_too_long(self, request: RequestState, wait_us: int) -> bool:
-        """Whether a request that waits so long from now on would come late."""
-        longest_us = LIMIT_WAIT_OBJECTIVE_RATIO * request.request_class.latency_objective_us
+        """Whether the request would exceed its longest allowed wait if it waited for wait_us from now on."""
+        longest_us = MAX_WAIT_OBJECTIVE_RATIO * request.request_class.latency_objective_us
         return self._context.now_us + wait_us > request.arrived_at_us + longest_us
 
     def _local_wait_us(self, request: RequestState, plan: api.Plan) -> int:
-        """Of a bucket here, with an even part of the limit."""
+        """Return the wait for a bucket at this broker, which has an even part of the rate limit."""
         arrival = request.arrival
         rate = plan.rate_limit / arrival.sharing_broker_count
         capacity = plan.burst_limit_units / arrival.sharing_broker_count
         available = request.volume.rate_limit_bucket.refill(self._context.now_us, rate, capacity)
-        lacking = arrival.units - available
-        if lacking <= 0:
+        missing_units = arrival.units - available
+        if missing_units <= 0:
             return 0
-        return NEVER_IN_TIME_US if arrival.is_retry else 1 + int(lacking / rate * SECOND_US)
+        return EXCESSIVE_WAIT_US if arrival.is_retry else 1 + int(missing_units / rate * SECOND_US)
 
     def _shared_wait_us(self, request: RequestState, plan: api.Plan, leases: Leases) -> int:
-        """Of the holder's bucket: the credit that it granted, or the time until it is asked again."""
+        """Return the wait for the lease holder's bucket.
+
+        It is 0 if this broker's credit covers the request, and otherwise lasts at least until the next
+        request for units.
+        """
         now_us, arrival, volume = self._context.now_us, request.arrival, request.volume
         credit = volume.credit
         if credit.covers(now_us, arrival.units):
@@ -150,24 +159,30 @@
         if now_us >= credit.retry_at_us:
             self._request_credit(request, plan, leases, waiting_units)
         if credit.covers(now_us, arrival.units):
-            return 0  # this broker is the holder itself
+            return 0  # this broker holds the lease, so its own request was answered at once
         if not credit.is_short:
             return max(1, credit.retry_at_us - now_us)
-        # where the bucket is short, requests that come for the first time have priority
+        # while units are short, first requests have priority over clients' retries
         refill_us = (
-            NEVER_IN_TIME_US if arrival.is_retry else int(sum(waiting_units) / plan.rate_limit * SECOND_US)
+            EXCESSIVE_WAIT_US if arrival.is_retry else int(sum(waiting_units) / plan.rate_limit * SECOND_US)
         )
         return max(1, credit.retry_at_us - now_us, refill_us)
 
     def _request_credit(
         self, request: RequestState, plan: api.Plan, leases: Leases, waiting_units: list[float]
     ) -> None:
-        """Ask the holder for what waits here; a busy volume's broker also for what comes meanwhile."""
+        """Ask the lease holder for the units of the waiting requests.
+
+        If the last grant was smaller than requested, the broker also asks for the units of requests that it
+        expects to arrive in the meantime.
+        """
         now_us, volume = self._context.now_us, request.volume
         credit = volume.credit
-        expected = 2 * plan.rate_limit * CREDIT_LIFETIME_US / SECOND_US if credit.is_short else 0.0
-        holder = leases.presumed_holder(leases.slot_of(volume.key), now_us, credit.unanswered)
-        credit.request(now_us, sum(waiting_units) + expected, min(waiting_units), now_us + QUOTA_RETRY_US)
+        expected_units = 2 * plan.rate_limit * CREDIT_LIFETIME_US / SECOND_US if credit.is_short else 0.0
+        holder = leases.presumed_holder(leases.slot_of(volume.key), now_us, credit.unanswered_count)
+        credit.request(
+            now_us, sum(waiting_units) + expected_units, min(waiting_units), now_us + QUOTA_RETRY_US
+        )
         message = QuotaRequest(
             volume_key=volume.key,
             plan=request.arrival.plan,
@@ -179,7 +194,7 @@
         self._exchange.send(holder, message)
 
     def charge(self, request: RequestState) -> None:
-        """A request's first attempt is sent: take its units."""
+        """Take the units of a request whose first attempt is sent."""
         arrival, volume = request.arrival, request.volume
         if request.attempt_count or self._context.settings.plans[arrival.plan].rate_limit <= 0:
             return
@@ -199,13 +214,13 @@
             self.leases.count_vote(self._context.now_us, broker, vote.slot, vote.number)
 
     def _on_quota_request(self, broker: int, request: QuotaRequest) -> None:
-        """As the holder of a volume's limit, grant units."""
+        """As the lease holder of a volume's slot, grant units of its rate limit."""
         plans = self._context.settings.plans
         if self.grants is None or request.plan >= len(plans) or plans[request.plan].rate_limit <= 0:
             return
         plan = plans[request.plan]
         demand = QuotaDemand(request.wanted_units, request.used_units, request.epoch, request.number)
-        granted = self.grants.grant(
+        granted_units = self.grants.grant(
             self._context.now_us,
             broker,
             request.volume_key,
@@ -213,11 +228,11 @@
             plan.rate_limit,
             plan.burst_limit_units,
         )
-        if granted is not None:
-            self._exchange.send(broker, QuotaGrant(request.volume_key, request.number, granted))
+        if granted_units is not None:
+            self._exchange.send(broker, QuotaGrant(request.volume_key, request.number, granted_units))
 
     def _on_quota_grant(self, broker: int, grant: QuotaGrant) -> None:
-        """Units have come: the requests that wait for them may be able to leave."""
+        """Credit the granted units, and check the requests that wait for them again."""
         context = self._context
         volume = self.volumes.get(grant.volume_key)
         if volume is None or not volume.waiting:
