--- a/harriertide/decide/api/__init__.py
+++ b/harriertide/decide/api/__init__.py
@@ -1,8 +1,9 @@
-"""The interface of the decision module: settings, events that go in, actions that come out.
+"""The interface of the decision module: its settings, the events that it receives and the actions it returns.
 
-Times are whole microseconds of one clock that only advances; a field `..._at_us` is a point in time, `..._us`
-a duration. Units are what requests cost, as the deployment counts them. Volumes, keys, nodes and requests are
-opaque strings; shards, brokers, classes and plans are numbers from 0. Nothing here decides anything.
+Times are whole microseconds of one monotonic clock; a field `..._at_us` is a point in time, `..._us` a
+duration. The cost of a request is counted in units, which the deployment defines. Volumes, keys, nodes and
+requests are opaque strings; shards, brokers, classes and plans are numbered from 0. This package holds data
+types only.
 """
 
 from harriertide.decide.api.actions import (
--- a/harriertide/decide/api/actions.py
+++ b/harriertide/decide/api/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decision module asks its caller to do."""
+"""Actions that the decision module requests from its caller."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send a request to a node; the attempt ends at stop_at_us at the latest."""
+    """Send a request to a node; the attempt must end by stop_at_us."""
 
     request_id: str
     node_id: str
@@ -17,16 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Wait for an attempt no longer. Its outcome follows: cancelled, or what was on its way."""
+    """Cancel an attempt. An AttemptFinished still follows: cancelled, or an outcome already under way."""
 
     request_id: str
     attempt: int
 
 
-# Why a request is given up: no node of its shard takes requests; its shard is overloaded and it is among
-# those that are thinned out; its queue is too long; an answer could not be in time; its plan's limit; its
-# last moment has come; it may not be attempted again (its own rules, its deduplication window, the retry
-# budget); its node does not hold the shard; its nodes have left.
+# Why a request is given up. no_node: no node of its shard takes requests, or its nodes have left. overload:
+# its shard is overloaded and the request was not admitted. queue_full: its queue is too long. too_late: an
+# answer would come too late. rate_limit: its plan's rate limit is used up. deadline: its deadline has come.
+# not_repeatable, deduplication_over, retry_budget: it may not be attempted again because of its class, its
+# deduplication window or the retry budget. wrong_shard: its node does not hold the shard.
 GiveUpReason: TypeAlias = Literal[
     "no_node",
     "overload",
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: trying again is harmless. retry_after_us 0: the client is not told when."""
+    """Final answer: the client may safely retry. retry_after_us 0: no retry time is suggested."""
 
     request_id: str
     retry_after_us: int = 0
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer without a promise: the request may have run."""
+    """Final answer: the request has failed and may have run."""
 
     request_id: str
     reason: GiveUpReason | None = None
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired event after a while."""
+    """Request a TimerFired event with this token after after_us."""
 
     after_us: int
     token: int
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask for the endpoint list, and for its changes from there on."""
+    """Request the endpoint list and all its later changes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,14 +82,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartProbe:
-    """Ask a node, beside all requests, whether it lives; one ProbeFinished follows."""
+    """Check whether a node is alive, independently of requests; one ProbeFinished follows."""
 
     node_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the engineer on call: a decision and its reason."""
+    """Write a decision and its reason to the log, for the engineer on call."""
 
     text: str
 
--- a/harriertide/decide/api/events.py
+++ b/harriertide/decide/api/events.py
@@ -1,4 +1,4 @@
-"""Events: what has happened, as the decision module is told of it."""
+"""Events that the decision module receives from its caller."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 class NodeEntry:
     """One node of the endpoint list.
 
-    :ivar shard: the shard that it serves
-    :ivar state: gets requests; gets no new ones; has left
-    :ivar started_us: when it has started; 0: long ago
+    :ivar shard: the shard that the node serves
+    :ivar state: live: the node takes requests; draining: it takes no new ones; gone: it has left
+    :ivar started_us: when the node started; 0: long ago
     """
 
     node_id: str
@@ -26,9 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """News of the endpoint list.
+    """An update of the endpoint list, or a failed attempt to get one.
 
-    :ivar kind: changes; the complete list; the complete list as it was kept from before; a call that failed
+    :ivar kind: delta: changes; full: the complete list; cached: a complete list from the local cache; failed:
+        the call to discovery failed
     """
 
     kind: Literal["delta", "full", "cached", "failed"]
@@ -37,16 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that this broker has taken.
-
-    :ivar request_class, plan: their numbers in the settings
-    :ivar volume: whose quota and limit it counts in
-    :ivar shard: that it has to go to; -1: a new object, any node may take it
-    :ivar deadline_at_us: its client waits until then
-    :ivar units: what it costs
-    :ivar key: of its object; requests of ordered classes run in turn by it
-    :ivar sharing_broker_count: the brokers through which the volume's requests come
-    :ivar is_retry: its client has asked for the same before
+    """A request that this broker has accepted.
+
+    :ivar request_class, plan: numbers of the class and the plan in the settings
+    :ivar volume: the volume whose quota and rate limit the request counts against
+    :ivar shard: the shard that holds the object; -1: a new object, which any node may take
+    :ivar deadline_at_us: the client stops waiting at this time
+    :ivar units: cost of the request
+    :ivar key: key of the object; requests of ordered classes with the same key run one after the other
+    :ivar sharing_broker_count: number of brokers that receive requests of the volume
+    :ivar is_retry: the client has sent the same request before
     """
 
     request_id: str
@@ -63,22 +64,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The response of a streamed request goes to its client: no other attempt may follow."""
+    """A streamed response has started to reach its client, so no other attempt may follow."""
 
     request_id: str
     attempt: int
 
 
-# ok: served. error: the node has failed. rejected: the node takes no more just now. timeout, connect_failed,
-# reset: the connection's end. cancelled: by this broker. not_sent: nothing was sent, or the node says that
-# the request is over or not its own; another attempt there would not help. withheld: nothing was sent, for a
-# reason that says nothing about the node; another attempt may help.
+# ok: the node served the request. error: the node failed to serve it. rejected: the node takes no more
+# requests at present. timeout, connect_failed, reset: the connection ended so. cancelled: by this broker.
+# not_sent: nothing was sent, or the node says that the request has expired or belongs to another node;
+# another attempt there would not help. withheld: nothing was sent, for a reason that does not concern the
+# node; another attempt may help.
 OutcomeKind: TypeAlias = Literal[
     "ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "withheld"
 ]
-# The node has shown no sign of life.
+# Outcomes in which the node did not respond.
 UNRESPONSIVE_OUTCOMES: frozenset[OutcomeKind] = frozenset({"timeout", "connect_failed", "reset"})
-# Proof that the attempt had no effect.
+# Outcomes that prove that the attempt had no effect.
 NOT_EXECUTED_OUTCOMES: frozenset[OutcomeKind] = frozenset(
     {"rejected", "connect_failed", "not_sent", "withheld"}
 )
@@ -88,8 +90,8 @@
 class AttemptFinished:
     """How an attempt ended.
 
-    :ivar latency_us: from when it was sent
-    :ivar is_final: its request has its final answer
+    :ivar latency_us: time since the attempt was sent
+    :ivar is_final: the request has its final answer
     """
 
     request_id: str
@@ -102,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeFinished:
-    """How a probe of a node ended; ok: it lives."""
+    """How a probe of a node ended; ok: the node is alive."""
 
     node_id: str
     kind: OutcomeKind
@@ -110,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request has gone; no answer is owed any more."""
+    """The client of a request has disconnected; the request needs no answer."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set with SetTimer has run out."""
+    """A timer set with SetTimer has expired."""
 
     token: int
 
@@ -132,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings for a running broker: figures of plans and classes, shards, limits."""
+    """New settings for a running broker, such as values of plans and classes, shards or limits."""
 
     settings: Settings
 
--- a/harriertide/decide/api/settings.py
+++ b/harriertide/decide/api/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one broker: request classes, plans and limits. Figures out of their range are refused."""
+"""Settings of one broker: request classes, plans and limits. Values out of range are refused."""
 
 from __future__ import annotations
 
@@ -6,41 +6,42 @@
 from math import isfinite
 from typing import Literal, TypeAlias
 
-# In place of a limit that must be above 0: no request fits in.
+# Stands for 0 where a limit must be above 0: no request fits within it.
 EXHAUSTED_UNITS = 1e-6
 
 Idempotency: TypeAlias = Literal["idempotent", "keyed", "non_idempotent"]
 DeduplicationScope: TypeAlias = Literal["all", "zone", "shard"]
 
 
-def _require(holds: bool, field: str, rule: str) -> None:
-    if not holds:
+def _require(is_valid: bool, field: str, rule: str) -> None:
+    if not is_valid:
         raise ValueError(f"{field}: {rule}")
 
 
-def _require_at_least(owner: object, least: float, *fields: str) -> None:
+def _require_at_least(owner: object, minimum: float, *fields: str) -> None:
     for field in fields:
         value = getattr(owner, field)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
-        holds = is_number and isfinite(value) and value >= least
-        _require(holds, field, f"must be a number of at least {least}")
+        is_valid = is_number and isfinite(value) and value >= minimum
+        _require(is_valid, field, f"must be a number of at least {minimum}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: how soon an answer is wanted, how important it is, whether it may run again.
-
-    :ivar latency_objective_us: an answer after that is late
-    :ivar deadline_us: a client waits no longer than that
-    :ivar priority_weight: importance of an answer in time, against other classes
-    :ivar late_priority_weight: importance of a late answer, as a part of that
-    :ivar idempotency: may run again at any time; may run again where nodes recognize its key; may not
-    :ivar deduplication_scope: the nodes that recognize the key of a request that one of them has had: all,
-        those of its zone, or those of its shard
-    :ivar deduplication_window_us: how long they do, from when the first attempt was sent
+    """A class of requests: its latency objective, its priority, and whether its requests may run again.
+
+    :ivar latency_objective_us: an answer that takes longer is late
+    :ivar deadline_us: longest time that a client waits for an answer
+    :ivar priority_weight: importance of an answer in time, relative to other classes
+    :ivar late_priority_weight: importance of a late answer, as a part of priority_weight
+    :ivar idempotency: idempotent: a request may run again at any time; keyed: only at nodes that recognize
+        its key; non_idempotent: never
+    :ivar deduplication_scope: the nodes that recognize the key of a request that one of them has received:
+        all, those of its zone, or those of its shard
+    :ivar deduplication_window_us: how long the nodes recognize the key, from the sending of the first attempt
     :ivar in_order: requests of one key run one after the other
 
-    :raises ValueError: a figure is out of its range; the message names the field
+    :raises ValueError: a value is out of range; the message names the field
     """
 
     latency_objective_us: int
@@ -69,15 +70,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A service plan: figures of each of its volumes, over all brokers and nodes together.
+    """A service plan; its values apply to each volume of the plan, over all brokers and nodes together.
 
-    :ivar reserved_rate: units a second that are served before all else
-    :ivar weight: the volume's part of what is left, against other volumes
-    :ivar priority_factor: importance of its requests, against other plans
-    :ivar rate_limit: units a second at most; 0: no limit
-    :ivar burst_limit_units: units at once at most, where there is a limit
+    :ivar reserved_rate: units a second that are served with priority over all other requests
+    :ivar weight: the volume's share of the remaining capacity, relative to other volumes
+    :ivar priority_factor: importance of the plan's requests, relative to other plans
+    :ivar rate_limit: most units a second; 0: no limit
+    :ivar burst_limit_units: most units at once, if there is a rate limit
 
-    :raises ValueError: a figure is out of its range; the message names the field
+    :raises ValueError: a value is out of range; the message names the field
     """
 
     reserved_rate: float = 0.0
@@ -96,34 +97,36 @@
 class Settings:
     """The settings of one broker.
 
-    :ivar broker_index: its number among the broker_count brokers of the fleet
+    :ivar broker_index: number of this broker among the broker_count brokers of the fleet
     :ivar classes: the request classes, by number
     :ivar plans: the service plans, by number
-    :ivar shard_count: shards are numbered below it
-    :ivar mean_request_units: what a request costs in the mean
-    :ivar max_request_units: what a request costs at most
-    :ivar within_quota_weight: priority of requests within their volume's quota, against reserved ones
-    :ivar beyond_quota_weight: the same of requests beyond it
-    :ivar slow_start_units: what a node that has just started bears in one collapse window
-    :ivar slow_start_initial_ratio: its capacity at the start, as a part of that of a warm node
-    :ivar slow_start_us: how long it takes to warm up
-    :ivar collapse_window_us, collapse_load_ratio: a warming node collapses when it is sent, in this window,
-        so many times what it can do
-    :ivar polls_endpoint_list: the list is asked for; else it is pushed
-    :ivar poll_interval_us: the operators' rule: a change of the list counts as known to a broker that polls
-        so long after it was made; four times as long after a failed call
-    :ivar peer_messages_allowed: brokers may tell each other something
-    :ivar retry_after_allowed: a rejected client may be told when to come back
-    :ivar max_retry_after_us: the longest time that it is told
+    :ivar shard_count: number of shards
+    :ivar mean_request_units: mean cost of a request
+    :ivar max_request_units: largest cost of a request
+    :ivar within_quota_weight: priority of requests within their volume's quota, relative to reserved ones
+    :ivar beyond_quota_weight: priority of requests beyond their volume's quota, relative to reserved ones
+    :ivar slow_start_units: units that a node that has just started can take in one collapse window
+    :ivar slow_start_initial_ratio: capacity of a node that has just started, as a part of a warm node's
+        capacity
+    :ivar slow_start_us: how long a node takes to warm up
+    :ivar collapse_window_us, collapse_load_ratio: a warming node collapses when the load that it is sent in
+        this window exceeds its capacity by this factor
+    :ivar polls_endpoint_list: the broker polls the endpoint list; if not, the list is pushed
+    :ivar poll_interval_us: the operators' rule: a broker that polls is taken to know a change of the list so
+        long after it was made, and four times as long after a failed call
+    :ivar peer_messages_allowed: brokers may send messages to each other
+    :ivar retry_after_allowed: a rejected client may be told when to retry
+    :ivar max_retry_after_us: longest time after which a rejected client is told to retry
     :ivar cancel_allowed: an attempt may be cancelled
-    :ivar max_attempts: of one request
-    :ivar probes_allowed: nodes may be probed beside requests
-    :ivar tick_us: between two calls of the decision module, at least
-    :ivar key_quiet_us: after an attempt of an ordered request that may still run, before the next of its key
-    :ivar retry_budget_floor, retry_budget_ratio, retry_budget_window_us: retries in a window are at most the
-        floor plus that part of its requests; a floor of None: no limit
-
-    :raises ValueError: a figure is out of its range; the message names the field
+    :ivar max_attempts: most attempts of one request
+    :ivar probes_allowed: nodes may be probed independently of requests
+    :ivar tick_us: least time between two calls of the decision module
+    :ivar key_quiet_us: wait after an attempt of an ordered request that may still run, before the next
+        request of its key
+    :ivar retry_budget_floor, retry_budget_ratio, retry_budget_window_us: retries within a window are limited
+        to the floor plus this part of the window's requests; a floor of None: no limit
+
+    :raises ValueError: a value is out of range; the message names the field
     """
 
     broker_index: int
@@ -176,7 +179,7 @@
             _require_at_least(self, 0, "retry_budget_floor")
 
     def same_brokers(self, other: Settings) -> bool:
-        """Whether those settings are of the same brokers, with the same part of a warming node for each."""
+        """Whether both settings have the same brokers and the same slow start budget for each broker."""
         names = (
             "broker_index",
             "broker_count",
@@ -187,9 +190,10 @@
         return all(getattr(self, name) == getattr(other, name) for name in names)
 
     def superseded(self) -> Settings:
-        """The same for a process whose budgets a newer one has taken over.
+        """Return the settings of a process whose budgets a newer process has taken over.
 
-        It finishes its requests, but sends none that count in a plan's limit and none to a warming node.
+        Such a process finishes its requests, but sends none that count against a rate limit and none to a
+        warming node.
         """
         plans = tuple(
             replace(plan, rate_limit=EXHAUSTED_UNITS, burst_limit_units=EXHAUSTED_UNITS)
--- a/harriertide/decide/expiry.py
+++ b/harriertide/decide/expiry.py
@@ -1,4 +1,4 @@
-"""Forgetting what is old, in dicts that are kept in order of age."""
+"""Removal of expired entries from dicts that are kept in order of age."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def expire_oldest(entries: dict[Key, Value], has_expired: Callable[[Value], bool]) -> list[tuple[Key, Value]]:
-    """Take the entries that have expired from the beginning of a dict.
+    """Remove expired entries from the beginning of a dict.
 
-    :param entries: the oldest first: the search ends at the first that has not expired
-    :returns: what was taken, the oldest first
+    :param entries: in order of age, oldest first; the search ends at the first entry that has not expired
+    :returns: the removed entries, oldest first
     """
     expired: list[tuple[Key, Value]] = []
     for key, value in entries.items():
--- a/harriertide/decide/handover/__init__.py
+++ b/harriertide/decide/handover/__init__.py
@@ -1,7 +1,4 @@
-"""What a broker's decisions know, passed to a newer process of the same broker.
-
-Nothing here decides anything.
-"""
+"""Hand-over of a broker's decision state to a newer process of the same broker."""
 
 from harriertide.decide.handover.export import export_state
 from harriertide.decide.handover.records import DecisionRecord
--- a/harriertide/decide/handover/export.py
+++ b/harriertide/decide/handover/export.py
@@ -1,4 +1,4 @@
-"""Writing what a scheduler knows into records, in the process that hands over."""
+"""Exports a scheduler's state to records, in the process that hands over."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 )
 from harriertide.decide.scheduler import Scheduler
 
-# A record takes the fields of its own names from an object; what else the object has stays out of it.
+# Copies those attributes of an object that the record has fields for, and no others.
 _store = partial(msgspec.convert, from_attributes=True)
 
 
 def export_state(scheduler: Scheduler) -> DecisionRecord:
-    """What a scheduler knows by now. Requests, and what is in flight at nodes, stay with its process."""
+    """Export a scheduler's state, without open requests and attempts, which stay with their process."""
     retry_budget = scheduler.retry_budget
     return DecisionRecord(
         nodes=[_store(node, NodeRecord) for node in scheduler.endpoints.nodes.values()],
--- a/harriertide/decide/handover/records.py
+++ b/harriertide/decide/handover/records.py
@@ -1,7 +1,7 @@
-"""The stored form of what a broker's decisions know, for a newer process of the same broker.
+"""The stored form of a broker's decision state, for a newer process of the same broker.
 
-The names on disk are those of the first release (`rename=`), so that processes of different releases can take
-over from each other; a record keeps its form when the type that it stores changes.
+The stored names are those of the first release (`rename=`), so that processes of different releases can take
+over from each other. A record keeps its form when the type that it stores changes.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class TokenBucketRecord(Struct, rename={"refilled_at_us": "at_us"}):
-    """A token bucket, as `token_bucket.TokenBucket`."""
+    """Stored form of `token_bucket.TokenBucket`."""
 
     units: float
     refilled_at_us: int
@@ -23,13 +23,13 @@
         "request_number": "number",
         "min_useful_units": "least",
         "is_short": "short",
-        "unanswered_count": "misses",
+        "unanswered": "misses",
         "requested_at_us": "asked_us",
         "retry_at_us": "again_us",
         "used_units": "used",
     },
 ):
-    """Units that another broker has granted, as `quota_credit.QuotaCredit`."""
+    """Stored form of `quota_credit.QuotaCredit`."""
 
     units: float
     expires_at_us: int
@@ -37,7 +37,7 @@
     wanted: int
     min_useful_units: float
     is_short: bool
-    unanswered_count: int
+    unanswered: int
     requested_at_us: int
     retry_at_us: int
     used_units: int
@@ -57,7 +57,7 @@
         "slow_start_credit": "gift",
     },
 ):
-    """A node's health, and what was granted of it while it warms up."""
+    """A node's health, and the slow start state of a warming node. granted: when and how many units."""
 
     id: str
     started_us: int
@@ -87,7 +87,7 @@
         "admit_probability": "chance",
     },
 ):
-    """A shard's learned capacity, the sums of all brokers, and this broker's demand."""
+    """A shard's learned capacity, the demand of all brokers, and this broker's own demand."""
 
     shard: int
     updated_at_us: int
@@ -113,7 +113,7 @@
         "quota_buckets": "shares",
     },
 ):
-    """A volume's buckets here."""
+    """A volume's token buckets and credit at this broker."""
 
     key: int
     local_ratio: float
@@ -137,7 +137,7 @@
         "bidders": "users",
     },
 ):
-    """A coordinator's sums of the bids on one shard. bids: by broker, when and its figures."""
+    """A coordinator's sums of the bids on one shard. bids: by broker, the time and the rates of its bid."""
 
     sums: list[float]
     updated_at_us: int
@@ -164,7 +164,7 @@
         "held_until_us": "end_us",
     },
 ):
-    """A slot of plan limits. ballots: by number, when votes were asked for and who has voted."""
+    """A lease slot. ballots: by number, when the votes were requested, and the brokers that have voted."""
 
     promised_to: int
     promised_until_us: int
@@ -184,7 +184,7 @@
         "grants": "asks",
     },
 ):
-    """A volume's bucket at its holder. grants: by broker, the fields of quota_grants.Grant in their order."""
+    """A volume's bucket at the lease holder. grants: by broker, the fields of quota_grants.Grant in order."""
 
     lease_since_us: int
     units: float
@@ -194,7 +194,7 @@
 
 
 class LeasesRecord(Struct, rename={"buckets": "funds"}):
-    """The slots that this broker votes on or holds, and the buckets that it holds."""
+    """The lease slots that this broker votes on or holds, and the token buckets that it keeps for them."""
 
     epoch: int
     slots: dict[int, LeaseSlotRecord]
@@ -211,7 +211,7 @@
         "placements": "placed",
     },
 ):
-    """All that is handed over. placements: by key, the shard and when."""
+    """The whole state that is handed over. placements: by key, the shard and the time of the placement."""
 
     nodes: list[NodeRecord] = field(default_factory=list)
     shards: list[ShardRecord] = field(default_factory=list)
--- a/harriertide/decide/handover/restore.py
+++ b/harriertide/decide/handover/restore.py
@@ -1,4 +1,4 @@
-"""Reading records into a scheduler, in the process that takes over."""
+"""Imports records into a scheduler, in the process that takes over."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 from harriertide.decide.scheduler import Scheduler
 from harriertide.decide.state import PRIORITY_BAND_COUNT, GrantedUnits, VolumeState
 
-# An object takes the fields of a record; those that the record does not have begin as in a new object.
+# Creates an object from the fields of a record; attributes that the record lacks have their defaults.
 _load = partial(msgspec.convert, from_attributes=True)
 
 
 def import_state(scheduler: Scheduler, record: DecisionRecord, now_us: int) -> None:
-    """Have a scheduler that has the endpoint list, and no requests yet, continue from there.
+    """Import the state of the older process into a scheduler.
 
-    :param now_us: by the clock of the process before, which this one uses from now on
+    :param scheduler: has the endpoint list and no requests yet
+    :param now_us: the time by the older process's clock, which this process continues
     """
     _set_clock_back(scheduler, now_us)
     for node_record in record.nodes:
@@ -46,9 +47,9 @@
 
 
 def _set_clock_back(scheduler: Scheduler, now_us: int) -> None:
-    """Have a scheduler whose clock is ahead of this one continue on this one.
+    """Set a scheduler's clock back to now_us if it is ahead.
 
-    Guards against time that has passed for it alone: buckets would fill in it that another process has spent.
+    Otherwise buckets that the older process has spent would refill for the time by which this clock is ahead.
     """
     context = scheduler.context
     ahead_us = context.now_us - now_us
@@ -61,7 +62,7 @@
 
 
 def _import_node(scheduler: Scheduler, record: NodeRecord) -> None:
-    """Take a node's figures, unless it has started anew since."""
+    """Import a node's state, unless the node has restarted since."""
     node = scheduler.endpoints.nodes.get(record.id)
     if node is None or node.started_us != record.started_us:
         return
@@ -71,7 +72,7 @@
 
 
 def _import_shard(scheduler: Scheduler, record: ShardRecord) -> None:
-    """Take a shard's figures, if it is still listed."""
+    """Import a shard's state if the shard is still in the endpoint list."""
     shard = scheduler.endpoints.shards.get(record.shard)
     if shard is None or len(record.demand) != PRIORITY_BAND_COUNT:
         return
@@ -81,16 +82,15 @@
 
 
 def _copy_fields(record: msgspec.Struct, target: object) -> None:
-    """Set the fields of an object that others refer to, so that it cannot be replaced by a new one."""
+    """Copy the fields of a record into an object that must not be replaced because others refer to it."""
     for name in record.__struct_fields__:
         setattr(target, name, getattr(record, name))
 
 
 def _import_leases(scheduler: Scheduler, record: LeasesRecord) -> None:
-    """Continue with the votes and buckets of the process before.
+    """Import the votes, leases and token buckets of the older process.
 
-    Guards against a vote that is given twice: the newer process would otherwise vote for one broker after the
-    older one has voted for another.
+    Without them, the newer process could vote for one broker after the older process has voted for another.
     """
     leases, grants = scheduler.rate_limits.leases, scheduler.rate_limits.grants
     if leases is None or grants is None or leases.slots.keys() != record.slots.keys():
--- a/harriertide/decide/leases.py
+++ b/harriertide/decide/leases.py
@@ -105,17 +105,17 @@
         state = self.slots.get(slot)
         return state is not None and state.held_since_us > 0 and now_us < state.held_until_us
 
-    def presumed_holder(self, slot: int, now_us: int, unanswered_count: int) -> int:
+    def presumed_holder(self, slot: int, now_us: int, unanswered: int) -> int:
         """Return the broker to ask for units: the one that this broker's promise names.
 
-        :param unanswered_count: requests that got no answer so far; without a promise, this count selects the
+        :param unanswered: requests that got no answer so far; without a promise, this count selects the
             members of the group in turn
         """
         state = self.slots.get(slot)
         if state is not None and state.promised_to >= 0 and state.promised_until_us > now_us:
             return state.promised_to
         group = self.group(slot)
-        return group[unanswered_count % len(group)]
+        return group[unanswered % len(group)]
 
     def request_votes(self, now_us: int) -> list[VoteRequest]:
         """Become a candidate for free slots and renew leases; called every VOTE_INTERVAL_US.
--- a/harriertide/decide/peer_exchange.py
+++ b/harriertide/decide/peer_exchange.py
@@ -1,4 +1,4 @@
-"""Messages with the other brokers: collected during a call, sent at its end, read as they come."""
+"""Messages to and from other brokers: collected during a call of the decision module and sent at its end."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class PeerExchange:
-    """Messages to and from other brokers; those of a broker to itself are handled at once.
+    """Messages to and from other brokers; a message to this broker itself is handled at once.
 
-    Each mechanism registers a handler for the kinds of messages that it takes: handler(sender, message).
+    Each mechanism registers a handler for each message type that it receives: handler(sender, message).
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -24,18 +24,21 @@
         self._outbox: dict[tuple[int, type[PeerMessage]], list[PeerMessage]] = {}
 
     def register(self, message_type: type[PeerMessage], handler: Handler) -> None:
-        """Have messages of a kind handled so."""
+        """Set the handler for a message type."""
         self._handlers[message_type] = handler
 
     def send(self, broker: int, message: PeerMessage) -> None:
-        """Send a message with all others of its kind to that broker, at the end of this call."""
+        """Queue a message for flush, which packs all messages of one type to one broker together."""
         if broker == self._context.settings.broker_index:
             self._handlers[type(message)](broker, message)
         else:
             self._outbox.setdefault((broker, type(message)), []).append(message)
 
     def receive(self, received: api.PeerMessageReceived) -> None:
-        """Take a datagram. Junk, other versions, unknown senders and absurd figures have no effect."""
+        """Handle a datagram from another broker.
+
+        Malformed datagrams, other versions, unknown senders and rates off the scale are ignored.
+        """
         sender, settings = received.sender_index, self._context.settings
         is_peer = 0 <= sender < settings.broker_count and sender != settings.broker_index
         if not is_peer or self._context.derived.is_standalone:
@@ -44,7 +47,7 @@
             self._handlers[type(message)](sender, message)
 
     def flush(self) -> None:
-        """Send what was collected."""
+        """Send the queued messages."""
         for (broker, _), messages in self._outbox.items():
             for body in encode(messages):
                 self._context.emit(api.SendPeerMessage(broker, body))
--- a/harriertide/decide/peer_messages.py
+++ b/harriertide/decide/peer_messages.py
@@ -1,8 +1,9 @@
-"""Messages between the brokers of a fleet, to bytes and back. Nothing here decides anything.
+"""Encoding and decoding of the messages between the brokers of a fleet.
 
-A datagram is a magic, one byte for the kind of its messages, and messages of that kind, at most 256 bytes. A
-message is about one shard, volume or lease slot, its key. Rates of demand travel as one byte each on a log
-scale, within 2.2%; counts as whole numbers.
+A datagram has at most 256 bytes: a magic number, one byte for the kind of its messages, and messages of that
+kind. Each message starts with its key: a shard, a volume or a lease slot. The rates in bids and reports are
+encoded in one byte each on a logarithmic scale, with an error of at most 2.2%; counts are encoded as whole
+numbers.
 """
 
 from __future__ import annotations
@@ -15,25 +16,26 @@
 
 from harriertide.decide.state import PRIORITY_BAND_COUNT
 
-DATAGRAM_BYTES = 256  # the most that the wire carries
+DATAGRAM_BYTES = 256  # the largest datagram that is sent or accepted
 MAGIC = b"FT"
 KIND_OFFSET = len(MAGIC)
 HEADER_BYTES = KIND_OFFSET + 1
-# The time that answers took travels in counts of this.
+# Unit of the answer time in messages.
 ANSWER_TIME_UNIT_US = 10_000
 MAX_BYTE = 255
-# Flags of a DemandReport, which travel as one figure on the scale of rates.
+# Flags of a DemandReport; their sum is encoded as one byte on the scale of rates.
 CAPACITY_KNOWN_FLAG = 1
 OVERLOADED_FLAG = 2
 
 
 @dataclass(frozen=True, slots=True)
 class DemandBid:
-    """To a shard's coordinator, each bid interval: what was offered and served here. Rates are units a
+    """A broker's demand for a shard, sent to the shard's coordinator each bid interval; rates are units a
     second.
 
-    demand: by priority band. latency_weighted_rate: of served units, each times its latency ratio.
-    weight_sum: of the volumes seen here. capacity: of the shard, as known here.
+    demand: offered rate by priority band. latency_weighted_rate: rate of served units, each unit multiplied
+    by its latency ratio. weight_sum: of the volumes seen by the broker. capacity: of the shard, as known to
+    the broker.
     """
 
     KIND: ClassVar[int] = 2
@@ -49,9 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """From a shard's coordinator: the sums of all brokers' bids, and what follows from them.
+    """The sums of all brokers' bids on a shard and the state that follows from them, sent by the coordinator.
 
-    is_capacity_known: it was learned, and is not a guess. is_overloaded: the shard gets more than it can do.
+    is_capacity_known: the capacity was learned from answers and is not an assumption. is_overloaded: the
+    shard's load exceeds its capacity.
     """
 
     KIND: ClassVar[int] = 3
@@ -68,10 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartRequest:
-    """To a coordinator: units wanted for a warming node of its shard.
+    """A request to a coordinator for units of a warming node of its shard.
 
-    started_ms: the node's start, modulo 2**32. answered_units, answered_time_units: what it answered to this
-    broker since the last request, and how long that took in ANSWER_TIME_UNIT_US.
+    started_ms: the node's start, modulo 2**32. answered_units, answered_time_units: units that the node
+    answered to the broker since the last request, and the time that the answers took, in ANSWER_TIME_UNIT_US.
     """
 
     KIND: ClassVar[int] = 6
@@ -87,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartGrant:
-    """The coordinator's yes to a SlowStartRequest, whose figures it repeats."""
+    """A coordinator's grant of a SlowStartRequest, with the fields of that request."""
 
     KIND: ClassVar[int] = 7
     LAYOUT: ClassVar[Struct] = Struct("<IIBBBB")
@@ -102,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseVoteRequest:
-    """To the brokers of a slot's group: a vote is asked for. number: of the ballot."""
+    """A candidate's request for a vote, sent to the brokers of a slot's group. number: of the ballot."""
 
     KIND: ClassVar[int] = 8
     LAYOUT: ClassVar[Struct] = Struct("<IB")
@@ -113,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseVote:
-    """The vote for a LeaseVoteRequest."""
+    """A vote for the sender of a LeaseVoteRequest, with the fields of that request."""
 
     KIND: ClassVar[int] = 9
     LAYOUT: ClassVar[Struct] = Struct("<IB")
@@ -124,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRequest:
-    """To the holder of a volume's limit: units wanted. The fields are those of quota_grants.QuotaDemand."""
+    """A request to the lease holder for units of a volume's rate limit; see quota_grants.QuotaDemand."""
 
     KIND: ClassVar[int] = 10
     LAYOUT: ClassVar[Struct] = Struct("<IBBHHB")
@@ -139,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """The holder's answer to the QuotaRequest of this number."""
+    """The lease holder's answer to the QuotaRequest of this number."""
 
     KIND: ClassVar[int] = 11
     LAYOUT: ClassVar[Struct] = Struct("<IBB")
@@ -159,7 +162,7 @@
     | QuotaRequest
     | QuotaGrant
 )
-# Kinds 1, 4 and 5 belonged to earlier releases and are not used again.
+# Kinds 1, 4 and 5 belonged to earlier releases and must not be reused.
 _TYPE_BY_KIND: dict[int, type[PeerMessage]] = {
     each.KIND: each
     for each in (
@@ -175,39 +178,45 @@
 }
 
 
-def scale_to_byte(value: float) -> int:
-    """A rate as one byte on a log scale; what is off the scale is its last value."""
+def rate_to_byte(value: float) -> int:
+    """Encode a rate as one byte on a logarithmic scale; rates beyond the scale become its last value."""
     return min(MAX_BYTE, round(16 * log2(1 + 4 * max(0.0, value))))
 
 
-def byte_to_scale(byte: int) -> float:
-    """The rate that a byte stands for."""
+def byte_to_rate(byte: int) -> float:
+    """Decode a rate from its byte."""
     return float((2 ** (byte / 16) - 1) / 4)
 
 
-def _figures(message: PeerMessage) -> list[int]:
-    """The fields of a message as its layout has them."""
+def _layout_fields(message: PeerMessage) -> list[int]:
+    """Return the fields of a message as integers in the order of its layout."""
     if isinstance(message, DemandBid):
         rates = (*message.demand, message.served_rate, message.latency_weighted_rate)
-        return [message.shard, *map(scale_to_byte, (*rates, message.weight_sum, message.capacity))]
+        return [message.shard, *map(rate_to_byte, (*rates, message.weight_sum, message.capacity))]
     if isinstance(message, DemandReport):
         rates = (*message.demand, message.capacity, message.weight_sum, message.latency_ratio)
         flags = CAPACITY_KNOWN_FLAG * message.is_capacity_known + OVERLOADED_FLAG * message.is_overloaded
-        return [message.shard, *map(scale_to_byte, (*rates, flags))]
+        return [message.shard, *map(rate_to_byte, (*rates, flags))]
     return [getattr(message, name) for name in message.__slots__]
 
 
 def encode(messages: Sequence[PeerMessage]) -> list[bytes]:
-    """As many datagrams as the messages need, which are all of one kind."""
+    """Encode messages of one kind into as many datagrams as they need."""
     layout = messages[0].LAYOUT
     header = MAGIC + bytes([messages[0].KIND])
-    packed = [layout.pack(*_figures(message)) for message in messages]
-    fitting = (DATAGRAM_BYTES - HEADER_BYTES) // layout.size
-    return [header + b"".join(packed[first : first + fitting]) for first in range(0, len(packed), fitting)]
+    packed = [layout.pack(*_layout_fields(message)) for message in messages]
+    messages_per_datagram = (DATAGRAM_BYTES - HEADER_BYTES) // layout.size
+    return [
+        header + b"".join(packed[first : first + messages_per_datagram])
+        for first in range(0, len(packed), messages_per_datagram)
+    ]
 
 
 def decode(datagram: bytes) -> list[PeerMessage]:
-    """The messages of a datagram; none for junk, other versions and figures off the scale."""
+    """Decode the messages of a datagram.
+
+    :returns: none if the datagram is malformed, of another version, or holds a rate off the scale
+    """
     is_known = datagram.startswith(MAGIC) and HEADER_BYTES <= len(datagram) <= DATAGRAM_BYTES
     message_type = _TYPE_BY_KIND.get(datagram[KIND_OFFSET]) if is_known else None
     if message_type is None or (len(datagram) - HEADER_BYTES) % message_type.LAYOUT.size:
@@ -216,19 +225,19 @@
     if message_type is DemandBid or message_type is DemandReport:
         if any(max(row[1:]) == MAX_BYTE for row in rows):
             return []
-        return [_read_rates(message_type, row) for row in rows]
+        return [_decode_rates(message_type, row) for row in rows]
     return [message_type(*row) for row in rows]
 
 
-def _read_rates(message_type: type[DemandBid] | type[DemandReport], row: tuple[int, ...]) -> PeerMessage:
-    key, *scaled = row
-    rates = [byte_to_scale(byte) for byte in scaled]
+def _decode_rates(message_type: type[DemandBid] | type[DemandReport], row: tuple[int, ...]) -> PeerMessage:
+    key, *rate_bytes = row
+    rates = [byte_to_rate(byte) for byte in rate_bytes]
     demand = tuple(rates[:PRIORITY_BAND_COUNT])
-    figures = rates[PRIORITY_BAND_COUNT:]
+    other_rates = rates[PRIORITY_BAND_COUNT:]
     if message_type is DemandBid:
-        return DemandBid(key, demand, *figures)
-    capacity, weight_sum, latency_ratio, scaled_flags = figures
-    flags = round(scaled_flags)
+        return DemandBid(key, demand, *other_rates)
+    capacity, weight_sum, latency_ratio, decoded_flags = other_rates
+    flags = round(decoded_flags)
     return DemandReport(
         key,
         demand,
--- a/harriertide/decide/quota_credit.py
+++ b/harriertide/decide/quota_credit.py
@@ -21,7 +21,7 @@
     """The units that another broker granted on the last request, and their expiry.
 
     wanted: units that the last request asked for. min_useful_units: the fewest units that allow a request to
-    be sent. is_short: fewer units were granted than wanted. unanswered_count: requests sent minus answers
+    be sent. is_short: fewer units were granted than wanted. unanswered: requests sent minus answers
     accepted. used_units: units sent since the start of the broker.
     """
 
@@ -31,7 +31,7 @@
     wanted: int = 0
     min_useful_units: float = 0.0
     is_short: bool = False
-    unanswered_count: int = 0
+    unanswered: int = 0
     requested_at_us: int = 0
     retry_at_us: int = 0
     used_units: int = 0
@@ -65,7 +65,7 @@
         self.requested_at_us = now_us
         self.retry_at_us = retry_at_us
         self.request_number = (self.request_number + 1) % REQUEST_NUMBER_COUNT
-        self.unanswered_count += 1
+        self.unanswered += 1
 
     def accept(self, now_us: int, request_number: int, units: int, rate: float = 0.0) -> bool:
         """Accept a grant if it answers the last request and arrives in time.
@@ -81,7 +81,7 @@
         self.units = float(units)
         self.expires_at_us = self.requested_at_us + CREDIT_LIFETIME_US
         self.is_short = units < self.wanted
-        self.unanswered_count -= 1
+        self.unanswered -= 1
         missing_units = max(0.0, self.min_useful_units - units)
         self.retry_at_us = now_us + int(missing_units / rate * SECOND_US) if rate else now_us
         return True
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -179,7 +179,7 @@
         now_us, volume = self._context.now_us, request.volume
         credit = volume.credit
         expected_units = 2 * plan.rate_limit * CREDIT_LIFETIME_US / SECOND_US if credit.is_short else 0.0
-        holder = leases.presumed_holder(leases.slot_of(volume.key), now_us, credit.unanswered_count)
+        holder = leases.presumed_holder(leases.slot_of(volume.key), now_us, credit.unanswered)
         credit.request(
             now_us, sum(waiting_units) + expected_units, min(waiting_units), now_us + QUOTA_RETRY_US
         )
--- a/harriertide/decide/settings.py
+++ b/harriertide/decide/settings.py
@@ -1,6 +1,6 @@
-"""The settings object of the wire, as the simulator and the platform's configuration carry it.
+"""Reads the JSON settings object that the simulator and the platform's configuration provide.
 
-The wire's words for settings are mapped here, and only here, to the names that the code uses (`decide.api`).
+This module alone maps the keys of that object to the names that the code uses (`decide.api`).
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
     "names_from_wire",
 ]
 
-Fields = dict[str, Any]  # an object of JSON
+Fields = dict[str, Any]  # a JSON object
 
 DEFAULT_POLL_INTERVAL_US = 10_000_000
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
 DEFAULT_IDLE_TIMEOUT_US = 15_000_000
-_NUMBERED = ("classes", "plans")  # lists whose members are known by their number
+_NUMBERED_LISTS = ("classes", "plans")  # lists whose entries are referred to by their number
 
 _IDEMPOTENCY: dict[str, api.Idempotency] = {
     "idempotent": "idempotent",
@@ -37,10 +37,10 @@
 
 
 def from_wire(raw: Fields) -> api.Settings:
-    """Read the settings that the decision module is built with.
+    """Read the settings of the decision module from the JSON settings object.
 
-    :raises KeyError: a key is missing; its argument is the key's whole path
-    :raises ValueError: a key holds what it should not; the message names its whole path
+    :raises KeyError: a key is missing; its argument is the key's full path
+    :raises ValueError: a key holds an invalid value; the message names the key's full path
     """
     top = SettingsSection(raw, "settings")
     limits, safety, domain = top.section("limits"), top.section("safety"), top.section("domain")
@@ -48,10 +48,10 @@
     _check_ranges(top, safety, domain)
     return api.Settings(
         broker_index=top.integer("index"),
-        broker_count=top.integer("groupSize", least=1),
+        broker_count=top.integer("groupSize", minimum=1),
         classes=tuple(map(_request_class, top.sections("classes"))),
         plans=tuple(map(_plan, top.sections("plans"))),
-        shard_count=domain.integer("nShards", least=1),
+        shard_count=domain.integer("nShards", minimum=1),
         mean_request_units=domain.number("meanUnits"),
         max_request_units=domain.number("maxUnits"),
         within_quota_weight=domain.number("withinShare"),
@@ -60,16 +60,16 @@
         slow_start_initial_ratio=safety.number("coldFrom"),
         slow_start_us=safety.integer("coldUs"),
         collapse_window_us=safety.integer("fallUs"),
-        collapse_load_ratio=safety.number("fallMultiple", 1.0, least=1),
+        collapse_load_ratio=safety.number("fallMultiple", 1.0, minimum=1),
         polls_endpoint_list=top.choice("membershipMode", ("push", "ask")) == "ask",
         poll_interval_us=safety.integer("askWithinUs", 0) or DEFAULT_POLL_INTERVAL_US,
         peer_messages_allowed=limits.flag("peers"),
         retry_after_allowed=limits.flag("retryAfter"),
         cancel_allowed=limits.flag("cancel", False),
         max_retry_after_us=limits.integer("maxRetryAfterUs", 0),
-        max_attempts=limits.integer("tryLimit", least=1),
+        max_attempts=limits.integer("tryLimit", minimum=1),
         probes_allowed=limits.flag("probes", False),
-        tick_us=top.integer("roundUs", least=1),
+        tick_us=top.integer("roundUs", minimum=1),
         key_quiet_us=safety.integer("keyQuietUs", 0),
         retry_budget_floor=safety.number("extraFloor", 0) if retry_window_us else None,
         retry_budget_ratio=safety.number("resendRatio", 0),
@@ -78,8 +78,8 @@
 
 
 def _check_ranges(top: SettingsSection, safety: SettingsSection, domain: SettingsSection) -> None:
-    """Refuse what `api.Settings` would refuse too, by the words of the wire."""
-    if top.integer("index") >= top.integer("groupSize", least=1):
+    """Check ranges that `api.Settings` checks too, to name the JSON keys in the error messages."""
+    if top.integer("index") >= top.integer("groupSize", minimum=1):
         raise ValueError("settings.index: must be below settings.groupSize")
     for section, key in ((domain, "meanUnits"), (domain, "maxUnits"), (safety, "coldFrom")):
         if section.number(key) == 0:
@@ -91,8 +91,8 @@
 def _request_class(row: SettingsSection) -> api.RequestClass:
     scope = row.choice("dedupScope", tuple(_DEDUPLICATION_SCOPES), "all")
     return api.RequestClass(
-        latency_objective_us=row.integer("sloUs", least=1),
-        deadline_us=row.integer("deadlineUs", least=1),
+        latency_objective_us=row.integer("sloUs", minimum=1),
+        deadline_us=row.integer("deadlineUs", minimum=1),
         priority_weight=row.number("worth"),
         late_priority_weight=row.number("lateWorth", 0),
         idempotency=_IDEMPOTENCY[row.choice("effect", tuple(_IDEMPOTENCY))],
@@ -113,27 +113,28 @@
 
 
 def keep_numbers(raw: Fields, running: Fields) -> Fields:
-    """New settings with each class and plan under the number that it has in the running ones.
+    """Return the new settings with each class and plan under the number that it has in the running settings.
 
-    Guards against a reload that gives requests under way another class or plan: a number never changes its
-    meaning. Unknown classes and plans come after the known ones; one whose name is no longer stated keeps its
-    number and figures.
+    A number never changes its meaning, as a reload would otherwise give open requests another class or plan.
+    New classes and plans come after the known ones; a class or plan that the new settings no longer name
+    keeps its number and values.
     """
     renumbered = dict(raw)
-    for key in _NUMBERED:
-        stated = {entry["name"]: entry for entry in raw[key]}
-        kept = [stated.pop(entry["name"], entry) for entry in running[key]]
-        renumbered[key] = [*kept, *stated.values()]
+    for key in _NUMBERED_LISTS:
+        new_entries = {entry["name"]: entry for entry in raw[key]}
+        kept = [new_entries.pop(entry["name"], entry) for entry in running[key]]
+        renumbered[key] = [*kept, *new_entries.values()]
     return renumbered
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """What clients and discovery call what the decision module numbers, and the times that only sockets need.
+    """Settings that the decision module does not use: numbers by name, and timeouts of connections to nodes.
 
-    :ivar classes, plans, zones: numbers by name
-    :ivar connect_us: for a connection to a node to come up
-    :ivar idle_us: a connection to a node that is idle for so long is closed
+    :ivar classes, plans, zones: the numbers of the decision module by the names that clients and discovery
+        use
+    :ivar connect_us: timeout for connecting to a node
+    :ivar idle_us: a connection to a node is closed after it has been idle for so long
     """
 
     classes: dict[str, int]
@@ -144,10 +145,10 @@
 
 
 def names_from_wire(raw: Fields, stated: Fields | None = None) -> Names:
-    """Read the names of classes, plans and zones.
+    """Read the names of classes, plans and zones, and the connection timeouts.
 
-    :param stated: settings that name the classes and plans that clients may use; None: all of raw
-    :raises KeyError, ValueError: as from_wire
+    :param stated: settings that list the classes and plans that clients may use; None: all those of raw
+    :raises KeyError, ValueError: see from_wire
     """
     top = SettingsSection(raw, "settings")
     usable = SettingsSection(stated or raw, "settings")
--- a/harriertide/decide/settings_section.py
+++ b/harriertide/decide/settings_section.py
@@ -1,30 +1,30 @@
-"""Checked reading of settings: an object of JSON, key by key; errors name the whole path of a key."""
+"""Reads and checks a JSON settings object key by key; errors name the full path of a key."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-MAX_NUMBER = 1e18  # beyond it whole numbers are no longer exact, and sums of times run over
-_REQUIRED = object()  # no default: the key must be there
+MAX_NUMBER = 1e18  # larger numbers lose integer precision and overflow in sums of times
+_REQUIRED = object()  # in place of a default: the key must be present
 
 
 class SettingsError(Exception):
-    """Settings that an operator has given cannot be used; one plain line that names the key."""
+    """An operator's settings are invalid; the message is one line that names the key."""
 
 
 class SettingsSection:
-    """An object of the settings.
+    """One object within the settings.
 
-    Each method reads one key and raises KeyError where a key without a default is missing, and ValueError
-    where it holds something else than it should. A key that holds null counts as missing.
+    Each method reads one key. It raises KeyError if a key without a default is missing, and ValueError if the
+    key holds an invalid value. A key that holds null counts as missing.
 
-    :param raw: what the file holds there
-    :param path: of the object from the top, "" for the top itself
+    :param raw: the decoded JSON value
+    :param path: of this object from the top level; "" for the top level itself
     """
 
     def __init__(self, raw: object, path: str) -> None:
         if not isinstance(raw, dict):
-            raise ValueError(f"{path or 'the whole'}: must be an object")
+            raise ValueError(f"{path or 'the top level'}: must be an object")
         self._raw = raw
         self.path = path
 
@@ -40,61 +40,65 @@
         return default
 
     def section(self, key: str) -> SettingsSection:
-        """An object within this one."""
+        """Read an object."""
         return SettingsSection(self._get(key, _REQUIRED), self._path_of(key))
 
     def sections(self, key: str) -> list[SettingsSection]:
-        """A list of objects, one at least."""
+        """Read a list of at least one object."""
         value = self._get(key, _REQUIRED)
         if not isinstance(value, list) or not value:
-            raise ValueError(f"{self._path_of(key)}: must be a list, and not empty")
-        return [SettingsSection(row, f"{self._path_of(key)}[{place}]") for place, row in enumerate(value)]
+            raise ValueError(f"{self._path_of(key)}: must be a list with at least one entry")
+        return [
+            SettingsSection(row, f"{self._path_of(key)}[{position}]") for position, row in enumerate(value)
+        ]
 
     def text(self, key: str, default: object = _REQUIRED) -> str:
-        """A text that is not empty, unless that is the default."""
+        """Read a string, which may be empty only if the default is."""
         value = self._get(key, default)
         if not isinstance(value, str) or not (value or value == default):
-            raise ValueError(f"{self._path_of(key)}: must be a text")
+            raise ValueError(f"{self._path_of(key)}: must be a string that is not empty")
         return value
 
     def texts(self, key: str) -> list[str]:
-        """A list of texts; none where the key is missing."""
+        """Read a list of strings; empty if the key is missing."""
         value = self._get(key, [])
         if not isinstance(value, list) or not all(isinstance(each, str) for each in value):
-            raise ValueError(f"{self._path_of(key)}: must be a list of texts")
+            raise ValueError(f"{self._path_of(key)}: must be a list of strings")
         return value
 
     def flag(self, key: str, default: object = _REQUIRED) -> bool:
-        """True or false."""
+        """Read a boolean."""
         value = self._get(key, default)
         if not isinstance(value, bool):
             raise ValueError(f"{self._path_of(key)}: must be true or false")
         return value
 
     def flags(self, key: str) -> tuple[bool, ...]:
-        """A list of true and false; none where the key is missing."""
+        """Read a list of booleans; empty if the key is missing."""
         value = self._get(key, [])
         if not isinstance(value, list) or not all(isinstance(each, bool) for each in value):
-            raise ValueError(f"{self._path_of(key)}: must be a list of true and false")
+            raise ValueError(f"{self._path_of(key)}: must be a list whose entries are true or false")
         return tuple(value)
 
-    def number(self, key: str, default: object = _REQUIRED, least: float = 0) -> float:
-        """A number of at least so much."""
+    def number(self, key: str, default: object = _REQUIRED, minimum: float = 0) -> float:
+        """Read a number from minimum to below MAX_NUMBER."""
         value = self._get(key, default)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
-        if not is_number or not least <= value < MAX_NUMBER:  # type: ignore[operator]
-            raise ValueError(f"{self._path_of(key)}: must be a number of at least {least:g}")
+        if not is_number or not minimum <= value < MAX_NUMBER:  # type: ignore[operator]
+            raise ValueError(
+                f"{self._path_of(key)}: must be a number of at least {minimum:g} and below {MAX_NUMBER:g}"
+            )
         return value  # type: ignore[return-value]
 
-    def integer(self, key: str, default: object = _REQUIRED, least: int = 0) -> int:
-        """A whole number of at least so much."""
-        value = self.number(key, default, least)
+    def integer(self, key: str, default: object = _REQUIRED, minimum: int = 0) -> int:
+        """Read a whole number from minimum to below MAX_NUMBER."""
+        value = self.number(key, default, minimum)
         if value != int(value):
             raise ValueError(f"{self._path_of(key)}: must be a whole number")
         return int(value)
 
     def choice(self, key: str, known: Sequence[str], default: object = _REQUIRED) -> str:
-        """One of these words."""
+        """Read a string that is one of the known values."""
         value = self._get(key, default)
         if not isinstance(value, str) or value not in known:
             raise ValueError(f"{self._path_of(key)}: must be one of {', '.join(known)}")
--- a/harriertide/decide/slow_start.py
+++ b/harriertide/decide/slow_start.py
@@ -1,8 +1,8 @@
-"""What a warming node may get, from all brokers together.
+"""Slow start: limits what all brokers together send to a warming node.
 
-A node that has just started does little and collapses under a burst. Its budget for one collapse window is
-dealt out by the coordinators of its shard, to all brokers that ask; a broker sends nothing there without a
-grant.
+A node that has just started has little capacity and collapses under a burst. The coordinators of the node's
+shard grant units of its budget for one collapse window to the brokers that request them; a broker sends
+nothing to the node without a grant.
 """
 
 from __future__ import annotations
@@ -22,12 +22,13 @@
 from harriertide.decide.state import GrantedUnits, NodeState, OpenAttempt
 from harriertide.decide.warming import is_warming, slow_start_budget_units
 
-# Answers to so many of the largest requests show what a warming node can do by now; older ones count half.
+# The measurement of a warming node is halved when it exceeds the units of so many of the largest requests, so
+# that recent answers count more.
 MEASUREMENT_REQUEST_COUNT = 16
 
 
 class SlowStart:
-    """Grants for warming nodes: asked for as a broker, given as a coordinator."""
+    """Grants for warming nodes: requested by this broker, and issued by it as a coordinator."""
 
     def __init__(self, context: DecisionContext, endpoints: Endpoints, exchange: PeerExchange) -> None:
         self._context = context
@@ -37,15 +38,17 @@
         exchange.register(SlowStartGrant, self._on_grant)
 
     def request_grant(self, node: NodeState, units: float) -> bool:
-        """Whether a request may go to a warming node now; asks its coordinator for a grant where it may not.
+        """Return whether a request may be sent to a warming node now; if not, request a grant from a
+        coordinator.
 
-        A grant ends CREDIT_LIFETIME_US after it was asked for, by this broker's clock. So a collapse window
-        holds only what was granted in it and in that time before, which is what the coordinator counts.
+        A grant expires CREDIT_LIFETIME_US after this broker requested it, by this broker's clock. So what is
+        sent in one collapse window was granted in that window or in the CREDIT_LIFETIME_US before it, which
+        is the span that the coordinator counts.
         """
         credit = node.slow_start_credit
         if not credit.covers(self._context.now_us, units) and self._context.now_us >= credit.retry_at_us:
             self._send_request(node, units)
-        return credit.covers(self._context.now_us, units)  # a coordinator's own request is answered at once
+        return credit.covers(self._context.now_us, units)  # a coordinator answers its own request at once
 
     def _send_request(self, node: NodeState, units: float) -> None:
         now_us, derived, credit = self._context.now_us, self._context.derived, node.slow_start_credit
@@ -61,19 +64,19 @@
         node.answered_units = 0.0
         node.answered_us = 0
         coordinators = derived.coordinators(node.shard)
-        # in turn, so that one that is unreachable holds up half of the requests only
+        # alternate between the two, so that an unreachable one delays only half of the requests
         uses_standby = derived.slow_start_ratio < 1 and credit.request_number % 2 == 1
         self._exchange.send(coordinators.standby if uses_standby else coordinators.primary, request)
 
     def spend(self, node: NodeState, units: float) -> None:
-        """A request is sent to a warming node."""
+        """Take the units of a request that is sent to a warming node."""
         node.slow_start_credit.spend(units)
 
     def record_answer(self, attempt: OpenAttempt, units: float, took_us: int) -> None:
-        """A node has answered an attempt; while it warms up, that measures what it can do.
+        """Count a warming node's answer to an attempt as a measurement of the node's capacity.
 
-        Guards against an answer that is read after the news of a restart: it shows what the earlier process
-        could do, and with it as a measure brokers would make the new one collapse.
+        Answers to attempts sent before the node's restart are ignored: they show the capacity of the earlier
+        process, and brokers that relied on them would make the new process collapse.
         """
         node = attempt.node
         if is_warming(self._context, node) and attempt.sent_at_us >= node.started_us:
@@ -81,9 +84,9 @@
             node.answered_us += took_us
 
     def _warming_nodes(self, shard: int, started_ms: int) -> list[NodeState]:
-        """The live nodes of a shard that warm up since that start."""
-        known = self._endpoints.shards.get(shard)
-        nodes = known.nodes.values() if known is not None else ()
+        """Return the live nodes of a shard that are warming up since the given start."""
+        shard_state = self._endpoints.shards.get(shard)
+        nodes = shard_state.nodes.values() if shard_state is not None else ()
         return [
             node
             for node in nodes
@@ -91,7 +94,7 @@
         ]
 
     def _on_request(self, broker: int, request: SlowStartRequest) -> None:
-        """As coordinator, grant what this one's part of the budget still covers."""
+        """As a coordinator, grant the requested units if this broker's part of the budget covers them."""
         context = self._context
         settings, derived = context.settings, context.derived
         is_coordinator = settings.broker_index in derived.coordinators(request.shard)
@@ -117,7 +120,7 @@
                 self._exchange.send(broker, grant)
 
     def _on_grant(self, broker: int, grant: SlowStartGrant) -> None:
-        """As broker, take what is still awaited of a coordinator of the shard."""
+        """Accept a grant from a coordinator of the shard if this broker still awaits it."""
         context = self._context
         is_coordinator = broker in context.derived.coordinators(grant.shard)
         if grant.shard >= context.settings.shard_count or not is_coordinator:
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -53,9 +53,7 @@
     monkeypatch.setattr(
         Leases, "is_holder", lambda self, slot, now_us: self.slots[slot].promised_until_us > 0
     )
-    monkeypatch.setattr(
-        Leases, "presumed_holder", lambda self, slot, now_us, unanswered_count: self.broker_index
-    )
+    monkeypatch.setattr(Leases, "presumed_holder", lambda self, slot, now_us, unanswered: self.broker_index)
     assert run_case(3, [0, 1, 2], 1, seconds=3, loss_ratio=0.0)[1] < 0
 
 
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -174,8 +174,6 @@
     monkeypatch.setattr(
         Leases, "is_holder", lambda self, slot, now_us: self.slots[slot].promised_until_us > 0
     )
-    monkeypatch.setattr(
-        Leases, "presumed_holder", lambda self, slot, now_us, unanswered_count: self.broker_index
-    )
+    monkeypatch.setattr(Leases, "presumed_holder", lambda self, slot, now_us, unanswered: self.broker_index)
     _, lowest = virtual_time.run(run_fleet(3, [0, 1, 2], 3), Network(lambda here, there: 0.0005))
     assert lowest < -SLACK - LIMIT * MAX_DELAY_S
