--- a/harriertide/decide/api/actions.py
+++ b/harriertide/decide/api/actions.py
@@ -25,7 +25,7 @@
 
 # Why a request is given up. no_node: no node of its shard takes requests, or its nodes have left. overload:
 # its shard is overloaded and the request was not admitted. queue_full: its queue is too long. too_late: an
-# answer would come too late. rate_limit: its plan's rate limit is used up. deadline: its deadline has come.
+# answer would come too late. rate_limit: its plan's rate limit is used up. deadline: its deadline is reached.
 # not_repeatable, deduplication_over, retry_budget: it may not be attempted again because of its class, its
 # deduplication window or the retry budget. wrong_shard: its node does not hold the shard.
 GiveUpReason: TypeAlias = Literal[
--- a/harriertide/decide/api/events.py
+++ b/harriertide/decide/api/events.py
@@ -71,10 +71,10 @@
 
 
 # ok: the node served the request. error: the node failed to serve it. rejected: the node takes no more
-# requests at present. timeout, connect_failed, reset: the connection ended so. cancelled: by this broker.
-# not_sent: nothing was sent, or the node says that the request has expired or belongs to another node;
-# another attempt there would not help. withheld: nothing was sent, for a reason that does not concern the
-# node; another attempt may help.
+# requests at present. timeout, connect_failed, reset: the connection brought no answer. cancelled: by this
+# broker. not_sent: nothing was sent, or the node says that the request has expired or belongs to another
+# node; another attempt there would not help. withheld: nothing was sent, for a reason that does not concern
+# the node; another attempt may help.
 OutcomeKind: TypeAlias = Literal[
     "ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "withheld"
 ]
--- a/harriertide/decide/api/settings.py
+++ b/harriertide/decide/api/settings.py
@@ -100,7 +100,7 @@
     :ivar broker_index: number of this broker among the broker_count brokers of the fleet
     :ivar classes: the request classes, by number
     :ivar plans: the service plans, by number
-    :ivar shard_count: number of shards
+    :ivar shard_count: number of shards, which are numbered from 0
     :ivar mean_request_units: mean cost of a request
     :ivar max_request_units: largest cost of a request
     :ivar within_quota_weight: priority of requests within their volume's quota, relative to reserved ones
--- a/harriertide/decide/leases.py
+++ b/harriertide/decide/leases.py
@@ -141,8 +141,8 @@
             state.candidate_since_us = now_us
             return True
         if state.promised_to == self.broker_index and now_us < state.promised_until_us:
-            # after a whole lease without a majority, let the own promise expire so that another broker can be
-            # elected
+            # After a whole lease time without a majority, this broker lets its own promise expire, so that
+            # another broker can be elected.
             return now_us - state.candidate_since_us < LEASE_US
         rank = self.group(slot).index(self.broker_index)
         if now_us < state.promised_until_us + rank * VOTE_INTERVAL_US:
--- a/harriertide/decide/peer_messages.py
+++ b/harriertide/decide/peer_messages.py
@@ -217,8 +217,8 @@
 
     :returns: none if the datagram is malformed, of another version, or holds a rate off the scale
     """
-    is_known = datagram.startswith(MAGIC) and HEADER_BYTES <= len(datagram) <= DATAGRAM_BYTES
-    message_type = _TYPE_BY_KIND.get(datagram[KIND_OFFSET]) if is_known else None
+    has_valid_header = datagram.startswith(MAGIC) and HEADER_BYTES <= len(datagram) <= DATAGRAM_BYTES
+    message_type = _TYPE_BY_KIND.get(datagram[KIND_OFFSET]) if has_valid_header else None
     if message_type is None or (len(datagram) - HEADER_BYTES) % message_type.LAYOUT.size:
         return []
     rows = list(message_type.LAYOUT.iter_unpack(datagram[HEADER_BYTES:]))
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -97,11 +97,11 @@
         key = crc32(arrival.volume.encode())
         volume = self.volumes.get(key)
         if volume is None:
-            reserved = TokenBucket(context.settings.max_request_units, context.now_us)
+            reserved_bucket = TokenBucket(context.settings.max_request_units, context.now_us)
             # the rate limit's bucket starts empty, as this broker may have spent its units before a restart
-            limit = TokenBucket(0.0, context.started_at_us)
+            rate_limit_bucket = TokenBucket(0.0, context.started_at_us)
             local_ratio = min(1.0, LOCAL_QUOTA_FACTOR / max(1, arrival.sharing_broker_count))
-            volume = VolumeState(key, local_ratio, reserved, limit)
+            volume = VolumeState(key, local_ratio, reserved_bucket, rate_limit_bucket)
         self.add_volume(volume)
         return volume
 
@@ -129,16 +129,16 @@
 
     def is_wait_too_long(self, request: RequestState, wait_us: int) -> bool:
         """Whether the request would exceed its longest allowed wait if it waited for wait_us from now on."""
-        longest_us = MAX_WAIT_OBJECTIVE_RATIO * request.request_class.latency_objective_us
-        return self._context.now_us + wait_us > request.arrived_at_us + longest_us
+        max_wait_us = MAX_WAIT_OBJECTIVE_RATIO * request.request_class.latency_objective_us
+        return self._context.now_us + wait_us > request.arrived_at_us + max_wait_us
 
     def _local_wait_us(self, request: RequestState, plan: api.Plan) -> int:
         """Return the wait for a bucket at this broker, which has an even part of the rate limit."""
         arrival = request.arrival
         rate = plan.rate_limit / arrival.sharing_broker_count
         capacity = plan.burst_limit_units / arrival.sharing_broker_count
-        available = request.volume.rate_limit_bucket.refill(self._context.now_us, rate, capacity)
-        missing_units = arrival.units - available
+        available_units = request.volume.rate_limit_bucket.refill(self._context.now_us, rate, capacity)
+        missing_units = arrival.units - available_units
         if missing_units <= 0:
             return 0
         return EXCESSIVE_WAIT_US if arrival.is_retry else 1 + int(missing_units / rate * SECOND_US)
--- a/harriertide/decide/settings_section.py
+++ b/harriertide/decide/settings_section.py
@@ -85,9 +85,7 @@
         value = self._get(key, default)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if not is_number or not minimum <= value < MAX_NUMBER:  # type: ignore[operator]
-            raise ValueError(
-                f"{self._path_of(key)}: must be a number of at least {minimum:g} and below {MAX_NUMBER:g}"
-            )
+            raise ValueError(f"{self._path_of(key)}: must be a number of at least {minimum:g} and below 1e18")
         return value  # type: ignore[return-value]
 
     def integer(self, key: str, default: object = _REQUIRED, minimum: int = 0) -> int:
--- a/harriertide/decide/slow_start.py
+++ b/harriertide/decide/slow_start.py
@@ -106,8 +106,11 @@
                 request.answered_units, took_us, MEASUREMENT_REQUEST_COUNT * settings.max_request_units
             )
             span_us = settings.collapse_window_us + CREDIT_LIFETIME_US + settings.tick_us
-            granted = node.units_granted_since(context.now_us - span_us)
-            if granted + request.units <= slow_start_budget_units(context, node) * derived.slow_start_ratio:
+            granted_units = node.units_granted_since(context.now_us - span_us)
+            if (
+                granted_units + request.units
+                <= slow_start_budget_units(context, node) * derived.slow_start_ratio
+            ):
                 node.granted.append(GrantedUnits(context.now_us, request.units))
                 grant = SlowStartGrant(
                     request.shard,
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -1,6 +1,4 @@
-"""A fleet of brokers in virtual time: datagrams between them, endpoint lists for all, nodes that answer as
-set.
-"""
+"""A simulation of a fleet of brokers in virtual time, with datagrams, endpoint lists and simulated nodes."""
 
 from __future__ import annotations
 
@@ -22,7 +20,7 @@
 LARGE_NODE_LIST = api.EndpointUpdate(
     "cached", tuple(api.NodeEntry(f"n{shard:02}", shard) for shard in range(LARGE_NODE_COUNT))
 )
-LARGE_COORDINATOR = crc32(b"0") % LARGE_BROKER_COUNT  # the coordinator of shard 0
+LARGE_COORDINATOR = crc32(b"0") % LARGE_BROKER_COUNT  # coordinator of shard 0
 HUNDREDS_BROKER_COUNT, HUNDREDS_SHARD_COUNT = 200, 119
 HUNDREDS_FLEET = replace(SETTINGS, broker_count=HUNDREDS_BROKER_COUNT, shard_count=HUNDREDS_SHARD_COUNT)
 HUNDREDS_FLEETS = {
@@ -37,10 +35,10 @@
 
 
 def start_fleet(settings: api.Settings) -> list[Scheduler]:
-    """Brokers that start at one moment on the same list."""
+    """Start all brokers at the same time with the same endpoint list."""
     brokers = [
-        Scheduler(replace(settings, broker_index=number), 100 + number)
-        for number in range(settings.broker_count)
+        Scheduler(replace(settings, broker_index=broker_index), 100 + broker_index)
+        for broker_index in range(settings.broker_count)
     ]
     endpoint_list = api.EndpointUpdate(
         "cached", tuple(api.NodeEntry(f"n{i:02}", i) for i in range(settings.shard_count))
@@ -51,7 +49,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt: when, by which broker, to which node, of how many units."""
+    """An attempt that a broker has sent to a node."""
 
     at_us: int
     broker: int
@@ -60,8 +58,9 @@
 
 
 class FleetSimulation:
-    """Brokers, datagrams that take 10 ms, nodes that answer after 60 ms or, when unreachable, refuse at
-    once.
+    """Brokers, datagrams that take 10 ms, and nodes.
+
+    By default a node answers after 60 ms; an unreachable node refuses the connection after 1 ms.
     """
 
     def __init__(self, settings: api.Settings, seed: int = 5) -> None:
@@ -70,42 +69,44 @@
         self.random = Random(seed)
         self.settings = settings
         self.brokers = dict(enumerate(start_fleet(settings)))
-        self.deliveries: list[tuple[int, int, api.Event]] = []  # at which time, to which broker
+        self.deliveries: list[tuple[int, int, api.Event]] = []  # time, receiving broker, event
         self.unreachable_nodes: set[str] = set()
         self.attempts: list[SentAttempt] = []
         self.message_count = 0
-        # the shards that clients ask a broker for, where not all
+        # by broker, the shards that its clients request; others: all shards of run()
         self.shards_by_broker: dict[int, list[int]] = {}
-        self.unit_choices: Sequence[float] = (2.0,)  # of a request, drawn
-        self.node_answer: tuple[Any, int] = ("ok", 60_000)  # kind and time
+        self.unit_choices: Sequence[float] = (2.0,)  # units of a request, drawn at random
+        self.node_answer: tuple[Any, int] = ("ok", 60_000)  # outcome and latency of an attempt
         self.drops_message: Callable[[int, int], bool] = lambda sender, receiver: False
-        self.discovery_is_down = False  # it turns every poll away
+        self.discovery_is_down = False  # every poll of the endpoint list fails
         self.on_probe: Callable[[int, str], None] = lambda at_us, node: None
-        self.poll_times: dict[int, list[int]] = defaultdict(list)  # by broker, when
+        self.poll_times: dict[int, list[int]] = defaultdict(list)  # by broker, times of its polls
 
     def publish_endpoints(self, *entries: api.NodeEntry) -> None:
         self.unreachable_nodes |= {entry.node_id for entry in entries if entry.state != "live"}
-        for number in self.brokers:
-            self.deliveries.append((self.now_us, number, api.EndpointUpdate("delta", entries)))
+        for broker_index in self.brokers:
+            self.deliveries.append((self.now_us, broker_index, api.EndpointUpdate("delta", entries)))
 
-    def restart(self, number: int, *endpoint_list: api.NodeEntry) -> None:
-        """Restart a broker without memory, with this cached endpoint list."""
-        self.brokers[number] = Scheduler(replace(self.settings, broker_index=number), 1_000 + number)
-        self.deliveries.append((self.now_us, number, api.EndpointUpdate("cached", endpoint_list)))
+    def restart(self, broker_index: int, *endpoint_list: api.NodeEntry) -> None:
+        """Restart a broker without its former state, with this cached endpoint list."""
+        self.brokers[broker_index] = Scheduler(
+            replace(self.settings, broker_index=broker_index), 1_000 + broker_index
+        )
+        self.deliveries.append((self.now_us, broker_index, api.EndpointUpdate("cached", endpoint_list)))
 
     def run(self, for_us: int, rate: float, shards: Sequence[int], step_us: int = 20_000) -> None:
-        """Each broker gets so many requests a second for these shards (-1: new objects)."""
+        """Advance the time; each broker gets rate requests a second for these shards (-1: new objects)."""
         for _ in range(for_us // step_us):
             self.now_us += step_us
-            events_by_broker: dict[int, list[api.Event]] = {number: [] for number in self.brokers}
-            for at_us, number, event in self.deliveries:
-                if at_us <= self.now_us and number in events_by_broker:
-                    events_by_broker[number].append(event)
+            events_by_broker: dict[int, list[api.Event]] = {broker_index: [] for broker_index in self.brokers}
+            for at_us, broker_index, event in self.deliveries:
+                if at_us <= self.now_us and broker_index in events_by_broker:
+                    events_by_broker[broker_index].append(event)
             self.deliveries = [item for item in self.deliveries if item[0] > self.now_us]
-            for number, broker in self.brokers.items():
+            for broker_index, broker in self.brokers.items():
                 if self.random.random() < rate * step_us / 1_000_000:
                     self.request_count += 1
-                    shard = self.random.choice(self.shards_by_broker.get(number) or shards)
+                    shard = self.random.choice(self.shards_by_broker.get(broker_index) or shards)
                     units, deadline_at_us = self.random.choice(self.unit_choices), self.now_us + 2_000_000
                     arrival = api.Arrival(
                         f"q{self.request_count}",
@@ -116,45 +117,51 @@
                         deadline_at_us,
                         units,
                     )
-                    events_by_broker[number].append(arrival)
-                for action in broker.decide(self.now_us, events_by_broker[number]):
-                    self.perform_action(number, action)
+                    events_by_broker[broker_index].append(arrival)
+                for action in broker.decide(self.now_us, events_by_broker[broker_index]):
+                    self.perform_action(broker_index, action)
 
-    def perform_action(self, number: int, action: api.Action) -> None:
+    def perform_action(self, broker_index: int, action: api.Action) -> None:
         if isinstance(action, api.SendPeerMessage):
             self.message_count += 1
-            if not self.drops_message(number, action.recipient_index):
+            if not self.drops_message(broker_index, action.recipient_index):
                 self.deliveries.append(
                     (
                         self.now_us + 10_000,
                         action.recipient_index,
-                        api.PeerMessageReceived(number, action.body),
+                        api.PeerMessageReceived(broker_index, action.body),
                     )
                 )
         elif isinstance(action, api.WatchEndpoints):
-            self.poll_times[number].append(self.now_us)
+            self.poll_times[broker_index].append(self.now_us)
             if self.discovery_is_down:
-                self.deliveries.append((self.now_us, number, api.EndpointUpdate("failed")))
+                self.deliveries.append((self.now_us, broker_index, api.EndpointUpdate("failed")))
         elif isinstance(action, api.StartProbe):
             self.on_probe(self.now_us, action.node_id)
             kind = "connect_failed" if action.node_id in self.unreachable_nodes else "ok"
-            self.deliveries.append((self.now_us + 10_000, number, api.ProbeFinished(action.node_id, kind)))  # type: ignore[arg-type]
+            self.deliveries.append(
+                (self.now_us + 10_000, broker_index, api.ProbeFinished(action.node_id, kind))
+            )  # type: ignore[arg-type]
         elif isinstance(action, api.StartAttempt):
-            request = self.brokers[number].responses.requests[action.request_id]
-            self.attempts.append(SentAttempt(self.now_us, number, action.node_id, request.arrival.units))
+            request = self.brokers[broker_index].responses.requests[action.request_id]
+            self.attempts.append(
+                SentAttempt(self.now_us, broker_index, action.node_id, request.arrival.units)
+            )
             kind, latency_us = (
                 ("connect_failed", 1_000) if action.node_id in self.unreachable_nodes else self.node_answer
             )
             outcome = api.AttemptFinished(
                 action.request_id, request.attempt_count - 1, action.node_id, kind, latency_us, kind == "ok"
             )
-            self.deliveries.append((self.now_us + latency_us, number, outcome))
+            self.deliveries.append((self.now_us + latency_us, broker_index, outcome))
 
 
 def send_ten_bids(
     coordinator: Scheduler, now: int, served_rate: float, latency_weighted_rate: float
 ) -> list[api.Action]:
-    """Bids of ten brokers on shard 0, each offering 4 units a second."""
+    """Send a coordinator the bids of ten brokers on shard 0, each with a demand of 4 units a second."""
     bid = bid_datagram(0, [4.0, *[0.0] * (PRIORITY_BAND_COUNT - 1)], served_rate, latency_weighted_rate)
-    bidders = [number for number in range(LARGE_BROKER_COUNT) if number != LARGE_COORDINATOR][:10]
-    return coordinator.decide(now, [api.PeerMessageReceived(number, bid) for number in bidders])
+    bidders = [
+        broker_index for broker_index in range(LARGE_BROKER_COUNT) if broker_index != LARGE_COORDINATOR
+    ][:10]
+    return coordinator.decide(now, [api.PeerMessageReceived(broker_index, bid) for broker_index in bidders])
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases on plans' limits: elections under every schedule of losses, crashes and stalls."""
+"""Leases of rate limits: elections under message loss, crashes, stalls and clock drift."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 def run_elections(seed: int, brokers: int, loss_ratio: float) -> Iterator[tuple[int, list[int]]]:
-    """For a minute, each 10 ms: the time, and who holds lease 0, as each broker sees it by its own clock.
+    """Yield, every 10 ms for a minute, the time and the brokers that hold slot 0 by their own clocks.
 
-    Messages are lost, late and doubled; brokers crash, restart without memory, and stall for a while.
+    Messages are lost, delayed and duplicated; brokers crash, restart without their state, and stall for up to
+    3 s.
     """
     random = Random(seed)
     drift = [1 + random.uniform(-0.004, 0.004) for _ in range(brokers)]
@@ -58,15 +59,17 @@
 @pytest.mark.parametrize("brokers", [2, 3, 5, 8])
 @pytest.mark.parametrize("seed", range(6))
 def test_no_two_brokers_hold_a_lease_at_once(brokers: int, seed: int) -> None:
-    """Messages are lost, late and doubled; brokers crash, restart and stall; clocks drift.
+    """Messages are lost, delayed and duplicated; brokers crash, restart and stall; clocks drift.
 
-    A broker that stalled holds its lease by its own clock when it goes on, or not at all.
+    A broker that resumes after a stall holds its lease only if the lease is still valid by its own clock.
     """
     held_count = 0
     for _, holders in run_elections(seed, brokers, 0.3):
         assert len(holders) <= 1
         held_count += len(holders)
-    assert held_count > 3_000 or brokers == 2  # of 6,000 checks; two brokers elect nobody while one is down
+    assert (
+        held_count > 3_000 or brokers == 2
+    )  # of 6,000 checks; a group of two elects no holder while one broker is down
 
 
 def test_without_faults_a_lease_is_held_from_soon_after_the_start_on() -> None:
@@ -82,8 +85,9 @@
 
 
 def test_a_broker_that_has_just_started_votes_for_nobody() -> None:
-    """A broker votes, restarts, and does not remember its vote. A second vote in the same time would make two
-    holders."""
+    """A broker votes, restarts, and does not remember its vote. A second vote within the same lease time
+    could make two brokers hold the slot.
+    """
     restarted = Leases(1, 3, 10 * SECOND_US)
     assert not restarted.grant_vote(10 * SECOND_US, 0, 0) and not restarted.grant_vote(
         10 * SECOND_US + LEASE_US - 1, 0, 0
@@ -94,9 +98,9 @@
 
 
 def test_of_two_candidates_that_need_each_others_vote_the_first_of_the_group_wins() -> None:
-    """Of three brokers one is dead, and the two others stand for the same lease at the same time.
+    """One of three brokers is dead, and the two others become candidates for the same slot at the same time.
 
-    One must give way, or neither ever wins. Late votes for the one that gave way make no lease.
+    One must give way, or neither ever wins. Late votes for the candidate that gave way make no lease.
     """
     first, last = Leases(0, 3, 0), Leases(1, 3, 0)
     now = 2 * LEASE_US
@@ -116,7 +120,7 @@
 
 
 def test_votes_of_outsiders_and_for_older_ballots_do_not_count() -> None:
-    """Votes come from brokers outside of the group, for older ballots, or twice."""
+    """Votes arrive from brokers outside the group, for older ballots, or twice."""
     leases = Leases(0, 8, 0)
     requests = [request for request in leases.request_votes(LEASE_US) if request[1] == 0]
     assert {broker for broker, _, _ in requests} == {1, 2, 3, 4}
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -1,4 +1,4 @@
-"""Quota grants: what a lease holder grants, what is returned, and the credit at the broker that asked."""
+"""Grants of a rate limit: the units granted and returned, and the credit of the requesting broker."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class GrantingBroker:
-    """A broker that holds slot 0 of two, and grants units at 10 a second, 16 at once."""
+    """One of two brokers, which holds slot 0 and grants 10 units a second and at most 16 at once."""
 
     def __init__(self) -> None:
         self.leases = Leases(0, 2, 0)
@@ -34,57 +34,60 @@
 
 
 def test_a_token_bucket_starts_empty_and_fills_at_the_rate_up_to_the_burst() -> None:
-    """A new lease holder does not know what the last one granted just before. Its bucket starts empty."""
+    """A new lease holder does not know the last grants of the previous holder, so its bucket starts empty."""
     holder = GrantingBroker()
     assert holder.grant(LEASE_US, 1, 0, QuotaDemand(9, 0, 5, 1)) == 0
-    holder.hold_until(10 * SECOND_US)  # hold on
-    # what another holder granted just before is spent or has expired first
+    holder.hold_until(10 * SECOND_US)
+    # first, the grants of the previous holder are spent or expire
     filled_us = SECOND_US // 2 + CREDIT_LIFETIME_US
     assert holder.grant(LEASE_US + filled_us, 1, 0, QuotaDemand(9, 0, 5, 2)) == 5
-    # another volume, unused for long
+    # another volume, which has been idle for long
     assert holder.grant(9 * SECOND_US, 1, 2, QuotaDemand(99, 0, 5, 1)) == 16
 
 
 def test_a_token_bucket_is_not_filled_in_place_of_units_returned_later() -> None:
-    """Granted units are not spent and come back later. If the bucket were filled meanwhile in their place,
-    both would be spent at once.
+    """Granted units are not spent and are returned later. If the bucket filled up in their place meanwhile,
+    both could be spent at once.
     """
     holder = GrantingBroker()
     holder.hold_until(20 * SECOND_US)
     now = 5 * SECOND_US
     assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 5, 1)) == 10
-    now += SECOND_US  # an unbounded bucket would be full again
+    now += SECOND_US  # a bucket that ignored outstanding units would be full again
     taken = holder.grant(now, 0, 0, QuotaDemand(99, 0, 6, 1))
     returned = holder.grant(now, 1, 0, QuotaDemand(99, 0, 5, 2))
     assert taken == 6 and returned == 10
-    # after so long nothing does
+    # after RECLAIM_US no units are returned any more
     assert holder.grant(now + RECLAIM_US + 1, 1, 0, QuotaDemand(99, 0, 5, 3)) == 16
 
 
 def test_units_granted_and_not_spent_are_returned_and_spent_ones_are_not() -> None:
-    """Requests for quota come twice, late, after a restart of the broker, and with counters that wrap
-    around.
-    """
+    """Requests for units arrive twice, late, after a broker restart, and with counters that wrap around."""
     holder = GrantingBroker()
     holder.hold_until(10 * SECOND_US)
     now = 5 * SECOND_US
     assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 5, 250)) == 10
-    assert holder.grant(now, 1, 0, QuotaDemand(10, 3, 5, 251)) == 10  # 7 came back to the 6 that were left
-    assert holder.grant(now, 1, 0, QuotaDemand(10, 3, 5, 251)) is None  # it came twice
-    assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 5, 250)) is None  # it came late
+    assert (
+        holder.grant(now, 1, 0, QuotaDemand(10, 3, 5, 251)) == 10
+    )  # 7 units were returned to the 6 that were left
+    assert holder.grant(now, 1, 0, QuotaDemand(10, 3, 5, 251)) is None  # a duplicate
+    assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 5, 250)) is None  # a late request
     assert holder.grant(now, 1, 0, QuotaDemand(10, 13, 5, 252 % REQUEST_NUMBER_COUNT)) == 3
-    assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 6, 1)) == 0  # restarted: nothing is known to come back
+    assert (
+        holder.grant(now, 1, 0, QuotaDemand(10, 0, 6, 1)) == 0
+    )  # after a restart no unspent units are known
     wrapped = holder.grant(
         now + SECOND_US, 1, 0, QuotaDemand(5, UNIT_COUNTER_COUNT - 2, 7, REQUEST_NUMBER_COUNT - 1)
     )
-    # 3 sent, 2 back
+    # 3 were sent and 2 returned
     assert wrapped == 5 and holder.grant(now + SECOND_US, 1, 0, QuotaDemand(9, 1, 7, 0)) == 7
 
 
 def test_a_broker_that_was_cut_off_for_long_is_answered_at_once() -> None:
-    """A broker was cut off from the lease holder for long. Its requests were lost, and their numbers may be
-    anything by now."""
-    # while a request may be late, its number tells
+    """A broker was disconnected from the lease holder for long. Its requests were lost, so the number of its
+    next request may be any.
+    """
+    # within RECLAIM_US, the number shows whether a request is late
     assert RECLAIM_US / QUOTA_RETRY_US < REQUEST_NUMBER_COUNT / 2
     holder = GrantingBroker()
     holder.hold_until(40 * SECOND_US)
@@ -97,7 +100,7 @@
 
 
 def test_only_the_lease_holder_grants_and_a_lease_lost_meanwhile_empties_the_bucket() -> None:
-    """A broker loses its lease and wins it again. Another one may have granted units meanwhile."""
+    """A broker loses its lease and wins it again. Another broker may have granted units meanwhile."""
     holder = GrantingBroker()
     holder.hold_until(5 * SECOND_US)
     assert holder.grant(4 * SECOND_US, 1, 0, QuotaDemand(10, 0, 5, 1)) == 10
@@ -109,7 +112,7 @@
 
 
 def test_quota_credit_counts_for_the_last_request_only_and_expires() -> None:
-    """A grant comes late, twice, or for a request that was made anew."""
+    """A grant arrives late, twice, or for a request that a newer one has replaced."""
     credit = QuotaCredit()
     credit.request(0, 4, 2, 60_000)
     assert (
@@ -121,6 +124,6 @@
     credit.spend(3.0)
     assert credit.covers(CREDIT_LIFETIME_US, 1) and not credit.covers(CREDIT_LIFETIME_US, 2)
     credit.request(40_000, 4, 2, 100_000)
-    # requested anew: the old grant is void
+    # the new request has voided the old grant
     assert not credit.covers(40_000, 1) and not credit.accept(50_000, 1, 9)
     assert credit.accept(50_000, 2, 1, rate=10.0) and credit.is_short and credit.retry_at_us == 150_000
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits of plans: kept and used by all brokers together, and split where they cannot talk."""
+"""Rate limits of plans: shared by all brokers, or split evenly if brokers exchange no messages."""
 
 from __future__ import annotations
 
@@ -40,16 +40,17 @@
 def test_a_limit_is_kept_and_used_under_loss_crashes_restarts_and_a_changing_busiest_broker(
     brokers: int, hosts: list[int], seed: int
 ) -> None:
-    """Surges of five times the limit, 30% of messages lost, one broker dead and one restarted.
+    """The load is up to five times the rate limit, 30% of messages are lost, one broker is dead and one
+    restarts.
 
-    The limit is never exceeded, in rate or in burst, not even by its slack, and nine tenths of it are used.
+    The limit is never exceeded, in rate or in burst, not even by its slack, and more than 90% of it are used.
     """
     used, lowest = run_case(brokers, hosts, seed)
     assert lowest >= 0 and used > 0.9
 
 
-def test_the_simulated_runs_can_fail(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check of the checker: brokers that each believe to hold the lease grant the limit twice."""
+def test_the_simulation_detects_an_exceeded_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Brokers that all believe they hold the lease exceed the limit, and the simulation must detect that."""
     monkeypatch.setattr(
         Leases, "is_holder", lambda self, slot, now_us: self.slots[slot].promised_until_us > 0
     )
@@ -58,8 +59,9 @@
 
 
 def test_isolated_brokers_send_nothing_of_a_shared_limit_and_resume_when_reconnected() -> None:
-    """A broker is cut off and can't know what the others send, so it sends nothing: safe before quick. The
-    majority goes on."""
+    """A disconnected broker can't know what the others send, so it sends nothing. The majority continues to
+    use the limit.
+    """
     simulation = SharedLimitSimulation(3, [0, 1, 2], 1, loss_ratio=0.0)
     simulation.run(3 * SECOND_US, 0, 50.0)
     simulation.cut_off = {0}
@@ -92,8 +94,8 @@
 
 
 def test_a_reload_keeps_leases_and_another_broker_count_ends_them() -> None:
-    """A reload changes the number of brokers, so leases are won in other groups. Votes from before must
-    not count.
+    """A reload changes the number of brokers and with it the groups that elect lease holders. Votes given
+    before the reload must not count.
     """
     broker = BrokerUnderTest(broker_count=3, plans=PLANS)
     broker.advance(SECOND_US)
@@ -109,7 +111,7 @@
 
 
 def test_a_clients_retry_does_not_wait_for_an_empty_token_bucket() -> None:
-    """The bucket of a plan is empty. What it is filled with goes to first attempts, which can be in time."""
+    """The token bucket is empty. New units go to first requests, whose answers can still be in time."""
     broker = BrokerUnderTest(peer_messages_allowed=False, plans=PLANS)
     broker.advance(100_000)
     first = broker.request(plan=0, sharing_broker_count=1, units=3.0)
@@ -119,8 +121,8 @@
 
 
 def test_brokers_without_peer_messages_split_a_plans_limit_and_start_spent() -> None:
-    """Brokers can't talk to each other. Each takes its part of a plan's limit, and after a restart counts
-    it as spent.
+    """Brokers exchange no messages. Each uses its part of the rate limit, and after a restart counts the part
+    as spent.
     """
     broker = BrokerUnderTest(peer_messages_allowed=False)
     assert not started_attempts(broker.request(plan=1, sharing_broker_count=2, volume="w"))
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -1,6 +1,4 @@
-"""A plan's limit kept by whole brokers on the virtual network, with HTTP and datagrams; checked at the
-node.
-"""
+"""Whole brokers keep a plan's rate limit on a virtual network with HTTP and datagrams, as the node checks."""
 
 from __future__ import annotations
 
@@ -19,14 +17,18 @@
 from harriertide.platform.configuration import Config
 from harriertide.platform.endpoint_page import parse_page
 
-LIMIT, BURST, SLACK = PLANS[0].rate_limit, PLANS[0].burst_limit_units, 6.0  # one of the largest requests
-MAX_DELAY_S = 0.15  # what the limit allows in so long is slack too, on sockets
+LIMIT, BURST, SLACK = (
+    PLANS[0].rate_limit,
+    PLANS[0].burst_limit_units,
+    6.0,
+)  # slack: the units of the largest request
+MAX_DELAY_S = 0.15  # on sockets, the units that the limit allows in this time are slack too
 FIRST_PORT = 29_500
 
 
 class LimitChecker:
-    """The only node. It keeps the token bucket as the rule defines it: a request takes its units with its
-    last byte.
+    """The only node. It keeps a token bucket by the definition of the rate limit: a request takes its units
+    when its last byte arrives.
     """
 
     def __init__(self) -> None:
@@ -55,7 +57,7 @@
 
 
 class BrokerFleet:
-    """Daemons with one node and one volume, and their clients."""
+    """Broker daemons with one node and one volume, and their clients."""
 
     def __init__(self, broker_count: int, seed: int) -> None:
         self.broker_count = broker_count
@@ -80,7 +82,7 @@
         await daemon.start()
 
     async def kill(self, broker_index: int) -> None:
-        """Crash a broker: its sockets end, and the requests that it had accepted are lost."""
+        """Crash a broker: its sockets close, and the requests that it has accepted are lost."""
         daemon = self.daemons.pop(broker_index)
         assert daemon.peers is not None and daemon.watch is not None
         daemon.peers.close()
@@ -92,7 +94,7 @@
         await daemon.client.close()
 
     async def offer(self, for_s: float, busiest: int, hosts: list[int], rate: float = 50.0) -> None:
-        """Requests of 1 to 3 units, nine in ten through the busiest broker, answered or not."""
+        """Send requests of 1 to 3 units, 90% of them to the busiest broker, without waiting for answers."""
         loop = asyncio.get_running_loop()
         end = loop.time() + for_s
         while loop.time() < end:
@@ -119,11 +121,14 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.close()
         except (asyncio.IncompleteReadError, ConnectionError):
-            pass  # its broker has crashed
+            pass  # the broker has crashed
 
 
 async def run_fleet(broker_count: int, hosts: list[int], seed: int) -> tuple[float, float]:
-    """The part of the limit that is used once one broker is dead and one restarted, and the lowest level."""
+    """Run a fleet in which one broker dies and one restarts.
+
+    :returns: the part of the limit that is used after that, and the lowest level of the checker's bucket
+    """
     fleet = BrokerFleet(broker_count, seed)
     server = await asyncio.start_server(fleet.checker.serve, "127.0.0.1", 0)
     node_address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
@@ -152,8 +157,8 @@
 
 @pytest.mark.parametrize(("broker_count", "hosts"), [(3, [0, 1, 2]), (4, [1, 3]), (5, [0, 2, 4])])
 def test_whole_brokers_keep_a_limit_and_use_it(broker_count: int, hosts: list[int]) -> None:
-    """30% of datagrams are lost, others 1.4 to 35 ms late; one broker is dead, one restarted, and the
-    busiest one changes each 3 s.
+    """30% of datagrams are lost and the others delayed by 1.4 to 35 ms; one broker is dead, one has
+    restarted, and the busiest broker changes every 3 s.
     """
     random = Random(broker_count)
 
@@ -168,7 +173,10 @@
 
 
 def test_without_leases_the_checker_finds_the_limit_exceeded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check of the checker: each broker believes to hold the lease and spends the whole limit."""
+    """Brokers that all believe they hold the lease each spend the whole limit.
+
+    The checker must detect that the limit is exceeded.
+    """
     from harriertide.decide.leases import Leases
 
     monkeypatch.setattr(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked at construction; the README's example runs as written."""
+"""Range checks of settings at construction, and the example of the README."""
 
 import re
 import subprocess
@@ -67,8 +67,8 @@
     text = (ROOT / "README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code
-    run = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code[1]], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    said = re.search(r"It prints\n\n((?:    .*\n)+)", text)
-    assert said and run.stdout.strip() == said[1].strip()
+    expected_output = re.search(r"It prints\n\n((?:    .*\n)+)", text)
+    assert expected_output and result.stdout.strip() == expected_output[1].strip()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget of a warming node at one broker, its growth, and the grants of its coordinators."""
+"""Slow start at one broker: a warming node's budget, its growth, and the grants of its coordinators."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     assert 0 < sent <= 24 / 2
 
 
-def test_answers_of_a_warming_node_prove_what_it_bears() -> None:
-    """Units over the time that they took are at most what one core does; the multiple is over all cores.
-    What a node did before it restarted proves nothing.
+def test_answers_of_a_warming_node_raise_its_budget() -> None:
+    """Answered units over the time that the answers took are at most the rate of one core, while
+    collapse_load_ratio applies to the whole node. Answers from before the node's restart do not count.
     """
     quick_broker, slow_broker = (
         broker_with_warming_node(collapse_load_ratio=2.5),
@@ -55,11 +55,11 @@
     node = quick_broker.scheduler.endpoints.nodes["n0"]
     restarted = api.NodeEntry("n0", 0, "live", 0, quick_broker.now_us)
     quick_broker.handle(api.EndpointUpdate("delta", (restarted,)))
-    assert node.measured_units == node.answered_units == 0  # what it did before the restart proves nothing
+    assert node.measured_units == node.answered_units == 0  # the answers from before the restart do not count
 
 
-def test_an_answer_to_an_attempt_sent_before_a_node_restarted_proves_nothing() -> None:
-    """Guards against what the process before could do, read after the news of the restart, as a measure."""
+def test_an_answer_to_an_attempt_sent_before_a_node_restarted_is_not_measured() -> None:
+    """The answer is read after the news of the restart, but shows the capacity of the process before it."""
     broker = BrokerUnderTest()
     (attempt,) = started_attempts(broker.request(units=8.0))
     restarted = api.NodeEntry("n0", 0, "live", 0, broker.now_us + 5_000)
@@ -69,9 +69,9 @@
     assert node.answered_units == 0 and node.answered_us == 0
 
 
-def test_a_few_quick_answers_prove_little() -> None:
-    """A node that has just started answers a few reads quickly, from data that it still remembered. They
-    cost it less than others, and do not prove what it bears.
+def test_a_few_quick_answers_barely_raise_the_budget() -> None:
+    """A node that has just started answers a few reads quickly from cached data. These reads cost less than
+    others, so they do not show the node's capacity.
     """
     broker = broker_with_warming_node(collapse_load_ratio=2.5)
     for _ in range(2):
@@ -84,7 +84,7 @@
 
 
 def grant_for(datagram: bytes) -> bytes:
-    """The grant that answers a grant request."""
+    """Return the datagram with the grant that answers a grant request."""
     (request,) = decode(datagram)
     assert isinstance(request, SlowStartRequest)
     return encode([SlowStartGrant(*(getattr(request, name) for name in request.__slots__))])[0]
@@ -112,7 +112,7 @@
 
 
 def test_a_late_slow_start_grant_has_expired() -> None:
-    """A grant is delayed on the network. The coordinator has given its units to others by then."""
+    """A grant is delayed on the network. The coordinator may have granted its units to others by then."""
     broker = broker_with_warming_node(broker_index=150, broker_count=200)
     grant_request = peer_datagrams(broker.request(), SlowStartRequest)[0]
     broker.now_us += CREDIT_LIFETIME_US + 1
@@ -129,15 +129,15 @@
 
 
 def test_a_restarted_broker_takes_a_warming_nodes_window_as_spent() -> None:
-    """A broker restarts while a node warms up. It does not know what it granted before."""
+    """A broker restarts while a node warms up, and does not know the units that it granted before."""
     broker = BrokerUnderTest((api.NodeEntry("n0", 0, "live", 0, 49_900_000),))
     assert offer_without_end(broker, 1_400_000) == 0
     assert offer_without_end(broker, 1_000_000) > 0
 
 
 def test_a_reload_of_slow_start_settings_leaves_no_budget_to_spend_twice() -> None:
-    """A reload gives a warming node's budget to one coordinator in place of two. Each window ends first,
-    or both would spend it.
+    """A reload assigns a warming node's budget to one coordinator in place of two. The current window has to
+    end first, or both coordinators could grant the budget.
     """
     broker = start_fleet(LARGE_FLEET)[LARGE_COORDINATOR]
     warming_node = api.NodeEntry("n00", 0, "live", 0, START_US)
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""Slow start in a fleet: what all brokers together send to a warming node stays within its budget."""
+"""Slow start in a fleet: all brokers together send no more to a warming node than its budget."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 def test_coordinators_of_a_warming_node_together_stay_within_its_budget(
     brokers: int, slow_start_units: float, max_delay_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Many brokers send to a warming node; messages are late or lost, and brokers restart. No window holds
-    more than the node's budget, as nothing that the node answers proves more.
+    """Many brokers send to a warming node; messages are late or lost, and brokers restart. Answers do not
+    raise the budget here, and the units sent in each window stay within it.
 
-    Two coordinators share 24 units; of 5 units neither half would cover a large request, so one coordinator
-    has all.
+    Two coordinators share a budget of 24 units. Half of 5 units would not cover a large request, so one
+    coordinator has all 5.
     """
     monkeypatch.setattr(warming, "SAFE_RATE_WEIGHT_REQUESTS", 1e9)
     random, start = Random(3), START_US + 3_000_000
@@ -96,15 +96,15 @@
 @pytest.mark.parametrize(
     "case", ["seven in ten crash with both coordinators", "coordinator and standby are cut off"]
 )
-@pytest.mark.parametrize("slow_start_units", [5.0, 24.0])  # one coordinator has all of 5 units; two share 24
+@pytest.mark.parametrize("slow_start_units", [5.0, 24.0])  # one coordinator has all 5 units; two share 24
 @pytest.mark.parametrize("fleet_name", HUNDREDS_FLEETS)
 def test_units_sent_to_a_warming_node_by_all_brokers_stay_within_its_budget(
     case: str, slow_start_units: float, fleet_name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Brokers come back without memory of what they granted, or the two coordinators don't hear of each
+    """Brokers restart without knowing what they granted, or the two coordinators are partitioned from each
     other.
 
-    Nothing that the node answers proves more here, as in the window after each loss of memory.
+    Answers do not raise the budget here, as in the window after a coordinator has lost its state.
     """
     monkeypatch.setattr(warming, "SAFE_RATE_WEIGHT_REQUESTS", 1e9)
     slow_start = {
@@ -116,7 +116,7 @@
     )
     coordinators = simulation.brokers[0].context.derived.coordinators(0)
     users = {*simulation.random.sample(range(HUNDREDS_BROKER_COUNT), 40), *coordinators}
-    simulation.brokers = {number: simulation.brokers[number] for number in sorted(users)}
+    simulation.brokers = {broker_index: simulation.brokers[broker_index] for broker_index in sorted(users)}
     simulation.unit_choices = (1.0, 2.0, 3.0, 4.0)
     start = simulation.now_us + SECOND_US
     warming_node = api.NodeEntry("n00", 0, "live", 0, start)
@@ -125,13 +125,13 @@
     simulation.run(SECOND_US, 15.0, [0])
     if case.startswith("seven"):
         killed = [*coordinators, *(n for n in simulation.brokers if n not in coordinators)][:29]
-        for number in killed:
-            del simulation.brokers[number]
-        simulation.run(200_000, 15.0, [0])  # they are back within the window of what the coordinators granted
-        for number in killed:
-            simulation.restart(number, warming_node)
+        for broker_index in killed:
+            del simulation.brokers[broker_index]
+        simulation.run(200_000, 15.0, [0])  # they restart within the window of the coordinators' grants
+        for broker_index in killed:
+            simulation.restart(broker_index, warming_node)
     else:
-        side_by_broker = {number: number % 2 for number in simulation.brokers} | {
+        side_by_broker = {broker_index: broker_index % 2 for broker_index in simulation.brokers} | {
             coordinators[0]: 0,
             coordinators[1]: 1,
         }
@@ -140,7 +140,7 @@
         )
     simulation.run(4 * SECOND_US, 15.0, [0])
     sent = [(attempt.at_us, attempt.units) for attempt in simulation.attempts if attempt.at_us >= start]
-    # it is used all the same
+    # the budget is used nevertheless
     assert sum(units for at_us, units in sent if at_us > start + 3 * SECOND_US) > slow_start_units
     for at_us, _ in sent:
         growth = 1 + max(0, at_us - SETTINGS.collapse_window_us - start) / SETTINGS.slow_start_us * (
--- a/tests/test_slow_start_collapse.py
+++ b/tests/test_slow_start_collapse.py
@@ -1,6 +1,7 @@
-"""A warming node under all brokers together, against what it can really do: it does not collapse.
+"""Slow start against the real capacity of a warming node: all brokers together do not make the node collapse.
 
-The node serves requests in order of arrival on its cores and gets faster evenly; nobody is told how fast.
+The node serves requests in order of arrival on its cores and gets faster evenly; the brokers do not know its
+speed.
 """
 
 from __future__ import annotations
@@ -40,9 +41,11 @@
 
 
 class WarmingNode:
-    """A node that starts at a part of what its cores do and warms evenly; work in seconds of one core.
+    """A node that starts at a part of its cores' full speed and warms up evenly; work is in seconds of one
+    core.
 
-    It serves in order of arrival, each request on one core. Whether it collapses shows in what it was sent.
+    The node serves requests in order of arrival, each on one core. heaviest_window() shows whether it
+    collapses.
     """
 
     def __init__(self, cores: int, speed: float, started_us: int, seed: int) -> None:
@@ -51,7 +54,7 @@
         self.sent: list[tuple[int, float]] = []
 
     def work_rate(self, at_us: int) -> float:
-        """Work a second that it can do then."""
+        """Return the work a second that the node can do at that time."""
         warm = min(1.0, (at_us - self.started_us) / SETTINGS.slow_start_us)
         return (
             len(self.core_free_at_us)
@@ -60,19 +63,19 @@
         )
 
     def serve(self, now_us: int, units: float) -> int:
-        """When it answers. Work by unit varies, and a third costs half, as the data is remembered."""
-        half = 0.5 if self.random.random() < 0.33 else 1.0
-        work = units * 0.012 * self.random.lognormvariate(0, 0.4) * half
+        """Serve a request and return the answer time. Work varies; a third are cache hits that cost half."""
+        cost_factor = 0.5 if self.random.random() < 0.33 else 1.0
+        work = units * 0.012 * self.random.lognormvariate(0, 0.4) * cost_factor
         self.sent.append((now_us, work))
         core = min(range(len(self.core_free_at_us)), key=lambda i: self.core_free_at_us[i])
-        begin = max(now_us, self.core_free_at_us[core])
-        self.core_free_at_us[core] = begin + int(
-            work / (self.work_rate(begin) / len(self.core_free_at_us)) * SECOND_US
+        begin_us = max(now_us, self.core_free_at_us[core])
+        self.core_free_at_us[core] = begin_us + int(
+            work / (self.work_rate(begin_us) / len(self.core_free_at_us)) * SECOND_US
         )
         return self.core_free_at_us[core]
 
     def heaviest_window(self) -> float:
-        """The most work that a window was sent, against what it can do at the window's start."""
+        """Return the largest ratio of the work sent in a window to the capacity at the window's start."""
         largest_ratio, first, work = 0.0, 0, 0.0
         for at_us, more_work in self.sent:
             work += more_work
@@ -87,10 +90,10 @@
 
 
 def run_warming_node(cores: int, brokers: int, loss_ratio: float) -> tuple[float, float]:
-    """All brokers offer requests for a node without end while it warms up; messages are late, lost and
-    doubled.
+    """All brokers send requests for a node without pause while it warms up; messages are delayed, lost and
+    duplicated.
 
-    :returns: the units that it was sent, and its heaviest window
+    :returns: the units that the node was sent, and its heaviest window
     """
     random = Random(cores)
     settings = replace(SETTINGS, broker_count=brokers, slow_start_units=6.0, collapse_load_ratio=2.5)
@@ -134,23 +137,23 @@
 
 @pytest.mark.parametrize("cores", [1, 2, 8])
 @pytest.mark.parametrize(("brokers", "loss_ratio"), [(4, 0.3), (40, 0.1)])
-def test_a_warming_node_is_used_as_it_proves_and_never_collapses(
+def test_a_warming_node_gets_load_by_its_answers_and_never_collapses(
     cores: int, brokers: int, loss_ratio: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A node of 1, 2 or 8 cores warms up under 4 or 40 brokers that offer without end; nobody knows its
-    cores.
+    """A node of 1, 2 or 8 cores warms up under 4 or 40 brokers that send requests without pause and do not
+    know its number of cores.
 
-    It gets more as its answers prove that it bears more, and never so much that it collapses.
+    The load rises as the node's answers show more capacity, and never so far that the node collapses.
     """
     units, heaviest = run_warming_node(cores, brokers, loss_ratio)
     assert heaviest < 2.5
-    monkeypatch.setattr(warming, "SAFE_RATE_WEIGHT_REQUESTS", 1e9)  # no number of answers proves anything
+    monkeypatch.setattr(warming, "SAFE_RATE_WEIGHT_REQUESTS", 1e9)  # answers do not raise the budget
     assert units > (1.0 if cores == 1 else 1.5) * run_warming_node(cores, brokers, loss_ratio)[0]
 
 
 class WarmingNodeSimulation(FleetSimulation):
-    """A fleet whose node n00 starts cold, and may start again; datagrams are lost, brokers lose their
-    memory.
+    """A fleet whose node n00 starts cold and may restart; datagrams are lost, and brokers may restart without
+    their state.
     """
 
     def __init__(self, settings: api.Settings, seed: int, loss_ratio: float) -> None:
@@ -159,42 +162,43 @@
         self.started_us = self.now_us
         self.drops_message = lambda sender, receiver: self.random.random() < loss_ratio
         self.unit_choices = (1.0, 1.0, 2.0, 4.0)
-        self.known_start_by_broker: dict[int, int] = {}  # the last start that each broker knows of
-        self.informed_sends: list[tuple[int, float]] = []  # sent by those who knew of the start
+        self.known_start_by_broker: dict[int, int] = {}  # the node's last start that each broker knows of
+        self.informed_sends: list[tuple[int, float]] = []  # time and units, by brokers that know of the start
 
     def speed(self, at_us: int) -> float:
-        """Of full speed."""
+        """Return the node's speed as a part of its full speed."""
         return min(
             1.0,
             INITIAL_SPEED_RATIO + (1 - INITIAL_SPEED_RATIO) * max(0, at_us - self.started_us) / WARM_UP_US,
         )
 
     def start_node(self, spread_us: int) -> None:
-        """It starts now; brokers learn of that at different times."""
+        """Start the node now; brokers learn of it at different times within spread_us."""
         self.started_us, self.core_free_at_us = self.now_us, [self.now_us] * CORE_COUNT
         entry = api.NodeEntry("n00", 0, "live", 0, self.now_us)
-        for number in self.brokers:
+        for broker_index in self.brokers:
             self.deliveries.append(
                 (
                     self.now_us + int(self.random.random() * spread_us),
-                    number,
+                    broker_index,
                     api.EndpointUpdate("delta", (entry,)),
                 )
             )
 
-    def restart_informed(self, number: int) -> None:
-        """A broker that was killed is back, with the list as it is."""
+    def restart_informed(self, broker_index: int) -> None:
+        """Restart a killed broker with the current endpoint list."""
         self.restart(
-            number, *(api.NodeEntry(f"n0{i}", i, "live", 0, 0 if i else self.started_us) for i in range(3))
+            broker_index,
+            *(api.NodeEntry(f"n0{i}", i, "live", 0, 0 if i else self.started_us) for i in range(3)),
         )
 
-    def perform_action(self, number: int, action: api.Action) -> None:
+    def perform_action(self, broker_index: int, action: api.Action) -> None:
         if not isinstance(action, api.StartAttempt) or action.node_id != "n00":
-            super().perform_action(number, action)
+            super().perform_action(broker_index, action)
             return
-        request = self.brokers[number].responses.requests[action.request_id]
+        request = self.brokers[broker_index].responses.requests[action.request_id]
         units = request.arrival.units
-        if self.brokers[number].endpoints.nodes["n00"].started_us == self.started_us:
+        if self.brokers[broker_index].endpoints.nodes["n00"].started_us == self.started_us:
             self.informed_sends.append((self.now_us, units))
         core = self.core_free_at_us.index(min(self.core_free_at_us))
         self.core_free_at_us[core] = max(self.now_us, self.core_free_at_us[core]) + int(
@@ -204,37 +208,37 @@
         outcome: Any = api.AttemptFinished(
             action.request_id, request.attempt_count - 1, "n00", "ok", latency_us, True
         )
-        self.deliveries.append((self.now_us + latency_us, number, outcome))
+        self.deliveries.append((self.now_us + latency_us, broker_index, outcome))
 
 
 @pytest.mark.parametrize("brokers", [4, 20, 30, 200])
 @pytest.mark.parametrize(
     "case", ["published at once", "published late, a fifth lost", "a third restarts", "starts twice"]
 )
-def test_a_warming_node_bears_what_all_informed_brokers_send(brokers: int, case: str) -> None:
+def test_informed_brokers_together_do_not_overload_a_warming_node(brokers: int, case: str) -> None:
     """A node starts cold under 4 to 200 brokers: they learn of it at different times, messages are lost,
     brokers restart, or the node starts twice.
 
-    What informed brokers send in any window stays under what the settings allow it then, N, and 2 root N + 2
-    for chance.
+    The number N of mean requests that the settings allow in a window is exceeded by informed brokers by at
+    most 2 * sqrt(N) + 2, which allows for random variation.
     """
     simulation = WarmingNodeSimulation(
         replace(WARMING_SETTINGS, broker_count=brokers),
         seed=brokers,
         loss_ratio=0.0 if case == "published at once" else 0.2,
     )
-    rate = 240 / brokers  # requests a second of each broker: several times what the node does
+    rate = 240 / brokers  # requests a second at each broker: several times the node's capacity
     simulation.run(SECOND_US, rate, [0, 0, 1])
     simulation.start_node(0 if case == "published at once" else 3 * SECOND_US)
     first_start_us = simulation.started_us
     simulation.run(2 * SECOND_US, rate, [0, 0, 1])
-    if case == "a third restarts":  # both coordinators of its budget among them
+    if case == "a third restarts":  # both coordinators of the node's budget restart too
         restarting = sorted({*simulation.brokers[0].context.derived.coordinators(0), *range(0, brokers, 3)})
-        for number in restarting:
-            del simulation.brokers[number]
+        for broker_index in restarting:
+            del simulation.brokers[broker_index]
         simulation.run(300_000, rate, [0, 0, 1])
-        for number in restarting:
-            simulation.restart_informed(number)
+        for broker_index in restarting:
+            simulation.restart_informed(broker_index)
     if case == "starts twice":
         simulation.run(SECOND_US // 2, rate, [0, 0, 1])
         simulation.start_node(2 * SECOND_US)
@@ -242,9 +246,9 @@
         simulation.informed_sends.clear()
     simulation.run(8 * SECOND_US, rate, [0, 0, 1])
     mean = WARMING_SETTINGS.mean_request_units
-    # requests of mean work in a window, at full speed
+    # mean requests in a window at full speed
     full_speed_requests = CORE_COUNT / UNIT_US * WARMING_SETTINGS.collapse_window_us / mean
-    # it is used
+    # the node is used
     assert (
         sum(units for at_us, units in simulation.informed_sends if at_us > first_start_us + 3 * SECOND_US)
         > WARMING_SETTINGS.slow_start_units
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,8 +1,8 @@
-"""What an earlier release has stored or sent is read, and written again, byte for byte.
+"""Files and messages of an earlier release are read, and written again byte for byte.
 
-An engineer upgrades brokers one by one and may go back: the new release finds files of the old one, and its
+Brokers are upgraded one by one and may be downgraded: the new release reads files of the old one, and its
 datagrams and frames reach brokers that still run the old one. The files under `tests/stored/` were written by
-the text of commit 7381a03 and are never written again; their names and values are those of that text.
+the code of commit 7381a03 and are never regenerated; their names and values are those of that code.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 def test_decisions_go_on_from_a_hand_over_record_of_the_release_before() -> None:
-    """A new process takes over: votes that were given, what warming nodes got, and learned rates hold."""
+    """A new process takes over: votes, grants for warming nodes and learned rates stay valid."""
     handover_record = handed_over()
     settings = replace(SETTINGS, broker_count=3)
     scheduler = Scheduler(settings, 1)
@@ -98,10 +98,10 @@
 
 
 def peer_message(kind: int, key: int, figures: list[Any]) -> Any:
-    """A message by the figures that the text before had in a list."""
+    """Build a message from the list of values that the earlier release had in place of fields."""
     if kind == 2:
         return peer_messages.DemandBid(key, tuple(figures[:6]), *figures[6:])
-    if kind == 3:  # the text before had both flags in one figure
+    if kind == 3:  # the earlier release had both flags in one value
         *rates, flags = figures
         is_known, is_overloaded = FLAGS[flags]
         return peer_messages.DemandReport(key, tuple(rates[:6]), *rates[6:], is_known, is_overloaded)
@@ -109,7 +109,7 @@
 
 
 def flags_of(messages: list[Any]) -> list[tuple[bool, bool]]:
-    """The flags of reports; other messages have none."""
+    """Return the flags of the reports among the messages."""
     return [
         (message.is_capacity_known, message.is_overloaded)
         for message in messages
@@ -143,7 +143,8 @@
     assert sent == stored_json("sent_datagrams.json")
 
 
-# --- members that agree -------------------------------------------------------------------------------------
+# --- members of the replicated state
+# -------------------------------------------------------------------------------------
 
 
 def committed(first: int, last: int, term: int) -> tuple[Entry, ...]:
@@ -206,5 +207,5 @@
         UploadPart(2, Segment("p7", "x2", 1, 7, "t7"), digest[::-1], 5_001),
     ]
     orphans = {orphan.blob for orphan in catalogue.due_orphans(10**9, 100)}
-    assert orphans == {"p3", "p5"}  # one was replaced, the other was on its way when the process ended
+    assert orphans == {"p3", "p5"}  # one was replaced, the other was being written when the process ended
     catalogue.close()
