--- a/harriertide/decide/leases.py
+++ b/harriertide/decide/leases.py
@@ -76,8 +76,7 @@
     def __init__(self, broker_index: int, broker_count: int, now_us: int) -> None:
         self.broker_index = broker_index
         self.broker_count = broker_count
-        # Distinguishes this start of the broker from earlier ones: the value repeats only after about a
-        # minute.
+        # distinguishes this start of the broker from earlier ones: it repeats only after about a minute
         self.epoch = now_us // MILLISECOND_US % UNIT_COUNTER_COUNT
         # an odd number: with four brokers, the fourth would raise the majority to three and add messages
         self._group_size = min(MAX_GROUP_SIZE, broker_count - 1 + broker_count % 2)
--- a/harriertide/decide/peer_messages.py
+++ b/harriertide/decide/peer_messages.py
@@ -30,8 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandBid:
-    """A broker's demand for a shard, sent to the shard's coordinator each bid interval; rates are units a
-    second.
+    """A broker's demand for a shard, sent to its coordinator each bid interval. Rates are units a second.
 
     demand: offered rate by priority band. latency_weighted_rate: rate of served units, each unit multiplied
     by its latency ratio. weight_sum: of the volumes seen by the broker. capacity: of the shard, as known to
--- a/harriertide/decide/quota_grants.py
+++ b/harriertide/decide/quota_grants.py
@@ -116,8 +116,7 @@
         return granted
 
     def _bucket(self, volume_key: int, lease_since_us: int) -> SharedTokenBucket:
-        """Return the volume's bucket as the most recently requested one; a new lease starts with a new
-        bucket.
+        """Return the volume's bucket, now the most recently requested; a new lease starts a new bucket.
 
         The grants of the previous holder are not known, so a new bucket stays empty until they are spent or
         have expired.
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -22,8 +22,7 @@
 from harriertide.decide.token_bucket import TokenBucket
 from harriertide.decide.units import SECOND_US
 
-# Even parts of a volume's quota that each of its brokers may use: the busiest broker needs more than one
-# part.
+# Even parts of a volume's quota that each of its brokers may use: the busiest broker needs more than one.
 LOCAL_QUOTA_FACTOR = 2.0
 # Time until an unanswered request for units is repeated; usually enough for a message and its answer.
 QUOTA_RETRY_US = 45_000
--- a/harriertide/decide/settings_section.py
+++ b/harriertide/decide/settings_section.py
@@ -85,7 +85,7 @@
         value = self._get(key, default)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if not is_number or not minimum <= value < MAX_NUMBER:  # type: ignore[operator]
-            raise ValueError(f"{self._path_of(key)}: must be a number of at least {minimum:g} and below 1e18")
+            raise ValueError(f"{self._path_of(key)}: must be a number below 1e18 and at least {minimum:g}")
         return value  # type: ignore[return-value]
 
     def integer(self, key: str, default: object = _REQUIRED, minimum: int = 0) -> int:
--- a/harriertide/decide/slow_start.py
+++ b/harriertide/decide/slow_start.py
@@ -38,8 +38,7 @@
         exchange.register(SlowStartGrant, self._on_grant)
 
     def request_grant(self, node: NodeState, units: float) -> bool:
-        """Return whether a request may be sent to a warming node now; if not, request a grant from a
-        coordinator.
+        """Return whether a request may be sent to a warming node now; if not, request a grant for it.
 
         A grant expires CREDIT_LIFETIME_US after this broker requested it, by this broker's clock. So what is
         sent in one collapse window was granted in that window or in the CREDIT_LIFETIME_US before it, which
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -67,9 +67,8 @@
     for _, holders in run_elections(seed, brokers, 0.3):
         assert len(holders) <= 1
         held_count += len(holders)
-    assert (
-        held_count > 3_000 or brokers == 2
-    )  # of 6,000 checks; a group of two elects no holder while one broker is down
+    # of 6,000 checks; a group of two elects no holder while one of its brokers is down
+    assert held_count > 3_000 or brokers == 2
 
 
 def test_without_faults_a_lease_is_held_from_soon_after_the_start_on() -> None:
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -67,15 +67,11 @@
     holder.hold_until(10 * SECOND_US)
     now = 5 * SECOND_US
     assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 5, 250)) == 10
-    assert (
-        holder.grant(now, 1, 0, QuotaDemand(10, 3, 5, 251)) == 10
-    )  # 7 units were returned to the 6 that were left
+    assert holder.grant(now, 1, 0, QuotaDemand(10, 3, 5, 251)) == 10  # 7 units are returned to the 6 left
     assert holder.grant(now, 1, 0, QuotaDemand(10, 3, 5, 251)) is None  # a duplicate
     assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 5, 250)) is None  # a late request
     assert holder.grant(now, 1, 0, QuotaDemand(10, 13, 5, 252 % REQUEST_NUMBER_COUNT)) == 3
-    assert (
-        holder.grant(now, 1, 0, QuotaDemand(10, 0, 6, 1)) == 0
-    )  # after a restart no unspent units are known
+    assert holder.grant(now, 1, 0, QuotaDemand(10, 0, 6, 1)) == 0  # after a restart nothing is returned
     wrapped = holder.grant(
         now + SECOND_US, 1, 0, QuotaDemand(5, UNIT_COUNTER_COUNT - 2, 7, REQUEST_NUMBER_COUNT - 1)
     )
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -81,7 +81,7 @@
     )
 
 
-def test_a_volume_of_one_broker_needs_no_quota_and_a_plan_without_limit_no_lease() -> None:
+def test_a_volume_of_one_broker_needs_no_grant_and_a_plan_without_limit_no_lease() -> None:
     broker = BrokerUnderTest(broker_count=3, plans=PLANS)
     broker.advance(2 * SECOND_US)
     assert started_attempts(broker.request(sharing_broker_count=1, plan=0)) and not peer_datagrams(
--- a/tests/test_rate_limits_end_to_end.py
+++ b/tests/test_rate_limits_end_to_end.py
@@ -17,11 +17,8 @@
 from harriertide.platform.configuration import Config
 from harriertide.platform.endpoint_page import parse_page
 
-LIMIT, BURST, SLACK = (
-    PLANS[0].rate_limit,
-    PLANS[0].burst_limit_units,
-    6.0,
-)  # slack: the units of the largest request
+# SLACK: the units of the largest request
+LIMIT, BURST, SLACK = PLANS[0].rate_limit, PLANS[0].burst_limit_units, 6.0
 MAX_DELAY_S = 0.15  # on sockets, the units that the limit allows in this time are slack too
 FIRST_PORT = 29_500
 
@@ -137,7 +134,7 @@
     await fleet.offer(2.0, hosts[0], hosts)
     await fleet.kill(
         next(broker_index for broker_index in range(broker_count) if broker_index not in hosts[:2])
-    )  # for good
+    )  # stays dead
     await fleet.kill(hosts[1])
     await fleet.offer(0.4, hosts[0], hosts)
     await fleet.start(hosts[1], node_address)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -143,8 +143,7 @@
     assert sent == stored_json("sent_datagrams.json")
 
 
-# --- members of the replicated state
-# -------------------------------------------------------------------------------------
+# --- members of the replicated state ------------------------------------------------------------------------
 
 
 def committed(first: int, last: int, term: int) -> tuple[Entry, ...]:
