--- a/harriertide/cli/in_place_upgrade.py
+++ b/harriertide/cli/in_place_upgrade.py
@@ -129,7 +129,7 @@
             return True
         scheduler = self._process.core.scheduler
         if isinstance(scheduler, Scheduler):
-            scheduler.begin_anew(self._process.runtime.clock.now_us())
+            scheduler.begin_without_state(self._process.runtime.clock.now_us())
         if data is None:
             log("in charge", epoch=self.lease.epoch, state="none")
         return False
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -112,7 +112,7 @@
         self._set_timer()
         return context.actions
 
-    def begin_anew(self, now_us: int) -> None:
+    def begin_without_state(self, now_us: int) -> None:
         """Begin now, knowing of nothing that was given out until then.
 
         Guards against limits and budgets that fill from this process's start, while another process of the
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -201,7 +201,7 @@
     return broker
 
 
-def offer_without_end(
+def offer_continuously(
     broker: BrokerUnderTest, for_us: int, step_us: int = 10_000, latency_us: int = 200_000, **options: Any
 ) -> float:
     """Offer without end and answer at once, as if it had taken `latency_us`; the units that were sent."""
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -21,7 +21,7 @@
 from tests.helpers import (
     SECOND_US,
     BrokerUnderTest,
-    offer_without_end,
+    offer_continuously,
     peer_datagrams,
     rejections,
     started_attempts,
@@ -126,7 +126,7 @@
     """
     broker = BrokerUnderTest(peer_messages_allowed=False)
     assert not started_attempts(broker.request(plan=1, sharing_broker_count=2, volume="w"))
-    total_units = offer_without_end(broker, 4_000_000, 10_000, plan=1, sharing_broker_count=2, volume="w")
+    total_units = offer_continuously(broker, 4_000_000, 10_000, plan=1, sharing_broker_count=2, volume="w")
     assert 10 < total_units <= 10 / 2 * 4 + 2
 
 
@@ -134,5 +134,5 @@
     broker = BrokerUnderTest(peer_messages_allowed=False)
     broker.request(plan=1, sharing_broker_count=2, volume="w")
     broker.advance(10_000_000)
-    total_units = offer_without_end(broker, 20_000, 1_000, plan=1, sharing_broker_count=2, volume="w")
+    total_units = offer_continuously(broker, 20_000, 1_000, plan=1, sharing_broker_count=2, volume="w")
     assert 0 < total_units <= 16 / 2 + 2
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -17,7 +17,7 @@
     START_US,
     BrokerUnderTest,
     broker_with_warming_node,
-    offer_without_end,
+    offer_continuously,
     peer_datagrams,
     started_attempts,
 )
@@ -25,7 +25,7 @@
 
 def test_each_coordinator_of_a_warming_node_has_half_of_the_slow_start_budget() -> None:
     broker = broker_with_warming_node()
-    sent = offer_without_end(broker, 1_400_000)
+    sent = offer_continuously(broker, 1_400_000)
     assert 0 < sent <= 24 / 2
 
 
@@ -38,12 +38,12 @@
         broker_with_warming_node(collapse_load_ratio=2.5),
     )
     first = (
-        offer_without_end(quick_broker, 1_400_000, latency_us=40_000),
-        offer_without_end(slow_broker, 1_400_000, latency_us=250_000),
+        offer_continuously(quick_broker, 1_400_000, latency_us=40_000),
+        offer_continuously(slow_broker, 1_400_000, latency_us=250_000),
     )
     later_units = (
-        offer_without_end(quick_broker, 1_400_000, latency_us=40_000),
-        offer_without_end(slow_broker, 1_400_000, latency_us=250_000),
+        offer_continuously(quick_broker, 1_400_000, latency_us=40_000),
+        offer_continuously(slow_broker, 1_400_000, latency_us=250_000),
     )
     coordinator_share, window = 1 / 2, 1.5
     # 2 units in 40 ms
@@ -123,16 +123,16 @@
 
 def test_a_warming_nodes_budget_grows_with_its_age() -> None:
     broker = broker_with_warming_node()
-    first = offer_without_end(broker, 1_400_000)
+    first = offer_continuously(broker, 1_400_000)
     broker.now_us += 6_000_000
-    assert first < offer_without_end(broker, 1_400_000) <= 24 / 2 * (1 + 0.74 * 4)
+    assert first < offer_continuously(broker, 1_400_000) <= 24 / 2 * (1 + 0.74 * 4)
 
 
 def test_a_restarted_broker_takes_a_warming_nodes_window_as_spent() -> None:
     """A broker restarts while a node warms up, and does not know the units that it granted before."""
     broker = BrokerUnderTest((api.NodeEntry("n0", 0, "live", 0, 49_900_000),))
-    assert offer_without_end(broker, 1_400_000) == 0
-    assert offer_without_end(broker, 1_000_000) > 0
+    assert offer_continuously(broker, 1_400_000) == 0
+    assert offer_continuously(broker, 1_000_000) > 0
 
 
 def test_a_reload_of_slow_start_settings_leaves_no_budget_to_spend_twice() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -382,12 +382,12 @@
     warming = api.NodeEntry("n0", 0, started_us=START_US - 100_000)
     broker = BrokerUnderTest((warming, api.NodeEntry("n1", 1)), broker_count=1)
     broker.advance(2_500_000)
-    broker.scheduler.begin_anew(broker.now_us)
+    broker.scheduler.begin_without_state(broker.now_us)
     assert not started_attempts(broker.request(plan=1, shard=1))
     assert not started_attempts(broker.request(shard=0))
     assert started_attempts(broker.advance(1_000_000))
     unstarted = Scheduler(broker.settings, 1)
-    unstarted.begin_anew(START_US)
+    unstarted.begin_without_state(START_US)
     assert not unstarted.context.has_started  # its first call starts it
 
 
