--- a/harriertide/decide/__init__.py
+++ b/harriertide/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: events in, actions out; pure."""
+"""The decision module: turns events into actions, without I/O."""
--- a/harriertide/decide/context.py
+++ b/harriertide/decide/context.py
@@ -1,4 +1,4 @@
-"""What every mechanism of the decisions is handed: settings, time, timers, and where its actions go."""
+"""The context that all mechanisms of the decision module share: settings, time, timers and actions."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTimer:
-    """A request's deadline, or an earlier time at which it may be able to leave."""
+    """A request's deadline, or an earlier time at which the request may be ready for dispatch."""
 
     request: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class ShardTimer:
-    """Queued requests of a shard are to be looked at again."""
+    """The queue of a shard is due for another check."""
 
     shard: ShardState
 
 
 @dataclass(frozen=True, slots=True)
 class KeyTimer:
-    """The quiet time of a key is over: its next request may run."""
+    """The quiet period of a key is over, so its next request may run."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class PollTimer:
-    """The endpoint list is to be asked for."""
+    """The endpoint list is due to be polled."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimer:
-    """Votes are to be asked for. leases: that set the timer; it is void for later ones."""
+    """Votes are due to be requested. leases: the object that set the timer; a later object ignores it."""
 
     leases: Leases
 
@@ -57,9 +57,10 @@
 
 @dataclass(slots=True)
 class DecisionContext:
-    """One broker's settings and time, as of the call that is being decided.
+    """One broker's settings, time and timers during a call of Scheduler.decide().
 
-    actions: of this call, in order. ready_shards: whose queued requests may be able to leave at its end.
+    actions: the actions of this call, in order. ready_shards: the shards whose queues are dispatched at the
+    end of the call.
     """
 
     settings: api.Settings
@@ -73,17 +74,17 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether anything was decided yet."""
+        """Whether the scheduler has handled its first call."""
         return self.started_at_us >= 0
 
     def answer_deadline_us(self, arrival: api.Arrival) -> int:
-        """When a request has to be answered at the latest: one tick before its client's deadline."""
+        """The latest time for a request's answer: one tick before its client's deadline."""
         return arrival.deadline_at_us - self.settings.tick_us
 
     def emit(self, action: api.Action) -> None:
-        """Ask for an action, after all those of this call so far."""
+        """Append an action to those of this call."""
         self.actions.append(action)
 
     def mark_ready(self, shard: ShardState) -> None:
-        """Have the shard's queue looked at before this call ends."""
+        """Dispatch the shard's queue at the end of this call."""
         self.ready_shards[shard.shard] = shard
--- a/harriertide/decide/demand.py
+++ b/harriertide/decide/demand.py
@@ -1,8 +1,9 @@
-"""What is offered here, what is bid for it, who sums it up, and what the sums say.
+"""Demand at this broker, bids to coordinators, and the coordinators' reports of all brokers' demand.
 
-Each bid interval a broker tells the coordinator of each shard that it has demand for the units that were
-offered and served here (DemandBid) and hears the sums of all brokers (DemandReport). As a coordinator it sums
-up the bids, learns the shard's capacity of them, and tells all bidders when an overload begins or ends.
+In each bid interval a broker sends a DemandBid for every shard for which it has demand to that shard's
+coordinator, with the rates offered and served at this broker. The coordinator replies with a DemandReport,
+the sums of all brokers' bids. The coordinator also learns the shard's capacity from the bids, and notifies
+all bidders when an overload begins or ends.
 """
 
 from __future__ import annotations
@@ -18,26 +19,26 @@
 from harriertide.decide.state import PRIORITY_BAND_COUNT, ShardState
 from harriertide.decide.units import SECOND_US
 
-# Between bids: a tenth of the shortest surges, so that these are answered while they last.
+# Time between bids: a tenth of the shortest surges, so that the response comes while a surge lasts.
 BID_INTERVAL_US = 300_000
-# Brokers that start together do not bid together: the first interval ends between half of it and one and a
-# half.
+# The first interval lasts 0.5 to 1.5 times BID_INTERVAL_US, so that brokers that start together do not bid at
+# the same time.
 FIRST_INTERVAL_MIN_RATIO = 0.5
-# Weight of the newest interval in the demand and in the fleet's latency ratio: single intervals are noisy,
-# but surges have to be noticed soon.
+# Weight of the newest interval in the smoothed demand and in the fleet's latency ratio: single intervals are
+# noisy, but surges have to be detected quickly.
 SMOOTHING_RATIO = 0.5
-# Demand, in mean requests a second, below which a broker bids no more.
+# Demand, in mean requests a second, below which a broker stops bidding.
 MIN_BID_REQUESTS_PER_S = 0.1
-# Between reports of an overloaded shard to all brokers that use it, whether or not they have bid just now.
+# Time between reports on an overloaded shard to all recent bidders, including those without a new bid.
 ANNOUNCE_INTERVAL_US = 1_000_000
-# Bids without an answer go to coordinator and standby in turn.
+# Unanswered bids alternate between the coordinator and its standby.
 COORDINATOR_COUNT = 2
-# A shard's interval counts with at most so many latency objectives.
+# Upper bound of one interval's latency ratio in the smoothed ratio.
 MAX_INTERVAL_LATENCY_RATIO = 2.0
 
 
 class Demand:
-    """Bids of this broker and, for the shards that it coordinates, the sums of all brokers' bids."""
+    """Sends this broker's bids and, for the shards that it coordinates, sums the bids of all brokers."""
 
     def __init__(
         self,
@@ -50,35 +51,35 @@
         self._endpoints = endpoints
         self._exchange = exchange
         self._capacity = capacity
-        self.active_shards: dict[int, ShardState] = {}  # with demand here
-        self.aggregates: dict[int, DemandAggregate] = {}  # by shard, as its coordinator
+        self.active_shards: dict[int, ShardState] = {}  # shards with demand at this broker
+        self.aggregates: dict[int, DemandAggregate] = {}  # by shard, where this broker is the coordinator
         self.interval_started_us = 0
         self.interval_ends_us = 0
         exchange.register(DemandBid, self._on_bid)
         exchange.register(DemandReport, self._on_report)
 
     def start(self) -> None:
-        """Begin the first interval."""
+        """Start the first bid interval."""
         now_us = self._context.now_us
         self.interval_started_us = now_us
         ratio = FIRST_INTERVAL_MIN_RATIO + self._context.random.random()
         self.interval_ends_us = now_us + int(BID_INTERVAL_US * ratio)
 
     def shift(self, by_us: int) -> None:
-        """Follow a clock that was set by so much, as a newer process goes by the clock of the one before."""
+        """Move all times by `by_us`, as a newer process takes over the clock of the previous process."""
         self.interval_started_us += by_us
         self.interval_ends_us += by_us
 
     def mark_active(self, shard: ShardState) -> None:
-        """A shard has demand here: it is bid for from now on."""
+        """Record that a shard has demand at this broker, which bids for the shard from now on."""
         self.active_shards[shard.shard] = shard
 
     def is_interval_over(self) -> bool:
-        """Whether it is time to bid."""
+        """Whether the bid interval is over."""
         return self._context.now_us >= self.interval_ends_us
 
     def close_interval(self) -> None:
-        """Bid for what has demand here, and for nothing else."""
+        """Bid for each active shard, and start the next interval."""
         now_us = self._context.now_us
         span_s = (now_us - self.interval_started_us) / SECOND_US
         self.interval_started_us = now_us
@@ -87,10 +88,10 @@
             self._close_shard_interval(shard, span_s)
 
     def _close_shard_interval(self, shard: ShardState, span_s: float) -> None:
-        bid = self._take_interval_figures(shard, span_s)
+        bid = self._collect_bid(shard, span_s)
         self._context.mark_ready(shard)
-        least = MIN_BID_REQUESTS_PER_S * self._context.settings.mean_request_units
-        if sum(shard.demand) < least and not shard.queue and not shard.is_limited:
+        min_rate = MIN_BID_REQUESTS_PER_S * self._context.settings.mean_request_units
+        if sum(shard.demand) < min_rate and not shard.queue and not shard.is_limited:
             del self.active_shards[shard.shard]
             shard.demand = [0.0] * PRIORITY_BAND_COUNT
             return
@@ -100,8 +101,8 @@
         shard.unanswered_bids += 1
         self._exchange.send(coordinator, bid)
 
-    def _take_interval_figures(self, shard: ShardState, span_s: float) -> DemandBid:
-        """The figures of the interval that ends, which begin anew."""
+    def _collect_bid(self, shard: ShardState, span_s: float) -> DemandBid:
+        """Build the bid of the interval that ends, and reset the shard's counters for the next one."""
         for band in range(PRIORITY_BAND_COUNT):
             offered_rate = shard.offered_units[band] / span_s
             shard.demand[band] += SMOOTHING_RATIO * (offered_rate - shard.demand[band])
@@ -120,13 +121,13 @@
         return bid
 
     def reset_aggregates(self) -> None:
-        """The fleet of brokers has changed, and with it coordinators: forget what was summed up."""
+        """Discard all sums of bids, as a change of the fleet of brokers changes the coordinators."""
         self.aggregates.clear()
 
     # --- as coordinator ------------------------------------------------------------------------------
 
     def _on_bid(self, broker: int, bid: DemandBid) -> None:
-        """Sum up a bid, answer it, and tell all bidders when an overload begins or ends."""
+        """Add a bid to the sums, reply with a report, and notify all bidders of a change of overload."""
         settings, derived = self._context.settings, self._context.derived
         is_coordinator = settings.broker_index in derived.coordinators(bid.shard)
         if bid.shard >= settings.shard_count or not is_coordinator:
@@ -135,7 +136,7 @@
         aggregate = self.aggregates.setdefault(bid.shard, DemandAggregate())
         aggregate.replace_bid(broker, now_us, bid, BID_LIFETIME_US, IDLE_STATE_RETENTION_US)
         if not aggregate.is_capacity_known:
-            # a coordinator that has restarted, or a standby: it goes on from what the bidders know
+            # A coordinator that has restarted, or a standby, starts from the capacity that bidders report.
             aggregate.capacity = max(aggregate.capacity, bid.capacity)
         if now_us >= aggregate.next_estimate_at_us:
             self._update_estimate(aggregate, bid.shard)
@@ -152,16 +153,21 @@
         self._announce_overload(aggregate, report, broker)
 
     def _update_estimate(self, aggregate: DemandAggregate, shard: int) -> None:
-        """Once an interval, learn of the sums."""
+        """Update the latency ratio and the capacity estimate, once in an interval."""
         aggregate.next_estimate_at_us = self._context.now_us + BID_INTERVAL_US
         ratio = min(MAX_INTERVAL_LATENCY_RATIO, aggregate.interval_latency_ratio)
         aggregate.latency_ratio += SMOOTHING_RATIO * (ratio - aggregate.latency_ratio)
         self._capacity.update_capacity_estimate(aggregate, self._endpoints.shards.get(shard))
 
-    def _announce_overload(self, aggregate: DemandAggregate, report: DemandReport, answered: int) -> None:
-        """Tell all brokers that use the shard, when an overload begins or ends and once a second between.
+    def _announce_overload(
+        self, aggregate: DemandAggregate, report: DemandReport, answered_broker: int
+    ) -> None:
+        """Report to all recent bidders when an overload begins or ends, and once a second while it lasts.
+
+        Brokers that use the shard only occasionally would otherwise learn of the overload from failed
+        requests.
 
-        Guards against brokers that meet the shard now and then: each would find out by what it loses there.
+        :param answered_broker: the broker that has just received the report as the reply to its bid
         """
         now_us = self._context.now_us
         has_changed = aggregate.is_overloaded != aggregate.is_overload_announced
@@ -171,13 +177,13 @@
         aggregate.is_overload_announced = aggregate.is_overloaded
         aggregate.next_announcement_at_us = now_us + ANNOUNCE_INTERVAL_US
         own_index = self._context.settings.broker_index
-        for broker in aggregate.bidders.keys() - {answered, own_index}:
+        for broker in aggregate.bidders.keys() - {answered_broker, own_index}:
             self._exchange.send(broker, report)
 
     # --- as broker -----------------------------------------------------------------------------------
 
     def _on_report(self, broker: int, report: DemandReport) -> None:
-        """Take a coordinator's sums; those of others count for nothing."""
+        """Apply a coordinator's report; reports of other brokers are ignored."""
         is_coordinator = broker in self._context.derived.coordinators(report.shard)
         shard = self._endpoints.shards.get(report.shard)
         is_listed = report.shard < self._context.settings.shard_count
--- a/harriertide/decide/demand_aggregate.py
+++ b/harriertide/decide/demand_aggregate.py
@@ -1,4 +1,4 @@
-"""A coordinator's sums of all brokers' bids on one shard."""
+"""The sums of all brokers' bids on one shard, as its coordinator keeps them."""
 
 from __future__ import annotations
 
@@ -9,31 +9,32 @@
 from harriertide.decide.peer_messages import DemandBid
 from harriertide.decide.state import PRIORITY_BAND_COUNT
 
-# Indexes of a bid's figures: demand by band, then these.
+# Indexes into the values of a bid; the demand of each band comes first.
 SERVED_RATE_INDEX = PRIORITY_BAND_COUNT
 LATENCY_WEIGHTED_RATE_INDEX = PRIORITY_BAND_COUNT + 1
 WEIGHT_SUM_INDEX = PRIORITY_BAND_COUNT + 2
-FIGURE_COUNT = PRIORITY_BAND_COUNT + 3
-MIN_SERVED_RATE = 0.01  # units a second; guards a division where nothing is served
+BID_VALUE_COUNT = PRIORITY_BAND_COUNT + 3
+MIN_SERVED_RATE = 0.01  # units a second; avoids a division by zero where nothing is served
 
 
 class ReceivedBid(NamedTuple):
-    """A broker's last bid: when it came, and its figures."""
+    """The last bid of a broker: the time of receipt, and its values."""
 
     received_at_us: int
-    figures: list[float]
+    values: list[float]
 
 
 @dataclass(slots=True, eq=False)
 class DemandAggregate:
-    """The sums of the bids on one shard; bids that are not renewed run out.
+    """The sums of the bids on one shard; bids that are not renewed expire.
 
-    bidders: brokers that have bid, and when, the longest ago first. is_overload_announced: they know of it.
+    bidders: the time of each broker's last bid, the oldest first. is_overload_announced: whether the bidders
+    were last told that the shard is overloaded.
     """
 
-    sums: list[float] = field(default_factory=lambda: [0.0] * FIGURE_COUNT)
+    sums: list[float] = field(default_factory=lambda: [0.0] * BID_VALUE_COUNT)
     updated_at_us: int = 0
-    bids: dict[int, ReceivedBid] = field(default_factory=dict)  # by broker, the oldest first
+    bids: dict[int, ReceivedBid] = field(default_factory=dict)  # by broker, oldest first
     capacity: float = 0.0  # units a second
     is_capacity_known: bool = False
     is_overloaded: bool = False
@@ -45,47 +46,47 @@
 
     @property
     def demand(self) -> tuple[float, ...]:
-        """Units a second that are offered, by priority band."""
+        """The offered rate of each priority band, in units a second."""
         return tuple(self.sums[:PRIORITY_BAND_COUNT])
 
     @property
     def demand_rate(self) -> float:
-        """Units a second that are offered, of all bands."""
+        """The offered rate of all bands, in units a second."""
         return sum(self.sums[:PRIORITY_BAND_COUNT])
 
     @property
     def served_rate(self) -> float:
-        """Units a second that are served."""
+        """The served rate, in units a second."""
         return self.sums[SERVED_RATE_INDEX]
 
     @property
     def weight_sum(self) -> float:
-        """Of the volumes at all brokers."""
+        """The sum of the weights of the volumes at all brokers."""
         return self.sums[WEIGHT_SUM_INDEX]
 
     @property
     def interval_latency_ratio(self) -> float:
-        """Latency over latency objective of what was served in the last bid intervals."""
+        """Latency relative to the latency objective, weighted by units, in the bids that have not expired."""
         return self.sums[LATENCY_WEIGHTED_RATE_INDEX] / max(MIN_SERVED_RATE, self.served_rate)
 
     def replace_bid(
         self, broker: int, now_us: int, bid: DemandBid, lifetime_us: int, retention_us: int
     ) -> None:
-        """Put a bid in place of that broker's last one.
+        """Replace a broker's last bid, and remove expired bids from the sums.
 
-        :param lifetime_us: bids older than that are taken out of the sums
-        :param retention_us: bidders that were not heard for so long are forgotten
+        :param lifetime_us: age after which a bid expires
+        :param retention_us: time without a bid after which a bidder is forgotten
         """
-        figures = [*bid.demand, bid.served_rate, bid.latency_weighted_rate, bid.weight_sum]
+        values = [*bid.demand, bid.served_rate, bid.latency_weighted_rate, bid.weight_sum]
         outdated = [self.bids.pop(broker)] if broker in self.bids else []
         expired = expire_oldest(self.bids, lambda old: now_us - old.received_at_us > lifetime_us)
         outdated += [old for _, old in expired]
-        self.bids[broker] = ReceivedBid(now_us, figures)
+        self.bids[broker] = ReceivedBid(now_us, values)
         self.updated_at_us = now_us
         self._record_bidder(broker, now_us, retention_us)
-        for index, figure in enumerate(figures):
-            lost = sum(old.figures[index] for old in outdated)
-            self.sums[index] = max(0.0, self.sums[index] + figure - lost)
+        for index, value in enumerate(values):
+            removed = sum(old.values[index] for old in outdated)
+            self.sums[index] = max(0.0, self.sums[index] + value - removed)
 
     def _record_bidder(self, broker: int, now_us: int, retention_us: int) -> None:
         self.bidders.pop(broker, None)
--- a/harriertide/decide/derived.py
+++ b/harriertide/decide/derived.py
@@ -1,4 +1,4 @@
-"""Figures that follow from the settings alone, worked out once when the settings come into force."""
+"""Values derived from the settings alone, computed once when the settings take effect."""
 
 from __future__ import annotations
 
@@ -11,26 +11,27 @@
 from harriertide.decide import api
 from harriertide.decide.units import SECOND_US
 
-# Shards, placements and volumes nobody uses are forgotten after a minute: longer than any surge, and short
-# enough that memory follows what is in use.
+# Retention of unused placements and volumes, and of bidders: longer than any surge, and short enough to bound
+# memory by what is in use.
 IDLE_STATE_RETENTION_US = 60 * SECOND_US
-# New objects go to one of a few shards of a broker's own, where it has connections already: each connection
-# more costs a node work.
+# A broker places new objects at a few preferred shards, to which it has connections already: each additional
+# connection costs a node extra work.
 PREFERRED_SHARD_COUNT = 8
-# All brokers together look at each node so many times over when they place objects: enough to find a node
-# with little waiting, too few for all to meet at the same one.
+# Number of brokers in whose placement sample each node is, on average: enough to find a node with a short
+# queue, and too few for all brokers to choose the same node.
 PLACEMENT_SAMPLE_FACTOR = 4
-# Wait before the endpoint list is polled again after a failed call: the bounds of the backoff for one broker.
+# Bounds of the backoff with which the endpoint list is polled again after a failed call, for a single broker.
 POLL_FIRST_WAIT_US = 400_000
 POLL_MAX_WAIT_US = 2_000_000
-# What each broker of a fleet adds to the first wait, so that discovery gets as many calls in a second.
+# Increase of the first wait per broker of the fleet, which keeps discovery's call rate independent of the
+# number of brokers.
 POLL_FIRST_WAIT_PER_BROKER_US = 6_000
-# A warming node's budget is dealt out by coordinator and standby, half each, as either may be unreachable.
+# The coordinator and its standby each grant half of a warming node's budget, as either may be unreachable.
 SLOW_START_HALF_RATIO = 0.5
 
 
 class Coordinators(NamedTuple):
-    """The brokers that sum up a shard's bids: the same two at every broker, by a stable hash."""
+    """The two brokers that sum a shard's bids; a stable hash gives the same two at every broker."""
 
     primary: int
     standby: int
@@ -38,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DerivedSettings:
-    """Figures that follow from the settings.
+    """Values derived from the settings.
 
-    is_standalone: no other broker can be notified. slow_start_ratio: the part of a warming node's budget that
-    each of its coordinators deals out. highest_priority: of any request of these settings. preferred_shards:
-    where new objects go first.
+    is_standalone: there is no other broker, or messages to peers are not allowed. slow_start_ratio: the part
+    of a warming node's budget that each of its coordinators grants. highest_priority: the highest priority
+    that a request can have. preferred_shards: the shards at which this broker places new objects first.
     """
 
     broker_index: int
@@ -57,7 +58,7 @@
     poll_max_wait_us: int
 
     def coordinators(self, shard: int) -> Coordinators:
-        """The broker that sums up the bids on a shard, and its standby."""
+        """The broker that sums the bids on a shard, and its standby."""
         if self.is_standalone:
             return Coordinators(self.broker_index, self.broker_index)
         primary = crc32(b"%d" % shard) % self.broker_count
@@ -65,7 +66,7 @@
 
 
 def derive(settings: api.Settings) -> DerivedSettings:
-    """Work out what follows from these settings."""
+    """Compute the values derived from these settings."""
     is_standalone = settings.broker_count == 1 or not settings.peer_messages_allowed
     poll_max_wait_us = max(POLL_FIRST_WAIT_US, min(POLL_MAX_WAIT_US, settings.poll_interval_us // 2))
     poll_first_wait_us = max(POLL_FIRST_WAIT_US, POLL_FIRST_WAIT_PER_BROKER_US * settings.broker_count)
@@ -89,9 +90,10 @@
 
 
 def _slow_start_ratio(settings: api.Settings, is_standalone: bool) -> float:
-    """The part of a warming node's budget that one coordinator deals out.
+    """The part of a warming node's budget that one coordinator grants.
 
-    Half of a budget under two large requests serves none of them: there the primary has all of it.
+    Half of a budget smaller than two of the largest requests could not cover one of them, so the primary then
+    grants the whole budget.
     """
     if is_standalone:
         return 1.0 / settings.broker_count
@@ -100,22 +102,22 @@
 
 
 def _preferred_shards(settings: api.Settings) -> frozenset[int]:
-    """Deterministic subsetting: brokers in turn deal out all shards once, each turn in an order of its own.
+    """Deterministic subsetting: each round of consecutive brokers divides all shards in an order of its own.
 
-    So each shard is preferred by as many brokers as any other, with no word between them.
+    Every shard is thus preferred by about the same number of brokers, without any communication.
     """
-    wanted = max(
+    preferred_count = max(
         PREFERRED_SHARD_COUNT,
         ceil(PLACEMENT_SAMPLE_FACTOR * settings.shard_count / settings.broker_count),
     )
-    size = min(settings.shard_count, wanted)
-    turn, place = divmod(settings.broker_index, settings.shard_count // size)
-    order = Random(turn).sample(range(settings.shard_count), settings.shard_count)
-    return frozenset(order[place * size :][:size])
+    size = min(settings.shard_count, preferred_count)
+    round_index, position = divmod(settings.broker_index, settings.shard_count // size)
+    order = Random(round_index).sample(range(settings.shard_count), settings.shard_count)
+    return frozenset(order[position * size :][:size])
 
 
 def _volume_retention_us(settings: api.Settings) -> int:
-    """After so long without requests all buckets of a volume are full again: nothing is lost with it."""
+    """Time without requests after which a volume's buckets are all full, so that it can be forgotten."""
     refill_times_us = [
         int(SECOND_US * plan.burst_limit_units / plan.rate_limit)
         for plan in settings.plans
--- a/harriertide/decide/dispatch.py
+++ b/harriertide/decide/dispatch.py
@@ -1,4 +1,4 @@
-"""When an admitted request leaves: the queue of each shard, and the checks right before an attempt."""
+"""Dispatch of admitted requests: the queue of each shard, and the checks right before an attempt."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from harriertide.decide.health import HealthChecks
 from harriertide.decide.key_queues import KeyQueues
 from harriertide.decide.latency import BaselineLatency
-from harriertide.decide.placement import FREE_IN_FLIGHT_COUNT, MAX_IN_FLIGHT_COUNT, Placement
+from harriertide.decide.placement import MAX_IN_FLIGHT_COUNT, MIN_IN_FLIGHT_COUNT, Placement
 from harriertide.decide.rate_limits import RateLimits
 from harriertide.decide.responses import Responses
 from harriertide.decide.retry import RetryBudget, is_deduplicated, may_attempt
@@ -17,9 +17,10 @@
 from harriertide.decide.state import NodeState, OpenAttempt, RequestState, ShardState
 from harriertide.decide.warming import is_warming
 
-# Queued work may need this part of the shortest latency objective before the lowest priorities are given up.
+# The queue is bounded to the work that a node completes in this part of the shortest latency objective; above
+# that bound the lowest priorities are given up.
 QUEUE_OBJECTIVE_RATIO = 0.3
-# How often a queue is checked again without news of its shard, and only while something is queued.
+# Interval at which a queue that is not empty is checked again when no event concerns its shard.
 QUEUE_RECHECK_INTERVAL_US = 10_000
 
 
@@ -47,15 +48,15 @@
         self._retry_budget = retry_budget
         self._key_queues = key_queues
         self._responses = responses
-        self._queue_sequence = 0  # tells entries of one objective apart, in the order in which they came
+        self._queue_sequence = 0  # orders queue entries with equal objectives by arrival
 
     # --- the queue -----------------------------------------------------------------------------------
 
     def enqueue(self, request: RequestState) -> None:
-        """Queue an admitted request; give up the lowest priorities of what could no longer be in time."""
+        """Queue an admitted request; if the queue is then too long, give up requests of lowest priority."""
         shard = request.shard
         assert shard is not None
-        if not shard.nodes:  # they left while it waited for its turn
+        if not shard.nodes:  # the nodes were removed while the request waited for others of its key
             self._responses.give_up(request, "no_node")
             return
         self._queue_sequence += 1
@@ -70,13 +71,15 @@
         self._shed_excess(shard, self._queue_bound(shard, request))
 
     def _queue_bound(self, shard: ShardState, request: RequestState) -> float:
-        """Units that may be queued: what gets through in a part of an objective, by Little's law."""
-        free_units = FREE_IN_FLIGHT_COUNT * self._context.settings.mean_request_units
-        best = min(shard.nodes.values(), key=lambda node: (not node.is_live, node.open_attempt_count))
-        latency_us = max(1.0, self._latency.by_class_us[request.arrival.request_class] * best.latency_ratio)
-        in_flight_units = max(free_units, best.open_units)
+        """Units that may be queued: by Little's law, those served in a part of the latency objective."""
+        min_units = MIN_IN_FLIGHT_COUNT * self._context.settings.mean_request_units
+        least_loaded = min(shard.nodes.values(), key=lambda node: (not node.is_live, node.open_attempt_count))
+        latency_us = max(
+            1.0, self._latency.by_class_us[request.arrival.request_class] * least_loaded.latency_ratio
+        )
+        in_flight_units = max(min_units, least_loaded.open_units)
         objective_us = self._context.derived.shortest_objective_us
-        return max(2 * free_units, in_flight_units * QUEUE_OBJECTIVE_RATIO * objective_us / latency_us)
+        return max(2 * min_units, in_flight_units * QUEUE_OBJECTIVE_RATIO * objective_us / latency_us)
 
     def _shed_excess(self, shard: ShardState, bound_units: float) -> None:
         for band in reversed(shard.queued_by_band):
@@ -86,7 +89,7 @@
                     self._responses.give_up(victim, "queue_full")
 
     def dispatch(self, shard: ShardState) -> None:
-        """Send queued requests, the earliest objective first, as far as nodes have room."""
+        """Send queued requests, earliest objective first, while nodes have room."""
         while shard.queue:
             request = shard.queue[0][2]
             if not request.is_queued or request.shard is not shard:
@@ -104,9 +107,10 @@
                 return
 
     def _is_too_late(self, request: RequestState, node: NodeState | None) -> bool:
-        """Whether an answer could no more be in time, by the node's latest answers.
+        """Whether an answer would miss the request's objective, by the latency of the node's latest answers.
 
-        With nothing in flight there the last measurement is stale: one request is let through to refresh it.
+        With no attempt in flight at the node the last measurement is stale: the latency ratio then counts as
+        1 at most, so that one request is sent and refreshes it.
         """
         latency_ratio = 1.0
         if node is not None:
@@ -115,25 +119,26 @@
         return self._context.now_us + expected_us > request.objective_at_us
 
     def _schedule_recheck(self, shard: ShardState) -> None:
-        """Check the queue again soon, also without news of the shard."""
+        """Schedule another check of the queue in case no event concerns the shard until then."""
         now_us = self._context.now_us
         if shard.next_recheck_at_us <= now_us:
             shard.next_recheck_at_us = now_us + max(QUEUE_RECHECK_INTERVAL_US, self._context.settings.tick_us)
             self._context.timers.schedule(shard.next_recheck_at_us, ShardTimer(shard))
 
-    # --- the checks right before an attempt: the single place where attempts leave -------------------
+    # --- the checks right before an attempt; attempts are started nowhere else -----------------------
 
     def _start_attempt(self, request: RequestState, node: NodeState) -> bool:
-        """Send an attempt if every rule lets it.
+        """Send an attempt if every rule allows it.
 
-        :returns: False if it was not sent; then the request is still queued, waits for its limit, or is over
+        :returns: False if the attempt was not sent: the request is still queued, waits for its plan's limit,
+            or was given up
         """
-        if self._may_not_be_attempted(request):
+        if self._is_attempt_forbidden(request):
             self._responses.give_up(request, "not_repeatable")
             return False
-        if not self._is_right_node(request, node) or not self._key_queues.may_start(request):
+        if not self._is_valid_target(request, node) or not self._key_queues.may_start(request):
             return False
-        if self._is_repetition_unsafe(request, node):
+        if self._is_retry_unsafe(request, node):
             self._responses.give_up(request, "deduplication_over")
             return False
         units = request.arrival.units
@@ -142,31 +147,34 @@
         if request.attempt_count and not self._retry_budget.has_room():
             self._responses.give_up(request, "retry_budget")
             return False
-        if self._waits_for_limit(request):
+        if self._wait_for_rate_limit(request):
             return False
         self._charge(request, node)
         self._send(request, node)
         return True
 
-    def _may_not_be_attempted(self, request: RequestState) -> bool:
-        """Whether it is answered, has an attempt open, or may not be repeated."""
-        is_done = request.is_answered or bool(request.open_attempts)
-        return is_done or not may_attempt(request, self._context.settings)
+    def _is_attempt_forbidden(self, request: RequestState) -> bool:
+        """Whether the request is answered, has an open attempt, or may not be retried."""
+        is_unavailable = request.is_answered or bool(request.open_attempts)
+        return is_unavailable or not may_attempt(request, self._context.settings)
 
     @staticmethod
-    def _is_right_node(request: RequestState, node: NodeState) -> bool:
-        """Whether the node is live and holds the shard that the request names; any does for a new object."""
+    def _is_valid_target(request: RequestState, node: NodeState) -> bool:
+        """Whether the node is live and serves the request's shard; a new object may go to any shard."""
         shard = request.arrival.shard
         return node.is_live and (shard < 0 or node.shard == shard)
 
-    def _is_repetition_unsafe(self, request: RequestState, node: NodeState) -> bool:
-        """Whether a keyed request that may have run would not be recognized by the node."""
+    def _is_retry_unsafe(self, request: RequestState, node: NodeState) -> bool:
+        """Whether a keyed request may have run and the node would not recognize it as a duplicate."""
         if not request.may_have_run or request.request_class.idempotency != "keyed":
             return False
         return not is_deduplicated(request, node, self._context.now_us)
 
-    def _waits_for_limit(self, request: RequestState) -> bool:
-        """Whether its plan's limit holds a request up; then it leaves the queue until there are units."""
+    def _wait_for_rate_limit(self, request: RequestState) -> bool:
+        """Whether a request has to wait for its plan's limit; if so, remove the request from the queue.
+
+        The request is queued again when units are expected, or given up if that would be too late.
+        """
         wait_us = self._rate_limits.request_wait_us(request)
         if not wait_us:
             return False
@@ -178,7 +186,7 @@
         return True
 
     def _charge(self, request: RequestState, node: NodeState) -> None:
-        """Take an attempt from the budgets that it counts in."""
+        """Charge an attempt to the rate limit, the retry budget and the slow-start grant that apply to it."""
         self._rate_limits.charge(request)
         if request.attempt_count:
             self._retry_budget.record_retry()
@@ -193,8 +201,8 @@
         node.open_units += request.arrival.units
         node.overtaking_answers[request] = 0
         self._health.on_attempt_sent(node)
-        # With more brokers than requests that a node may hold, the bounds of each broker no longer bound the
-        # node's queue: attempts end at the objective there, not at the deadline.
-        is_crowded = context.settings.broker_count > MAX_IN_FLIGHT_COUNT
-        stop_at_us = request.objective_at_us if is_crowded else request.arrival.deadline_at_us
+        # With more brokers than slots of a node, the in-flight bound of each broker no longer bounds the
+        # node's queue, so attempts end at the latency objective instead of the deadline.
+        brokers_exceed_slots = context.settings.broker_count > MAX_IN_FLIGHT_COUNT
+        stop_at_us = request.objective_at_us if brokers_exceed_slots else request.arrival.deadline_at_us
         context.emit(api.StartAttempt(request.id, node.id, stop_at_us))
--- a/harriertide/decide/endpoints.py
+++ b/harriertide/decide/endpoints.py
@@ -1,4 +1,4 @@
-"""The nodes and shards of the endpoint list, as this broker was last notified of them."""
+"""The nodes and shards of the endpoint list, as of the last update that this broker received."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from harriertide.decide.units import SECOND_US
 from harriertide.decide.warming import assume_all_granted
 
-# Bids and reports that are lost are bridged by the last ones for so long, some ten intervals.
+# Lifetime of a bid and of a report, about ten bid intervals: until then the last one stands in for lost ones.
 BID_LIFETIME_US = 3_200_000
-# What a node that left was granted matters until its warming and one collapse window are over, and a little
-# more.
+# Margin on the time for which a removed node is kept. Its grants count until its slow start and one collapse
+# window are over.
 REMOVAL_MARGIN_US = SECOND_US
 
 
 class Endpoints:
-    """Nodes by id and shards by number; nodes that have left are kept until nothing of them matters."""
+    """Nodes by id and shards by number; removed nodes are kept until their grants no longer count."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self.nodes: dict[str, NodeState] = {}
         self.shards: dict[int, ShardState] = {}
-        self._removed_at_us: dict[str, int] = {}  # the longest gone first
+        self._removed_at_us: dict[str, int] = {}  # oldest removal first
 
     def apply(self, update: api.EndpointUpdate) -> None:
-        """Follow an update of the endpoint list that is not a failed call."""
+        """Apply an update of the endpoint list; its kind must not be "failed"."""
         if update.kind != "delta":
             self._remove_missing({entry.node_id for entry in update.entries})
         for entry in update.entries:
             self._apply_entry(entry)
 
-    def _remove_missing(self, named: set[str]) -> None:
-        """The list is complete: nodes that it does not name have left."""
+    def _remove_missing(self, listed_ids: set[str]) -> None:
+        """Mark the nodes that a complete list does not name as removed."""
         for node in self.nodes.values():
-            if node.id not in named:
+            if node.id not in listed_ids:
                 node.is_live = False
                 self._removed_at_us.setdefault(node.id, self._context.now_us)
                 self._context.mark_ready(self.shards[node.shard])
@@ -55,7 +55,7 @@
         self._context.mark_ready(shard)
 
     def _restart(self, node: NodeState, entry: api.NodeEntry) -> None:
-        """A node that is new here, has started anew, or serves another shard."""
+        """Reset the state of a node that is new to this broker, has restarted, or serves another shard."""
         if node.shard in self.shards:
             self.shards[node.shard].nodes.pop(node.id, None)
         node.shard = entry.shard
@@ -64,19 +64,19 @@
         context = self._context
         window_us = context.settings.collapse_window_us + CREDIT_LIFETIME_US
         if context.now_us - context.started_at_us <= window_us:
-            # this broker may have restarted, and have granted its part just before
+            # This broker may have granted its part of the budget just before it restarted itself.
             assume_all_granted(context, node)
 
     def _shard(self, number: int) -> ShardState:
-        """A shard; one that is new counts as not heard of for the lifetime of a bid."""
+        """The shard of a number, created if needed; the last report on a new shard counts as expired."""
         outdated_us = self._context.now_us - BID_LIFETIME_US
         return self.shards.setdefault(number, ShardState(number, outdated_us))
 
     def forget_removed(self) -> None:
-        """Forget nodes that left so long ago that nothing granted for them matters."""
+        """Forget nodes that were removed so long ago that their grants no longer count."""
         settings = self._context.settings
-        kept_us = settings.slow_start_us + settings.collapse_window_us + REMOVAL_MARGIN_US
-        before_us = self._context.now_us - kept_us
+        retention_us = settings.slow_start_us + settings.collapse_window_us + REMOVAL_MARGIN_US
+        before_us = self._context.now_us - retention_us
         for node_id, _ in expire_oldest(self._removed_at_us, lambda at_us: at_us < before_us):
             node = self.nodes.pop(node_id)
             del self.shards[node.shard].nodes[node.id]
--- a/harriertide/decide/health.py
+++ b/harriertide/decide/health.py
@@ -1,7 +1,7 @@
-"""Passive health checks: which nodes are ejected, when one is tried again, which attempts hang.
+"""Passive health checks: ejection of nodes, trials of ejected nodes, and cancellation of hung attempts.
 
-A node is ejected when attempts in a row end without a sign of life; a single answer reinstates it. An attempt
-is cancelled when its node has answered what it was sent later.
+A node is ejected when several consecutive attempts end without any response; a single answer reinstates it.
+An attempt is cancelled when its node has answered requests that were sent later.
 """
 
 from __future__ import annotations
@@ -14,20 +14,21 @@
 from harriertide.decide.latency import BaselineLatency
 from harriertide.decide.state import NodeState
 
-# Attempts in a row without a sign of life until a node is ejected: one may be its connection's fault, two
-# chance. A refused connection counts as so many at once, as nothing listens there.
+# Consecutive attempts without a response until a node is ejected: one may be due to the connection, two to
+# chance. A refused connection counts as this many at once, as no process is listening.
 EJECT_FAILURE_COUNT = 3
-# Between trial requests, or probes, at an ejected node: soon enough for one that is back, and next to no
-# load.
+# Time between trial requests, or probes, of an ejected node: short enough to detect recovery soon, and long
+# enough to add almost no load.
 TRIAL_INTERVAL_US = 250_000
-# Brokers that probe an ejected node that often; where there are more, each probes the less.
+# Number of brokers that probe an ejected node every TRIAL_INTERVAL_US. With more brokers, each of them probes
+# less often, so that the total rate stays about the same.
 PROBING_BROKER_COUNT = 4
-# An attempt counts as hung when its node has answered so many that were sent later, and when it has lasted so
-# many times the node's latest latencies, by its size.
+# An attempt counts as hung when its node has answered this many attempts that were sent later, and the
+# attempt has lasted longer than this factor times the latency expected of the node for the request's size.
 HUNG_OVERTAKING_COUNT = 2
 HUNG_LATENCY_FACTOR = 5.0
 
-SIGNS_OF_LIFE: frozenset[api.OutcomeKind] = frozenset({"ok", "error", "rejected"})
+RESPONSIVE_OUTCOMES: frozenset[api.OutcomeKind] = frozenset({"ok", "error", "rejected"})
 
 
 class HealthChecks:
@@ -39,10 +40,11 @@
         self._latency = latency
 
     def accept_or_probe(self, node: NodeState) -> bool:
-        """Whether requests may go to a node now; starts a probe of an ejected one where that is due.
+        """Whether requests may go to a node now; starts a probe of an ejected node if one is due.
 
-        An ejected node is tried when requests for its shard come: by a probe, where probes are allowed, else
-        by one of the requests. On a shard without requests it stays ejected, which costs nobody anything.
+        An ejected node is tried when requests for its shard arrive: by a probe if probes are allowed,
+        otherwise by one of the requests. A node of a shard without requests stays ejected, which delays no
+        request.
         """
         if not node.is_live:
             return False
@@ -53,25 +55,25 @@
             return False
         if not context.settings.probes_allowed:
             return True
-        turns = ceil(context.settings.broker_count / PROBING_BROKER_COUNT)
-        node.next_trial_at_us = context.now_us + TRIAL_INTERVAL_US * turns
+        interval_factor = ceil(context.settings.broker_count / PROBING_BROKER_COUNT)
+        node.next_trial_at_us = context.now_us + TRIAL_INTERVAL_US * interval_factor
         context.emit(api.StartProbe(node.id))
         return False
 
     def on_attempt_sent(self, node: NodeState) -> None:
-        """An attempt at an ejected node is its trial: no other for a while."""
+        """Count an attempt at an ejected node as its trial, and delay the next trial."""
         if node.is_ejected:
             node.next_trial_at_us = self._context.now_us + TRIAL_INTERVAL_US
 
     def on_outcome(self, node: NodeState, kind: api.OutcomeKind) -> None:
-        """An attempt has ended. Guards against dead machines, cut links and hung processes."""
+        """Record the outcome of an attempt, to detect failed machines, cut links and hung processes."""
         if kind in api.UNRESPONSIVE_OUTCOMES:
             self._count_failure(node, kind)
-        elif kind in SIGNS_OF_LIFE:
+        elif kind in RESPONSIVE_OUTCOMES:
             self.reinstate(node, 0)
 
     def _count_failure(self, node: NodeState, kind: api.OutcomeKind) -> None:
-        # nothing listens there: that says as much as several attempts that were not answered
+        # A refused connection means that no process is listening, which is as certain as several timeouts.
         weight = EJECT_FAILURE_COUNT if kind == "connect_failed" else 1
         node.consecutive_failures += weight
         if node.consecutive_failures >= EJECT_FAILURE_COUNT and not node.is_ejected:
@@ -81,34 +83,34 @@
         node.next_trial_at_us = max(node.next_trial_at_us, retry_at_us)
 
     def on_probe_finished(self, probe: api.ProbeFinished) -> None:
-        """A probe was answered: the node lives.
+        """Reinstate a node that has answered a probe.
 
-        What it does with requests is another matter: one more without a sign of life ejects it again.
+        The node may still fail on requests, so one more attempt without a response ejects it again.
         """
         node = self._endpoints.nodes.get(probe.node_id)
         if node is not None and probe.kind == "ok":
             self.reinstate(node, EJECT_FAILURE_COUNT - 1)
 
-    def reinstate(self, node: NodeState, failures_left: int) -> None:
-        """A node has shown that it lives.
+    def reinstate(self, node: NodeState, max_failures: int) -> None:
+        """Reinstate a node if it is ejected, and lower its count of consecutive failures.
 
-        :param failures_left: its count of failures in a row from now on, at most
+        :param max_failures: upper bound of the count from now on
         """
         if node.is_ejected:
             self._context.emit(api.LogLine(f"node {node.id} reinstated, it has answered"))
             self._context.mark_ready(self._endpoints.shards[node.shard])
-        node.consecutive_failures = min(node.consecutive_failures, failures_left)
+        node.consecutive_failures = min(node.consecutive_failures, max_failures)
         node.is_ejected = False
 
     def cancel_hung_attempts(self, node: NodeState, answered_sent_at_us: int) -> None:
-        """Cancel attempts that hang, because the node has already answered requests that were sent after
-        them.
+        """Cancel attempts that hang: those overtaken by answers to requests that the node was sent later.
 
-        Guards against connections that fall silent or bring half an answer: a node that is merely slow
-        answers in turn. Large requests among many small ones are given time by their size. How many answers
-        have overtaken an attempt is counted in NodeState.overtaking_answers.
+        This detects connections that stall or deliver only part of an answer; a node that is merely slow
+        answers in order. The expected latency scales with a request's size, so that large requests among many
+        small ones are not cancelled. NodeState.overtaking_answers counts the answers that have overtaken each
+        attempt.
 
-        :param answered_sent_at_us: when the attempt was sent that has just been answered
+        :param answered_sent_at_us: the time at which the attempt that has just been answered was sent
         """
         if not self._context.settings.cancel_allowed:
             return
@@ -121,7 +123,7 @@
             node.overtaking_answers[request] = count + 1
             size = max(1.0, request.arrival.units / self._context.settings.mean_request_units)
             expected_us = self._latency.expected_us(node, request.arrival.request_class) * size
-            has_lasted = now_us > sent_at_us + HUNG_LATENCY_FACTOR * expected_us
-            if count + 1 >= HUNG_OVERTAKING_COUNT and has_lasted:
+            is_overdue = now_us > sent_at_us + HUNG_LATENCY_FACTOR * expected_us
+            if count + 1 >= HUNG_OVERTAKING_COUNT and is_overdue:
                 del node.overtaking_answers[request]
                 self._context.emit(api.CancelAttempt(request.id, attempt))
--- a/harriertide/decide/key_queues.py
+++ b/harriertide/decide/key_queues.py
@@ -1,4 +1,4 @@
-"""Requests of one key that must run one after the other."""
+"""Queues that run the requests of one key one after the other, where their class requires it."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class KeyQueues:
-    """The queues of keys in use."""
+    """The queues of all keys with open requests, and the quiet periods of keys."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self._queues: dict[str, KeyQueue] = {}
 
     def join(self, request: RequestState) -> None:
-        """Put a request behind the others of its key, if its class asks for that."""
+        """Append a request to the queue of its key, if its class requires order."""
         if request.request_class.in_order and request.arrival.key:
             queue = self._queues.setdefault(request.arrival.key, KeyQueue())
             queue.members.append(request)
             request.key_queue = queue
 
     def start_quiet_period(self, request: RequestState) -> None:
-        """An attempt has ended without an answer: it may still run, so the next of its key waits."""
+        """Delay the next request of a key after an attempt that has no answer and may still be running."""
         if request.key_queue is not None:
             settings = self._context.settings
             quiet_us = settings.key_quiet_us + settings.tick_us
             request.key_queue.quiet_until_us = self._context.now_us + quiet_us
 
     def may_start(self, request: RequestState) -> bool:
-        """Whether a request's attempt may be sent, as far as its key goes."""
+        """Whether the queue of the request's key allows an attempt now."""
         queue = request.key_queue
         if queue is None:
             return True
@@ -36,17 +36,17 @@
         return queue.is_first(request) and not is_quiet
 
     def on_request_closed(self, request: RequestState) -> None:
-        """A request is over: the next of its key may run."""
+        """Schedule the next request of the key when a request is closed."""
         if request.key_queue is not None:
             self._advance(request.arrival.key, request.key_queue)
 
-    def on_quiet_period_over(self, key: str) -> None:
-        """The quiet time of a key is over."""
+    def on_quiet_period_end(self, key: str) -> None:
+        """Schedule the next request of the key when a quiet period ends."""
         if key in self._queues:
             self._advance(key, self._queues[key])
 
     def _advance(self, key: str, queue: KeyQueue) -> None:
-        """Give the turn of a key to the next request, after the key's quiet time."""
+        """Schedule the next request of a key, after the key's quiet period; drop the queue if it is empty."""
         now_us, timers = self._context.now_us, self._context.timers
         while queue.members and queue.members[0].is_closed:
             queue.members.popleft()
--- a/harriertide/decide/responses.py
+++ b/harriertide/decide/responses.py
@@ -1,7 +1,7 @@
-"""Final answers of the decision module: here alone it rejects, fails and closes requests.
+"""Final answers: the only place in the decision module where requests are rejected, failed and closed.
 
-The reducer gives final answers of its own where this module cannot: at the end of the process, and after a
-fault of the decision module (`core.request_lifecycle`).
+The reducer (`core.request_lifecycle`) gives final answers itself where the decision module cannot: at the end
+of the process, and after a fault of the decision module.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Responses:
-    """The requests that this broker has, by id, until their last outcome."""
+    """The open requests of this broker, by id; a request stays until its last outcome."""
 
     def __init__(self, context: DecisionContext, demand: Demand, key_queues: KeyQueues) -> None:
         self._context = context
@@ -24,28 +24,24 @@
         self.requests: dict[str, RequestState] = {}
 
     def add(self, request: RequestState) -> None:
-        """A request has come."""
+        """Register a new request."""
         self.requests[request.id] = request
 
     def give_up(self, request: RequestState, reason: api.GiveUpReason) -> None:
-        """Answer at once that a request is not served.
-
-        It is rejected, with the promise that trying again is harmless, where that is true; else it has
-        failed.
-        """
+        """Reject a request if a retry by its client is harmless, which a rejection promises; else fail it."""
         if request.is_answered:
             return
         if self._is_harmless_to_retry(request):
             self._context.emit(api.Reject(request.id, self._retry_after_us(), reason))
         else:
             self._context.emit(api.Fail(request.id, reason))
-        if request.charged_bucket is not None:  # its volume has its units back
+        if request.charged_bucket is not None:  # refund the units to the volume's quota
             request.charged_bucket.units += request.arrival.units
         self.close(request)
 
     @staticmethod
     def _is_harmless_to_retry(request: RequestState) -> bool:
-        """Whether nothing ran, or running twice has no further effect."""
+        """Whether no attempt may have run, or a second run would have no further effect."""
         request_class = request.request_class
         if request_class.idempotency == "idempotent":
             return True
@@ -54,7 +50,7 @@
         return request_class.idempotency == "keyed" and request_class.deduplication_scope == "all"
 
     def _retry_after_us(self) -> int:
-        """When a client should come back: not before admission is decided anew. 0: it is not told."""
+        """When a client should retry: not before the next bid interval updates admission. 0: not stated."""
         settings = self._context.settings
         if not settings.retry_after_allowed:
             return 0
@@ -62,7 +58,7 @@
         return min(settings.max_retry_after_us, max(TRIAL_INTERVAL_US, until_interval_us))
 
     def close(self, request: RequestState) -> None:
-        """No answer is owed any more; the request stays known until its last outcome."""
+        """Mark a request as answered, and remove it as soon as it has no open attempt."""
         request.leave_queue()
         request.is_answered = True
         if request.open_attempts:
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -1,16 +1,17 @@
-"""What happens on each event, in order: the scheduler composes the mechanisms of this package.
-
-Its interface, types, events and actions, is `harriertide.decide.api`. Each mechanism answers one question and
-owns the state that it needs for it:
-
-- `demand`: what is offered here and by all brokers (bids to a coordinator, its reports); `capacity`: what can
-  a shard do, is it overloaded
-- `admission`: is a request admitted, at which priority; `rate_limits`: what does its plan's limit allow, with
-  `leases`, `quota_grants` and `quota_credit`
-- `dispatch`: when does an admitted request leave; `placement`: to which node; `key_queues`: which of one key
-- `health`: which nodes are ejected; `slow_start`: what may a warming node get
-- `retry`: may it be attempted again; `responses`: what is the final answer
-- `endpoints`, `endpoint_polling`: which nodes are there, and when is that asked
+"""The scheduler: handles each event by calling the mechanisms of this package in order.
+
+Settings, events and actions are defined in `harriertide.decide.api`. Each mechanism makes one kind of
+decision and owns the state for it:
+
+- `demand`: the demand at this broker and at all brokers (bids to a coordinator, and its reports);
+  `capacity`: the capacity of a shard, and whether the shard is overloaded
+- `admission`: whether a request is admitted, and at which priority; `rate_limits`: what the limit of the
+  request's plan allows, with `leases`, `quota_grants` and `quota_credit`
+- `dispatch`: when an admitted request is sent; `placement`: the node that it is sent to; `key_queues`: the
+  order of requests with the same key
+- `health`: which nodes are ejected; `slow_start`: how many units a warming node may receive
+- `retry`: whether a request may be attempted again; `responses`: the final answer
+- `endpoints`, `endpoint_polling`: the nodes of the endpoint list, and when the list is polled
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from random import Random
 
 from harriertide.decide import api
-from harriertide.decide.admission import charge_quota_and_classify, is_thinned_out
+from harriertide.decide.admission import charge_quota_and_classify, should_shed
 from harriertide.decide.capacity import CapacityEstimator
 from harriertide.decide.context import (
     DecisionContext,
@@ -38,7 +39,7 @@
 from harriertide.decide.key_queues import KeyQueues
 from harriertide.decide.latency import BaselineLatency
 from harriertide.decide.peer_exchange import PeerExchange
-from harriertide.decide.placement import Placement, Placements
+from harriertide.decide.placement import Placement, PlacementHistory
 from harriertide.decide.rate_limits import RateLimits
 from harriertide.decide.responses import Responses
 from harriertide.decide.retry import RetryBudget, may_attempt
@@ -46,15 +47,15 @@
 from harriertide.decide.state import NodeState, OpenAttempt, RequestState, ShardState
 from harriertide.decide.warming import assume_all_granted
 
-# An attempt that ended so may still run at its node: the next of its key waits.
-_MAY_STILL_RUN: frozenset[api.OutcomeKind] = frozenset({"timeout", "reset", "cancelled"})
+# After these outcomes the node may still be running the attempt, so the next request of its key waits.
+_POSSIBLY_RUNNING_OUTCOMES: frozenset[api.OutcomeKind] = frozenset({"timeout", "reset", "cancelled"})
 
 
 class Scheduler:
-    """The decisions of one broker: pure, fed with events, answering with actions.
+    """Makes the decisions of one broker: takes events, returns actions, and does no I/O.
 
-    The mechanisms are public for reading, by tests and by the hand-over to a newer process; only this class
-    and they themselves change them.
+    The mechanisms are public so that tests and the hand-over to a newer process can read them. Their state is
+    changed only by this class and by the mechanisms themselves.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -69,7 +70,7 @@
         self.latency = BaselineLatency()
         self.health = HealthChecks(self.context, self.endpoints, self.latency)
         self.placement = Placement(self.context, self.endpoints, self.health)
-        self.placements = Placements()
+        self.placements = PlacementHistory()
         self.key_queues = KeyQueues(self.context)
         self.responses = Responses(self.context, self.demand, self.key_queues)
         self.retry_budget = RetryBudget(self.context)
@@ -90,10 +91,10 @@
     # --- the interface -------------------------------------------------------------------------------
 
     def decide(self, now_us: int, events: list[api.Event]) -> list[api.Action]:
-        """Take what has happened by now.
+        """Handle events and due timers.
 
         :param now_us: microseconds of a clock that only advances
-        :returns: what to do, in order
+        :returns: the actions to carry out, in order
         """
         context = self.context
         context.now_us = max(now_us, context.now_us)
@@ -104,7 +105,7 @@
             self._on_event(event)
         if self.demand.is_interval_over():
             self.demand.close_interval()
-            self._forget()
+            self._forget_idle_state()
         self._run_timers()
         while context.ready_shards:
             self.dispatcher.dispatch(context.ready_shards.pop(next(iter(context.ready_shards))))
@@ -113,23 +114,23 @@
         return context.actions
 
     def begin_without_state(self, now_us: int) -> None:
-        """Begin now, knowing of nothing that was given out until then.
+        """Start limits and budgets anew at `now_us`, without the state of the broker's earlier process.
 
-        Guards against limits and budgets that fill from this process's start, while another process of the
-        broker still gave them out.
+        Otherwise limits and budgets would have filled up since the start of this process, although another
+        process of the broker was still spending them.
 
-        :param now_us: the moment from which on no other process gives anything out
+        :param now_us: the time from which no other process of the broker spends limits or budgets
         """
         context = self.context
         if not context.has_started:
-            return  # it begins with its first call
+            return  # limits and budgets start with the first call of decide()
         context.now_us = max(now_us, context.now_us)
         context.started_at_us = context.now_us
-        self._forget_other_brokers()
+        self._reset_fleet_state()
         self.rate_limits.apply_settings()
 
     def learned_capacity_by_node(self) -> dict[str, float]:
-        """What the live nodes of overloaded shards can do, in units a second, as far as it was learned."""
+        """The learned capacity of each live node of an overloaded shard, in units a second."""
         return {
             node.id: shard.capacity / len(shard.nodes)
             for shard in self.endpoints.shards.values()
@@ -141,25 +142,29 @@
     # --- start and settings --------------------------------------------------------------------------
 
     def _start(self) -> None:
-        """The first call: time is known from here on."""
+        """Start all mechanisms that need the current time, which is first known here."""
         self.context.started_at_us = self.context.now_us
-        self.rate_limits.apply_settings()  # leases begin with the first call, as they need its time
+        self.rate_limits.apply_settings()  # leases start here, as they need the current time
         self.demand.start()
         self.endpoint_polling.start()
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Take new figures; classes and plans keep their places, new ones come after them."""
+        """Apply new settings. Known classes and plans keep their numbers; new ones are appended."""
         context = self.context
         if not settings.same_brokers(context.settings):
-            self._forget_other_brokers()
+            self._reset_fleet_state()
         context.settings = settings
         context.derived = derive(settings)
         self.rate_limits.apply_settings()
         self.latency.extend_to(len(settings.classes))
         self.endpoint_polling.reset_backoff()
 
-    def _forget_other_brokers(self) -> None:
-        """The fleet of brokers has changed, and with it coordinators: all of each node counts as granted."""
+    def _reset_fleet_state(self) -> None:
+        """Reset what depends on the other brokers after the fleet, and so each coordinator, has changed.
+
+        The budget of each warming node counts as fully granted, as earlier grants are unknown to a new
+        coordinator.
+        """
         self.rate_limits.reset()
         self.demand.reset_aggregates()
         for node in self.endpoints.nodes.values():
@@ -187,10 +192,10 @@
             case api.SettingsChanged():
                 self._apply_settings(event.settings)
             case api.TimerFired():
-                pass  # what is due is looked at in each call
+                pass  # decide() runs due timers on each call
 
     def _on_arrival(self, arrival: api.Arrival) -> None:
-        """Take a request: classify it, count it as offered, and queue it or give it up at once."""
+        """Classify a new request, count it as demand, and queue it or give it up at once."""
         context = self.context
         answer_deadline_us = context.answer_deadline_us(arrival)
         request = self._new_request(arrival, answer_deadline_us)
@@ -209,7 +214,7 @@
         reason = self._find_rejection(request, shard)
         if reason is not None:
             self.responses.give_up(request, reason)
-        elif request.is_its_turn():
+        elif request.is_first_of_key():
             self.dispatcher.enqueue(request)
 
     def _new_request(self, arrival: api.Arrival, answer_deadline_us: int) -> RequestState:
@@ -227,22 +232,22 @@
         )
 
     def _shard_for(self, arrival: api.Arrival) -> ShardState | None:
-        """The shard that a request names, or one for its new object; None: there is none."""
+        """The shard that a request names, or one chosen for its new object; None if there is none."""
         if arrival.shard < 0:
             return self.placement.place_new_object(arrival.units)
         return self.endpoints.shards.get(arrival.shard)
 
     def _find_rejection(self, request: RequestState, shard: ShardState) -> api.GiveUpReason | None:
-        """Why a request is not admitted; None: it is.
+        """The reason for which a request is not admitted; None if it is admitted.
 
-        Asks each node, as that is when ejected ones are probed, draws a random number where the shard is
-        overloaded, and may ask the holder of the plan's limit for units.
+        Checks every node of the shard, as this check starts the probes of ejected nodes. Draws a random
+        number if the shard is overloaded, and may request units from the holder of the plan's limit.
         """
-        accepting = [self.health.accept_or_probe(node) for node in shard.nodes.values()]
-        is_thinned = is_thinned_out(self.context, request, shard)
-        if not any(accepting):
+        node_acceptance = [self.health.accept_or_probe(node) for node in shard.nodes.values()]
+        is_shed = should_shed(self.context, request, shard)
+        if not any(node_acceptance):
             return "no_node"
-        if is_thinned:
+        if is_shed:
             return "overload"
         wait_us = self.rate_limits.request_wait_us(request)
         return "rate_limit" if self.rate_limits.is_wait_too_long(request, wait_us) else None
@@ -258,7 +263,7 @@
             self.responses.close(request)
 
     def _on_endpoint_update(self, update: api.EndpointUpdate) -> None:
-        """Follow the endpoint list; ask again, with backoff, after a failed call."""
+        """Apply an update of the endpoint list; after a failed call, poll again with backoff."""
         if update.kind == "failed":
             self.endpoint_polling.on_failure()
         else:
@@ -268,7 +273,7 @@
     # --- outcomes ------------------------------------------------------------------------------------
 
     def _on_attempt_finished(self, outcome: api.AttemptFinished) -> None:
-        """Record an attempt's outcome and latency; attempt again where that is allowed and can be in time."""
+        """Record an attempt's outcome and latency; retry if that is allowed and can be in time."""
         request = self.responses.requests.get(outcome.request_id)
         if request is None or outcome.attempt not in request.open_attempts:
             return
@@ -278,7 +283,7 @@
         self._release_attempt(request, node)
         if outcome.kind not in api.NOT_EXECUTED_OUTCOMES:
             request.record_execution(node, attempt.sent_at_us)
-        if outcome.kind in _MAY_STILL_RUN:
+        if outcome.kind in _POSSIBLY_RUNNING_OUTCOMES:
             self.key_queues.start_quiet_period(request)
         self.health.on_outcome(node, outcome.kind)
         self.demand.mark_active(shard)
@@ -290,7 +295,7 @@
         if outcome.is_final or request.is_answered:
             self.responses.close(request)
         else:
-            self._attempt_again(request, shard, outcome.kind)
+            self._retry(request, shard, outcome.kind)
 
     @staticmethod
     def _release_attempt(request: RequestState, node: NodeState) -> None:
@@ -301,26 +306,27 @@
     def _record_answer(
         self, request: RequestState, shard: ShardState, attempt: OpenAttempt, latency_us: int
     ) -> None:
-        """A node has served a request."""
+        """Record that a node has served a request."""
         arrival = request.arrival
         node = attempt.node
         shard.served_units += arrival.units
-        if arrival.shard < 0 and request.executed_on is node:  # the first that may have taken the object
+        # If an earlier attempt may have run at another node, the object may be at either node.
+        if arrival.shard < 0 and request.executed_on is node:
             self.placements.put(arrival.key, node.shard, self.context.now_us)
         self.slow_start.record_answer(attempt, arrival.units, latency_us)
         self.latency.record(node, arrival.request_class, latency_us)
 
-    def _attempt_again(self, request: RequestState, shard: ShardState, kind: api.OutcomeKind) -> None:
-        """Queue a request whose attempt has failed for another one, or give it up."""
+    def _retry(self, request: RequestState, shard: ShardState, kind: api.OutcomeKind) -> None:
+        """Queue a request for another attempt after a failed one, or give the request up."""
         redirected: api.Arrival | None = None
         if kind == "not_sent":
-            # Another attempt there would not help (see api.OutcomeKind). Where its node does not hold the
-            # shard, it goes to the shard that took its object through this broker, if that is known.
-            redirected = self.placements.redirected(request)
+            # Another attempt at the same node would not help (see api.OutcomeKind). If the node does not hold
+            # the shard, the request goes to the shard that took its object through this broker, if known.
+            redirected = self.placements.redirect(request)
             if redirected is None:
                 self.responses.give_up(request, "wrong_shard")
                 return
-        reason = self._find_end_of_attempts(request, shard)
+        reason = self._find_retry_rejection(request, shard)
         if reason is not None:
             self.responses.give_up(request, reason)
             return
@@ -328,12 +334,12 @@
             request.arrival = redirected
             request.shard = self.endpoints.shards[redirected.shard]
         elif request.arrival.shard < 0 and request.request_class.idempotency == "idempotent":
-            # a new object may go elsewhere
+            # a new object may be placed at another shard
             request.shard = self.placement.place_new_object(request.arrival.units) or shard
         self.dispatcher.enqueue(request)
 
-    def _find_end_of_attempts(self, request: RequestState, shard: ShardState) -> api.GiveUpReason | None:
-        """Why a request is not attempted again; None: it is."""
+    def _find_retry_rejection(self, request: RequestState, shard: ShardState) -> api.GiveUpReason | None:
+        """The reason for which a request is not retried; None if it is retried."""
         if not may_attempt(request, self.context.settings):
             return "not_repeatable"
         if not shard.nodes:
@@ -342,14 +348,14 @@
 
     # --- time ----------------------------------------------------------------------------------------
 
-    def _forget(self) -> None:
-        """Forget what cannot matter any more."""
+    def _forget_idle_state(self) -> None:
+        """Discard placements, volumes and removed nodes whose retention time is over."""
         self.placements.forget(self.context.now_us - IDLE_STATE_RETENTION_US)
         self.rate_limits.forget_idle()
         self.endpoints.forget_removed()
 
     def _run_timers(self) -> None:
-        """Do what was put off until now."""
+        """Run all timers that are due."""
         while (timer := self.context.timers.pop_due(self.context.now_us)) is not None:
             self._on_timer(timer)
 
@@ -364,31 +370,31 @@
             case LeaseTimer():
                 self.rate_limits.on_lease_timer(timer)
             case KeyTimer(key):
-                self.key_queues.on_quiet_period_over(key)
+                self.key_queues.on_quiet_period_end(key)
 
     def _on_request_timer(self, request: RequestState) -> None:
-        """Answer a request whose deadline has come; queue one that may leave now."""
+        """Give up a request at its deadline; before that, queue it if it may be dispatched."""
         answer_deadline_us = self.context.answer_deadline_us(request.arrival)
         if self.context.now_us >= answer_deadline_us and not request.open_attempts:
             self.responses.give_up(request, "deadline")
-        elif self._may_be_queued(request):
+        elif self._is_ready_to_queue(request):
             self.dispatcher.enqueue(request)
 
     @staticmethod
-    def _may_be_queued(request: RequestState) -> bool:
-        """Whether a request waits for nothing but its turn, which has come."""
+    def _is_ready_to_queue(request: RequestState) -> bool:
+        """Whether a request is unanswered, not in flight, not queued, and the first of its key."""
         if request.is_answered or request.open_attempts or request.is_queued:
             return False
-        return request.is_its_turn()
+        return request.is_first_of_key()
 
     def _set_timer(self) -> None:
-        """Have one timer for the next thing to look at."""
+        """Set one timer for the next due time, unless an earlier one is set already."""
         context = self.context
         next_us = context.timers.next_at_us()
-        wanted_us = (
+        next_timer_at_us = (
             self.demand.interval_ends_us if next_us is None else min(self.demand.interval_ends_us, next_us)
         )
-        wanted_us = max(context.now_us + 1, wanted_us)
-        if not context.now_us < self._timer_set_for_us <= wanted_us:
-            self._timer_set_for_us = wanted_us
-            context.emit(api.SetTimer(wanted_us - context.now_us, wanted_us))
+        next_timer_at_us = max(context.now_us + 1, next_timer_at_us)
+        if not context.now_us < self._timer_set_for_us <= next_timer_at_us:
+            self._timer_set_for_us = next_timer_at_us
+            context.emit(api.SetTimer(next_timer_at_us - context.now_us, next_timer_at_us))
--- a/harriertide/decide/timers.py
+++ b/harriertide/decide/timers.py
@@ -1,4 +1,4 @@
-"""What has been put off, in order of its time. No clock is read here."""
+"""A queue of timers, ordered by due time. The caller passes the current time; no clock is read."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class TimerQueue(Generic[Timer]):
-    """Timers by their time; those of one time in the order in which they were set.
+    """Timers in order of due time; timers with equal due times keep the order in which they were set.
 
-    :param is_obsolete: whether nothing would be done at a timer any more
+    :param is_obsolete: whether a timer would have no effect any more
     """
 
     def __init__(self, is_obsolete: Callable[[Timer], bool]) -> None:
@@ -21,23 +21,23 @@
         self._is_obsolete = is_obsolete
 
     def schedule(self, at_us: int, timer: Timer) -> None:
-        """Set a timer."""
+        """Add a timer that is due at `at_us`."""
         self._set_count += 1
         heappush(self._heap, (at_us, self._set_count, timer))
 
     def pop_due(self, now_us: int) -> Timer | None:
-        """Take the next timer that is due by now; None if there is none."""
+        """Remove and return the next timer that is due; None if there is none."""
         if not self._heap or self._heap[0][0] > now_us:
             return None
         return heappop(self._heap)[2]
 
     def next_at_us(self) -> int | None:
-        """The time of the next timer that still matters; None if there is none."""
+        """The due time of the next timer that is not obsolete; None if there is none."""
         while self._heap and self._is_obsolete(self._heap[0][2]):
             heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def shift(self, by_us: int) -> None:
-        """Move all timers, as the clock that they go by was set by so much."""
+        """Move all timers by `by_us`, after the clock was adjusted by that amount."""
         self._heap = [(at_us + by_us, order, timer) for at_us, order, timer in self._heap]
         heapify(self._heap)
--- a/harriertide/decide/units.py
+++ b/harriertide/decide/units.py
@@ -1,6 +1,6 @@
-"""Units of the figures that decisions are made of."""
+"""Conversion factors for times in microseconds."""
 
 from __future__ import annotations
 
-SECOND_US = 1_000_000  # microseconds of a second
+SECOND_US = 1_000_000
 MILLISECOND_US = 1_000
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -89,15 +89,15 @@
         attempt: int = 0,
         node: str = "n0",
         after_us: int = 20_000,
-        request_is_over: bool | None = None,
+        is_final: bool | None = None,
     ) -> list[api.Action]:
         """An attempt ends so long after the last event.
 
-        :param request_is_over: whether its request ends with it; by default, where the attempt succeeded
+        :param is_final: whether its request ends with it; by default, where the attempt succeeded
         """
-        request_is_over = kind == "ok" if request_is_over is None else request_is_over
+        is_final = kind == "ok" if is_final is None else is_final
         return self.handle(
-            api.AttemptFinished(request, attempt, node, kind, after_us, request_is_over), after_us=after_us
+            api.AttemptFinished(request, attempt, node, kind, after_us, is_final), after_us=after_us
         )
 
     def advance(self, for_us: int, step_us: int = 50_000) -> list[api.Action]:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -116,7 +116,7 @@
                 admitted_count += 1
                 broker.handle(api.ClientDisconnected(request.id))
                 for number in list(request.open_attempts):
-                    broker.finish_attempt(request.id, "cancelled", number, after_us=0, request_is_over=True)
+                    broker.finish_attempt(request.id, "cancelled", number, after_us=0, is_final=True)
         return admitted_count / 1000
 
     assert 0.42 < admitted_ratio([100.0] + [0.0] * (PRIORITY_BAND_COUNT - 1)) < 0.58
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -78,14 +78,14 @@
         broker.finish_attempt(
             f"r{broker.request_count}",
             "timeout" if number % 10 == 0 else "ok",
-            request_is_over=True,
+            is_final=True,
             after_us=30_000,
         )
     assert not broker.scheduler.endpoints.shards[0].is_overloaded
     overloaded_rounds = []  # between single trials an interval may bring nothing, and says nothing
     for _ in range(20):
         broker.request()
-        broker.finish_attempt(f"r{broker.request_count}", "timeout", request_is_over=True, after_us=300_000)
+        broker.finish_attempt(f"r{broker.request_count}", "timeout", is_final=True, after_us=300_000)
         overloaded_rounds.append(broker.scheduler.endpoints.shards[0].is_overloaded)
     assert sum(overloaded_rounds) >= 5
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -67,7 +67,7 @@
     assert [s.request_id for s in started_attempts(broker.request(3, key="k"))] == ["r1"]
     assert not started_attempts(broker.request(3, key="k"))
     assert [s.request_id for s in started_attempts(broker.request(3, key="other"))] == ["r3"]
-    actions = broker.finish_attempt("r1", "cancelled", request_is_over=True) + broker.advance(100_000, 10_000)
+    actions = broker.finish_attempt("r1", "cancelled", is_final=True) + broker.advance(100_000, 10_000)
     assert not started_attempts(actions)
     broker.request(3, key="k")
     assert [s.request_id for s in started_attempts(broker.advance(100_000, 10_000))] == ["r2"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 
 from harriertide.decide import api
 from harriertide.decide.derived import IDLE_STATE_RETENTION_US, PREFERRED_SHARD_COUNT
-from harriertide.decide.placement import MAX_PLACEMENT_COUNT, Placements
+from harriertide.decide.placement import MAX_PLACEMENT_RECORD_COUNT, PlacementHistory
 from tests.fleet_simulation import (
     HUNDREDS_FLEET,
     HUNDREDS_FLEETS,
@@ -126,19 +126,19 @@
 
 def test_placements_are_bounded_and_the_newest_stay() -> None:
     """New objects come without end. Memory of their placement is bounded, and the oldest goes first."""
-    placements = Placements()
-    for number in range(MAX_PLACEMENT_COUNT + 10):
+    placements = PlacementHistory()
+    for number in range(MAX_PLACEMENT_RECORD_COUNT + 10):
         placements.put(f"{number}", 0, number)
-    placements.put("10", 1, MAX_PLACEMENT_COUNT + 10)
-    placements.put("one more", 1, MAX_PLACEMENT_COUNT + 11)
+    placements.put("10", 1, MAX_PLACEMENT_RECORD_COUNT + 10)
+    placements.put("one more", 1, MAX_PLACEMENT_RECORD_COUNT + 11)
     placements_by_key = placements.by_key
     assert (
-        len(placements_by_key) == MAX_PLACEMENT_COUNT
+        len(placements_by_key) == MAX_PLACEMENT_RECORD_COUNT
         and "9" not in placements_by_key
         and placements_by_key["10"].shard == 1
         and "11" not in placements_by_key
     )
-    placements.forget(MAX_PLACEMENT_COUNT + 10)
+    placements.forget(MAX_PLACEMENT_RECORD_COUNT + 10)
     assert list(placements_by_key) == ["one more"]
 
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -77,6 +77,5 @@
     broker = BrokerUnderTest(cancel_allowed=True)
     broker.request()
     assert [
-        send.request_id
-        for send in started_attempts(broker.finish_attempt("r1", "cancelled", request_is_over=False))
+        send.request_id for send in started_attempts(broker.finish_attempt("r1", "cancelled", is_final=False))
     ] == ["r1"]
