--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A broker under test: settings, events in, actions out."""
+"""Helpers for tests of the scheduler: settings, a broker under test, and filters for its actions."""
 
 from __future__ import annotations
 
@@ -52,34 +52,36 @@
 START_US = 50_000_000
 SECOND_US = 1_000_000
 TWO_NODES = (api.NodeEntry("n0", 0), api.NodeEntry("n1", 1))
-# Of shard 0, where there are two brokers, and where there are eight; the next broker is its standby.
+# Coordinators of shard 0 in fleets of two and of eight brokers; the next broker is the standby.
 COORDINATOR_OF_TWO = crc32(b"0") % 2
 COORDINATOR_OF_EIGHT = crc32(b"0") % 8
 BIDDER_OF_EIGHT = (COORDINATOR_OF_EIGHT + 4) % 8
 
 
 class BrokerUnderTest:
-    """Feeds one Scheduler and remembers what it did."""
+    """One Scheduler with its clock; passes events to it and returns the actions."""
 
-    def __init__(self, nodes: tuple[api.NodeEntry, ...] = (), seed: int = 1, **changes: Any) -> None:
+    def __init__(self, nodes: tuple[api.NodeEntry, ...] = (), seed: int = 1, **setting_changes: Any) -> None:
         self.now_us = START_US
-        self.settings = replace(SETTINGS, **changes)
+        self.settings = replace(SETTINGS, **setting_changes)
         self.scheduler = Scheduler(self.settings, seed)
         self.request_count = 0
         self.first_actions = self.handle(api.EndpointUpdate("cached", nodes or TWO_NODES))
 
     def handle(self, *events: api.Event, after_us: int = 0) -> list[api.Action]:
-        """Let time pass, then decide on these events."""
+        """Advance the clock, then handle these events."""
         self.now_us += after_us
         return self.scheduler.decide(self.now_us, list(events))
 
-    def request(self, request_class: int = 0, plan: int = 0, shard: int = 0, **more: Any) -> list[api.Action]:
-        """A client's request arrives; requests are named r1, r2, ..."""
+    def request(
+        self, request_class: int = 0, plan: int = 0, shard: int = 0, **arrival_fields: Any
+    ) -> list[api.Action]:
+        """Handle the arrival of a request; requests have the ids r1, r2, ..."""
         self.request_count += 1
-        more.setdefault("deadline_at_us", self.now_us + 2_000_000)
-        more.setdefault("volume", "v")
-        more.setdefault("units", 2.0)
-        event = api.Arrival(f"r{self.request_count}", request_class, plan, shard=shard, **more)
+        arrival_fields.setdefault("deadline_at_us", self.now_us + 2_000_000)
+        arrival_fields.setdefault("volume", "v")
+        arrival_fields.setdefault("units", 2.0)
+        event = api.Arrival(f"r{self.request_count}", request_class, plan, shard=shard, **arrival_fields)
         return self.handle(event)
 
     def finish_attempt(
@@ -91,9 +93,9 @@
         after_us: int = 20_000,
         is_final: bool | None = None,
     ) -> list[api.Action]:
-        """An attempt ends so long after the last event.
+        """Handle the end of an attempt, `after_us` after the last event.
 
-        :param is_final: whether its request ends with it; by default, where the attempt succeeded
+        :param is_final: whether the request has its final answer; by default, if the attempt succeeded
         """
         is_final = kind == "ok" if is_final is None else is_final
         return self.handle(
@@ -101,7 +103,7 @@
         )
 
     def advance(self, for_us: int, step_us: int = 50_000) -> list[api.Action]:
-        """Let time pass in steps, with nothing but timers."""
+        """Advance the clock in steps, with timer events only."""
         actions: list[api.Action] = []
         for _ in range(for_us // step_us):
             actions += self.handle(api.TimerFired(0), after_us=step_us)
@@ -121,7 +123,7 @@
 
 
 def peer_datagrams(actions: list[api.Action], kind: type[PeerMessage]) -> list[api.SendPeerMessage]:
-    """The datagrams that were sent to peers and begin with a message of this kind."""
+    """The datagrams to peers that begin with a message of this kind."""
     return [a for a in actions if isinstance(a, api.SendPeerMessage) and a.body[2] == kind.KIND]
 
 
@@ -133,7 +135,7 @@
     weight_sum: float = 1.0,
     capacity: float = 0.0,
 ) -> bytes:
-    """A broker's bid on a shard, as it is sent."""
+    """A datagram with a broker's bid on a shard."""
     bid = DemandBid(shard, tuple(demand), served_rate, latency_weighted_rate, weight_sum, capacity)
     return encode([bid])[0]
 
@@ -146,7 +148,7 @@
     latency_ratio: float = 0.2,
     is_overloaded: bool = True,
 ) -> bytes:
-    """A coordinator's report on a shard whose capacity it has learned, as it is sent."""
+    """A datagram with a coordinator's report on a shard whose capacity is known."""
     return encode(
         [DemandReport(shard, tuple(demand), capacity, weight_sum, latency_ratio, True, is_overloaded)]
     )[0]
@@ -158,7 +160,7 @@
 
 
 def demand_reports(actions: list[api.Action]) -> list[DemandReport]:
-    """The reports that a coordinator sends."""
+    """All demand reports in these actions."""
     messages = [message for datagram in message_bodies(actions, DemandReport) for message in decode(datagram)]
     return [message for message in messages if isinstance(message, DemandReport)]
 
@@ -169,15 +171,15 @@
     """Offer requests at a steady rate; each attempt is answered after `latency_us`."""
     actions: list[api.Action] = []
     in_flight: list[tuple[int, str]] = []
-    end = broker.now_us + for_us
-    while broker.now_us < end:
-        new_actions = broker.request()
+    end_us = broker.now_us + for_us
+    while broker.now_us < end_us:
+        step_actions = broker.request()
         ended_requests = [r for end_at_us, r in in_flight if end_at_us <= broker.now_us]
         in_flight = [(end_at_us, r) for end_at_us, r in in_flight if end_at_us > broker.now_us]
         for request in ended_requests:
-            new_actions += broker.handle(api.AttemptFinished(request, 0, "n0", "ok", latency_us, True))
-        in_flight += [(broker.now_us + latency_us, s.request_id) for s in started_attempts(new_actions)]
-        actions += new_actions
+            step_actions += broker.handle(api.AttemptFinished(request, 0, "n0", "ok", latency_us, True))
+        in_flight += [(broker.now_us + latency_us, s.request_id) for s in started_attempts(step_actions)]
+        actions += step_actions
         broker.now_us += every_us
     for end_at_us, request in in_flight:
         broker.now_us = max(broker.now_us, end_at_us)
@@ -186,30 +188,39 @@
 
 
 def overload_shard(broker: BrokerUnderTest) -> None:
-    """Until the shard is overloaded, its capacity known."""
+    """Offer load with slow answers until shard 0 is overloaded and its capacity is known."""
     offer_steadily(broker, 2 * SECOND_US)
     offer_steadily(broker, 3 * SECOND_US, latency_us=400_000)
     shard_state = broker.scheduler.endpoints.shards[0]
     assert shard_state.is_overloaded and shard_state.is_capacity_known
 
 
-def broker_with_warming_node(**changes: Any) -> BrokerUnderTest:
-    """A broker that has run for 2 s as node n0 starts anew."""
-    broker = BrokerUnderTest(**changes)
+def broker_with_warming_node(**setting_changes: Any) -> BrokerUnderTest:
+    """A broker that has run for 2 s when node n0 restarts."""
+    broker = BrokerUnderTest(**setting_changes)
     broker.advance(2_000_000)
     broker.handle(api.EndpointUpdate("delta", (api.NodeEntry("n0", 0, "live", 0, broker.now_us),)))
     return broker
 
 
 def offer_continuously(
-    broker: BrokerUnderTest, for_us: int, step_us: int = 10_000, latency_us: int = 200_000, **options: Any
+    broker: BrokerUnderTest,
+    for_us: int,
+    step_us: int = 10_000,
+    latency_us: int = 200_000,
+    **request_options: Any,
 ) -> float:
-    """Offer without end and answer at once, as if it had taken `latency_us`; the units that were sent."""
+    """Offer a request in each step, answer attempts in the next one, and return the units that were sent.
+
+    :param latency_us: the latency that is reported for each attempt
+    """
     total_units = 0.0
     started: list[api.StartAttempt] = []
     for _ in range(for_us // step_us):
-        ends = [api.AttemptFinished(r.request_id, 0, "n0", "ok", latency_us, True) for r in started]
-        actions = broker.request(**options) + broker.handle(*ends)
+        outcomes = [
+            api.AttemptFinished(attempt.request_id, 0, "n0", "ok", latency_us, True) for attempt in started
+        ]
+        actions = broker.request(**request_options) + broker.handle(*outcomes)
         started = started_attempts(actions)
         total_units += 2.0 * len(started)
         broker.now_us += step_us
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: which requests are let in, by allotment, probability and priority."""
+"""Admission control: allotments, admit probabilities, and priorities."""
 
 from __future__ import annotations
 
@@ -46,14 +46,15 @@
 
 
 def test_a_broker_without_reports_uses_the_last_aggregate_and_its_own_demand() -> None:
-    """A broker is cut off from the coordinator. It goes on with the last aggregate and its own demand: an
-    equal share among hundreds of brokers is under one request, where few of them use a shard at all.
+    """A broker that is cut off from the coordinator keeps using the last report and its own demand.
+
+    An equal share among hundreds of brokers is less than one request, although few of them use the shard.
     """
     coordinator = crc32(b"0") % 200
     broker = BrokerUnderTest(broker_index=(coordinator + 7) % 200, broker_count=200)
     shard_state = broker.scheduler.endpoints.shards[0]
     offer_steadily(broker, 4 * SECOND_US)
-    # no report has come
+    # no report has been received
     assert (
         not shard_state.is_capacity_known
         and shard_state.allotment == ADMIT_TARGET_RATIO * shard_state.capacity / 200
@@ -72,8 +73,9 @@
 
 
 def test_a_broker_with_few_requests_admits_by_the_fleets_probability() -> None:
-    """A broker has less than a few requests for an overloaded shard. Each of many such brokers would let
-    its one request through; it admits with the probability of the whole fleet.
+    """A broker that has only a few requests for an overloaded shard admits them by the fleet's probability.
+
+    If each of many such brokers admitted its one request, the shard would stay overloaded.
     """
     admitted_count = 0
     for seed in range(200):
@@ -90,26 +92,23 @@
     assert 80 <= admitted_count <= 130  # 105 of 200 units
 
 
-def test_admission_rejects_about_what_the_shard_cannot_do() -> None:
-    """Of all that brokers are offered, the highest priority goes first; a shard that is not overloaded
-    takes all.
-    """
+def test_admission_rejects_about_the_demand_above_capacity() -> None:
+    """The admitted part of the demand is about capacity over demand; without overload all is admitted."""
     broker = BrokerUnderTest()
     overload_shard(broker)
     shard_state = broker.scheduler.endpoints.shards[0]
 
-    def admitted_ratio(totals: list[float], is_overloaded: bool = True) -> float:
+    def admitted_ratio(fleet_demand: list[float], is_overloaded: bool = True) -> float:
         shard_state.fleet_demand, shard_state.capacity, shard_state.fleet_latency_ratio = (
-            totals,
+            fleet_demand,
             50.0 / 1.05,
             0.0,
         )
         update_allotment(broker.scheduler.context, shard_state)
         admitted_count = 0
         for _ in range(1000):
-            shard_state.is_overloaded = (
-                is_overloaded  # queued work does not count here: each request is cancelled again
-            )
+            # The client of each request disconnects, so that queued work does not affect the next one.
+            shard_state.is_overloaded = is_overloaded
             broker.request(volume=f"w{broker.request_count}")
             request = broker.scheduler.responses.requests.get(f"r{broker.request_count}")
             if request is not None:
@@ -125,9 +124,7 @@
 
 
 def test_a_clients_retry_has_the_priority_of_a_late_answer() -> None:
-    """A client repeats a request by itself. It belongs to its first attempt, and under overload first
-    attempts go before it.
-    """
+    """A client's own retry counts as a late answer to its first request, so it has a lower priority."""
     broker = BrokerUnderTest()
     broker.request(volume="a")
     broker.request(volume="b", is_retry=True)
@@ -148,9 +145,9 @@
 
 
 def test_a_broker_new_to_an_overloaded_shard_sheds_load_from_its_first_request_on() -> None:
-    """A broker that never used a shard hears that it is overloaded, and then gets many requests for it.
+    """A broker without earlier requests for a shard learns from a report that the shard is overloaded.
 
-    It must not learn the overload by its own losses.
+    It sheds load at once, and does not wait until its own requests fail.
     """
     broker = start_fleet(LARGE_FLEET)[(LARGE_COORDINATOR + 5) % LARGE_BROKER_COUNT]
     zeros = [0.0] * (PRIORITY_BAND_COUNT - 1)
@@ -164,12 +161,12 @@
 
 
 def test_a_broker_that_offers_little_leaves_a_slow_shard_more_headroom() -> None:
-    """A shard's figures are rough where each of many brokers seldom meets it."""
+    """A shard's latency ratio is a coarse estimate where each of many brokers seldom uses the shard."""
     probabilities = []
     for total in (20.0, 200.0):  # under and over a request a second from each broker
         broker = start_fleet(LARGE_FLEET)[(LARGE_COORDINATOR + 5) % LARGE_BROKER_COUNT]
         datagram = report_datagram(0, [total, *[0.0] * (PRIORITY_BAND_COUNT - 1)], total / 2, 10.0, 0.85)
         broker.decide(START_US + 1_000, [api.PeerMessageReceived(LARGE_COORDINATOR, datagram)])
         probabilities.append(broker.endpoints.shards[0].admit_probability[0])
-    # of the half that the shard can do
+    # The shard's capacity is half of the demand; both probabilities are below 0.5 to drain the backlog.
     assert 0.2 < probabilities[0] < 0.3 and 0.35 < probabilities[1] < 0.45
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: what a shard can do as learned from its answers, and whether it is overloaded."""
+"""Capacity: a shard's capacity as learned from its answers, and detection of overload."""
 
 from __future__ import annotations
 
@@ -26,11 +26,9 @@
 
 
 def test_the_coordinator_finds_overload_from_latencies_of_all_brokers() -> None:
-    """No broker alone sees enough slow answers; the coordinator sums them up. Overload is smoothed, and
-    harder to leave than to enter.
-    """
+    """The coordinator sums the latencies of all brokers, as one broker alone sees too few slow answers."""
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO)
-    # smoothed, and harder to leave than to enter
+    # the latency ratio is smoothed, and the threshold for the end of an overload is lower than for its start
     steps = ((4.0, False), (15.0, False), (15.0, True), (9.0, True), (4.0, True), (4.0, False))
     for latency_weighted_rate, is_overloaded in steps:
         broker.now_us += SECOND_US
@@ -46,8 +44,8 @@
     assert not broker.scheduler.endpoints.shards[0].is_overloaded
 
 
-def test_rejections_by_a_node_are_overload() -> None:
-    """A node rejects a request as it is full, before its capacity is known."""
+def test_rejections_by_a_node_count_as_overload() -> None:
+    """A full node rejects a request before the capacity of its shard is known."""
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO)
     broker.request()
     broker.finish_attempt("r1", "rejected")
@@ -62,15 +60,15 @@
 def test_the_learned_capacity_can_rise_again() -> None:
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO)
     overload_shard(broker)
-    low = broker.scheduler.endpoints.shards[0].capacity
+    initial_capacity = broker.scheduler.endpoints.shards[0].capacity
     offer_steadily(broker, 6 * SECOND_US, every_us=10_000, latency_us=20_000)
-    assert broker.scheduler.endpoints.shards[0].capacity > low
+    assert broker.scheduler.endpoints.shards[0].capacity > initial_capacity
 
 
 def test_lost_connections_are_no_overload_but_a_node_that_answers_nothing_is() -> None:
-    """Some attempts hang on lost connections; then a node answers nothing at all.
+    """First some attempts hang on lost connections; then a node answers nothing at all.
 
-    Guards against learning a capacity from intervals in which attempts hung and did not work.
+    Guards against a capacity that is learned from intervals in which attempts hung.
     """
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO)
     for number in range(40):
@@ -82,7 +80,7 @@
             after_us=30_000,
         )
     assert not broker.scheduler.endpoints.shards[0].is_overloaded
-    overloaded_rounds = []  # between single trials an interval may bring nothing, and says nothing
+    overloaded_rounds = []  # an interval between two trials may have no outcome and so no effect
     for _ in range(20):
         broker.request()
         broker.finish_attempt(f"r{broker.request_count}", "timeout", is_final=True, after_us=300_000)
@@ -91,12 +89,11 @@
 
 
 def test_the_capacity_of_a_shard_that_answers_nothing_is_learned_down() -> None:
-    """A shard answers nothing any more. It kept its learned capacity, and got that much load, for as long as
-    nothing was answered."""
-    coordinator, now = start_fleet(LARGE_FLEET)[LARGE_COORDINATOR], START_US
+    """Guards against a shard that stops answering and keeps its learned capacity, and so the full load."""
+    coordinator, now_us = start_fleet(LARGE_FLEET)[LARGE_COORDINATOR], START_US
     for turn in range(40):
-        now += BID_INTERVAL_US
-        send_ten_bids(coordinator, now, 4.0 if turn < 20 else 0.0, 7.0)
+        now_us += BID_INTERVAL_US
+        send_ten_bids(coordinator, now_us, 4.0 if turn < 20 else 0.0, 7.0)
         if turn == 19:
             assert (
                 coordinator.demand.aggregates[0].is_capacity_known
@@ -106,7 +103,7 @@
 
 
 def test_attempts_that_were_not_sent_are_no_overload() -> None:
-    """A node drops requests before they run, quickly. That says nothing of its load."""
+    """Requests that a node drops quickly before they run tell nothing about its load."""
     broker = BrokerUnderTest(TWO_NODES)
     for _ in range(50):
         (attempt,) = started_attempts(broker.request(shard=0))
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand: bids to a shard's coordinator, its aggregate, and the reports that it sends."""
+"""Demand: bids to a shard's coordinator, the sums of all bids, and the coordinator's reports."""
 
 from __future__ import annotations
 
@@ -64,8 +64,8 @@
         broker.request(shard=shard)
     bodies = message_bodies(broker.advance(2 * SECOND_US))
     assert bodies and all(len(datagram) <= 256 for datagram in bodies)
-    named = {bid.shard for datagram in bodies for bid in decode(datagram) if isinstance(bid, DemandBid)}
-    assert named == {s for s in range(60) if crc32(b"%d" % s) % 2 == 1}
+    bid_shards = {bid.shard for datagram in bodies for bid in decode(datagram) if isinstance(bid, DemandBid)}
+    assert bid_shards == {shard for shard in range(60) if crc32(b"%d" % shard) % 2 == 1}
 
 
 def test_no_bids_where_peer_messages_are_forbidden_or_there_is_one_broker() -> None:
@@ -74,10 +74,9 @@
 
 
 def test_an_unanswered_bid_goes_to_the_standby_next() -> None:
-    """The coordinator of a shard is gone or cut off, so bids get no report.
+    """If a shard's coordinator is unreachable, bids alternate between coordinator and standby.
 
-    Bids alternate between coordinator and standby until a report comes; from then on they go to the
-    coordinator.
+    From the first report on, bids go to the coordinator again.
     """
     broker = BrokerUnderTest(broker_index=BIDDER_OF_EIGHT, broker_count=8)
     actions = offer_steadily(broker, 5 * BID_INTERVAL_US)
@@ -91,31 +90,29 @@
 
 
 def test_a_coordinator_answers_each_bid_with_the_aggregate() -> None:
-    """A broker that bid once is gone, and its demand would count for ever: bids that are not renewed
-    expire.
-    """
+    """Bids that are not renewed expire; otherwise the demand of a broker that is gone would count forever."""
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO, broker_count=2)
     offer_steadily(broker, 2 * SECOND_US)
     datagram = bid_datagram(0, [40.0] * PRIORITY_BAND_COUNT, 30.0)
-    (answer,) = demand_reports(broker.handle(api.PeerMessageReceived(1 - COORDINATOR_OF_TWO, datagram)))
-    own = sum(broker.scheduler.endpoints.shards[0].demand)
-    assert abs(sum(answer.demand) - 240 - own) < 0.1 * (240 + own)
+    (report,) = demand_reports(broker.handle(api.PeerMessageReceived(1 - COORDINATOR_OF_TWO, datagram)))
+    own_demand = sum(broker.scheduler.endpoints.shards[0].demand)
+    assert abs(sum(report.demand) - 240 - own_demand) < 0.1 * (240 + own_demand)
     broker.advance(BID_LIFETIME_US + 12 * SECOND_US)
     datagram = bid_datagram(0, [1.0] * PRIORITY_BAND_COUNT)
-    (again,) = demand_reports(broker.handle(api.PeerMessageReceived(1 - COORDINATOR_OF_TWO, datagram)))
-    assert sum(again.demand) < 7  # bids that are not renewed run out
+    (later_report,) = demand_reports(broker.handle(api.PeerMessageReceived(1 - COORDINATOR_OF_TWO, datagram)))
+    assert sum(later_report.demand) < 7  # the earlier bid has expired
 
 
 def test_a_restarted_coordinator_takes_the_capacity_that_bidders_know() -> None:
-    """A coordinator restarts without memory. It does not learn the capacity anew: bids carry the last one."""
+    """A restarted coordinator has lost its state, and takes the capacity from the bids, which carry it."""
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO)
     datagram = bid_datagram(0, [1.0] * PRIORITY_BAND_COUNT, 2.0, 0.2, 1.0, 77.0)
-    (answer,) = demand_reports(broker.handle(api.PeerMessageReceived(1 - COORDINATOR_OF_TWO, datagram)))
-    assert 70 < answer.capacity < 84
+    (report,) = demand_reports(broker.handle(api.PeerMessageReceived(1 - COORDINATOR_OF_TWO, datagram)))
+    assert 70 < report.capacity < 84
 
 
 def test_a_broker_goes_on_bidding_while_its_shard_is_overloaded() -> None:
-    """A broker has stopped its requests to an overloaded shard. It has to learn when the overload ends."""
+    """A broker that no longer sends requests to an overloaded shard has to learn when the overload ends."""
     broker = BrokerUnderTest(broker_index=BIDDER_OF_EIGHT, broker_count=8)
     broker.request()
     broker.finish_attempt("r1")
@@ -137,21 +134,21 @@
 
 
 def test_malformed_or_misaddressed_peer_messages_change_nothing() -> None:
-    """Datagrams come cut short, too long, of another protocol, from unknown brokers, from the broker
-    itself, of unknown shards, or with demand beyond reason. Reports count from a coordinator of that shard
-    only.
+    """Datagrams that are truncated, too long, of another protocol, from unknown brokers or from the broker
+    itself, on unknown shards, or with excessive demand are ignored, and so are reports of brokers that do not
+    coordinate the shard.
     """
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO)
-    good = bid_datagram(0, [5.0] * PRIORITY_BAND_COUNT)
+    valid_bid = bid_datagram(0, [5.0] * PRIORITY_BAND_COUNT)
     for sender, datagram in (
         (1 - COORDINATOR_OF_TWO, b""),
-        (1 - COORDINATOR_OF_TWO, b"FT\x01" + good[3:]),
-        (1 - COORDINATOR_OF_TWO, good[:-1]),
-        (COORDINATOR_OF_TWO, good),
-        (9, good),
+        (1 - COORDINATOR_OF_TWO, b"FT\x01" + valid_bid[3:]),
+        (1 - COORDINATOR_OF_TWO, valid_bid[:-1]),
+        (COORDINATOR_OF_TWO, valid_bid),
+        (9, valid_bid),
         (1 - COORDINATOR_OF_TWO, bid_datagram(77, [1.0] * PRIORITY_BAND_COUNT)),
         (1 - COORDINATOR_OF_TWO, bid_datagram(0, [1e9] * PRIORITY_BAND_COUNT)),
-        (1 - COORDINATOR_OF_TWO, good + b"x" * 240),
+        (1 - COORDINATOR_OF_TWO, valid_bid + b"x" * 240),
     ):
         assert not [
             a
@@ -159,47 +156,57 @@
             if not isinstance(a, api.SetTimer)
         ]
     assert not broker.scheduler.demand.aggregates
-    other = BrokerUnderTest(broker_index=3, broker_count=8)  # reports count from a coordinator only
-    stranger = next(
-        h for h in range(8) if h != 3 and h not in other.scheduler.context.derived.coordinators(0)
+    other = BrokerUnderTest(broker_index=3, broker_count=8)  # ignores reports of other brokers
+    non_coordinator = next(
+        index
+        for index in range(8)
+        if index != 3 and index not in other.scheduler.context.derived.coordinators(0)
+    )
+    other.handle(
+        api.PeerMessageReceived(non_coordinator, report_datagram(0, [1.0] * PRIORITY_BAND_COUNT, 5.0))
     )
-    other.handle(api.PeerMessageReceived(stranger, report_datagram(0, [1.0] * PRIORITY_BAND_COUNT, 5.0)))
     assert other.scheduler.endpoints.shards[0].capacity == 0
 
 
 def test_a_coordinator_reports_overload_and_its_end_to_all_users_of_a_shard_and_to_no_other_broker() -> None:
-    """A shard gets overloaded. Brokers that use it now and then would each find out by what they lose there,
-    so the coordinator reports overload, and its end, to all that have bid of late.
+    """The coordinator reports the start and the end of an overload to all brokers that have bid recently.
 
-    Reporting to all brokers instead costs the square of their number: 8 to 15 messages a request with 200 of
-    them.
+    Brokers that use the shard only occasionally would otherwise learn of it from failed requests. Reports to
+    all brokers would grow with the square of their number: 8 to 15 messages per request with 200 brokers.
     """
-    coordinator, now = start_fleet(LARGE_FLEET)[LARGE_COORDINATOR], START_US
-    others = [i for i in range(LARGE_BROKER_COUNT) if i != LARGE_COORDINATOR]
-    bidders, users = set(others[:10]), set(others[:15])
+    coordinator, now_us = start_fleet(LARGE_FLEET)[LARGE_COORDINATOR], START_US
+    other_brokers = [i for i in range(LARGE_BROKER_COUNT) if i != LARGE_COORDINATOR]
+    active_bidders, recent_bidders = set(other_brokers[:10]), set(other_brokers[:15])
     single_bid = bid_datagram(0, [0.3, *[0.0] * (PRIORITY_BAND_COUNT - 1)])
-    # they bid once, and no more
-    coordinator.decide(now, [api.PeerMessageReceived(i, single_bid) for i in others[10:15]])
+    # these five brokers bid only once
+    coordinator.decide(now_us, [api.PeerMessageReceived(i, single_bid) for i in other_brokers[10:15]])
     recipients_by_turn: list[set[int]] = []
     for turn in range(60):
-        now += BID_INTERVAL_US
-        actions = send_ten_bids(coordinator, now, 2.0, 3.6 if turn < 20 else 0.2)
+        now_us += BID_INTERVAL_US
+        actions = send_ten_bids(coordinator, now_us, 2.0, 3.6 if turn < 20 else 0.2)
         recipients_by_turn.append(
             {message.recipient_index for message in peer_datagrams(actions, DemandReport)}
         )
-    times = [turn for turn, brokers in enumerate(recipients_by_turn) if brokers == users]
-    assert times and times[0] <= 3 and 5 <= len(times) <= 9  # about once a second while it lasts
-    assert 20 < times[-1] < 40 and all(brokers in (users, bidders) for brokers in recipients_by_turn)
-    coordinator.decide(now + IDLE_STATE_RETENTION_US + 1, [api.PeerMessageReceived(others[0], single_bid)])
-    assert set(coordinator.demand.aggregates[0].bidders) == {
-        others[0]
-    }  # who has not bid for long is forgotten
+    announcement_turns = [
+        turn for turn, brokers in enumerate(recipients_by_turn) if brokers == recent_bidders
+    ]
+    # about one announcement a second while the overload lasts
+    assert announcement_turns and announcement_turns[0] <= 3 and 5 <= len(announcement_turns) <= 9
+    assert 20 < announcement_turns[-1] < 40 and all(
+        brokers in (recent_bidders, active_bidders) for brokers in recipients_by_turn
+    )
+    coordinator.decide(
+        now_us + IDLE_STATE_RETENTION_US + 1, [api.PeerMessageReceived(other_brokers[0], single_bid)]
+    )
+    # bidders without a bid for the retention time are forgotten
+    assert set(coordinator.demand.aggregates[0].bidders) == {other_brokers[0]}
 
 
 def test_reports_resume_soon_after_half_of_the_brokers_are_gone() -> None:
     """Half of the brokers crash at once, the coordinator among them.
 
-    A bid that was not answered goes to the standby next: two intervals, and the trips.
+    The bid after an unanswered one goes to the standby, so reports resume after two intervals and the network
+    latency.
     """
     simulation = FleetSimulation(LARGE_FLEET)
     simulation.run(2_000_000, 4.0, [0])
@@ -217,9 +224,9 @@
 
 
 def test_messages_of_a_broker_do_not_grow_with_the_number_of_brokers() -> None:
-    """Fleets of 4 to 200 brokers, with as many requests and shards a broker, nearly all shards overloaded.
+    """Fleets of 4 to 200 brokers with the same load and number of shards per broker, most shards overloaded.
 
-    If reports went to all brokers, messages would grow with the square of their number.
+    If reports went to all brokers, messages would grow with the square of the number of brokers.
     """
     messages_per_second = {}
     for brokers in (4, 40, 200):
@@ -238,7 +245,7 @@
             > brokers / 2
         )
         messages_per_second[brokers] = simulation.message_count / brokers / 3
-    # four brokers pack more rows in a message
+    # with four brokers more bids and reports fit into each datagram
     assert (
         messages_per_second[200] <= 1.2 * messages_per_second[40]
         and messages_per_second[40] <= 3 * messages_per_second[4]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: when an admitted request leaves, how many are in flight, and requests of one key in order."""
+"""Dispatch: the queue of admitted requests, the in-flight limit, and the order of requests of one key."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 )
 
 
-def test_attempts_in_flight_stay_within_the_limit_whatever_was_learned() -> None:
+def test_attempts_in_flight_stay_within_the_limit_whatever_the_capacity() -> None:
     broker = BrokerUnderTest()
     shard_state = broker.scheduler.endpoints.shards[0]
     shard_state.capacity, shard_state.allotment = 1e6, 2e6
@@ -21,18 +21,18 @@
     assert attempt_count == MAX_IN_FLIGHT_COUNT
 
 
-def test_queued_requests_leave_earliest_deadline_first() -> None:
+def test_queued_requests_are_sent_earliest_objective_first() -> None:
     broker = BrokerUnderTest(
         classes=(
             api.RequestClass(latency_objective_us=900_000, deadline_us=2_000_000),
             api.RequestClass(latency_objective_us=400_000, deadline_us=2_000_000),
         )
     )
-    first = [s.request_id for _ in range(4) for s in started_attempts(broker.request(0))]
-    assert len(first) < 4
+    sent_ids = [attempt.request_id for _ in range(4) for attempt in started_attempts(broker.request(0))]
+    assert len(sent_ids) < 4
     broker.request(1)
-    actions = broker.finish_attempt(first[0], after_us=1_000)
-    assert [s.request_id for s in started_attempts(actions)] == ["r5"]
+    actions = broker.finish_attempt(sent_ids[0], after_us=1_000)
+    assert [attempt.request_id for attempt in started_attempts(actions)] == ["r5"]
 
 
 def test_the_lowest_priority_is_rejected_first_where_too_much_is_queued() -> None:
@@ -44,25 +44,25 @@
     for i in range(1, 60):
         actions += broker.request(plan=(i + 1) % 2, volume=f"v{(i + 1) % 2}")
     rejected_numbers = [int(r.request_id[1:]) for r in rejections(actions)]
-    assert rejected_numbers and all(i % 2 == 0 for i in rejected_numbers[:5])  # those of the cheap plan
+    assert rejected_numbers and all(
+        i % 2 == 0 for i in rejected_numbers[:5]
+    )  # requests of the low-priority plan
 
 
 def test_attempts_end_at_the_latency_objective_where_brokers_outnumber_a_nodes_slots() -> None:
-    """There are more brokers than a node has slots. Attempts that hang would fill them all, so they end
-    early.
-    """
-    few, many = (
+    """With more brokers than slots of a node, hung attempts could fill all slots, so attempts end early."""
+    small_fleet_broker, large_fleet_broker = (
         BrokerUnderTest(broker_count=MAX_IN_FLIGHT_COUNT),
         BrokerUnderTest(broker_count=MAX_IN_FLIGHT_COUNT + 1),
     )
-    assert started_attempts(few.request())[0].stop_at_us == few.now_us + 2_000_000
-    assert started_attempts(many.request())[0].stop_at_us == many.now_us + 300_000
+    assert (
+        started_attempts(small_fleet_broker.request())[0].stop_at_us == small_fleet_broker.now_us + 2_000_000
+    )
+    assert started_attempts(large_fleet_broker.request())[0].stop_at_us == large_fleet_broker.now_us + 300_000
 
 
 def test_requests_of_one_key_run_in_order_and_pause_after_a_timeout() -> None:
-    """The attempt of an ordered request is cut off and may still run. The next of its key waits until that
-    is over.
-    """
+    """A cancelled attempt of an ordered request may still run: the next request of its key waits."""
     broker = BrokerUnderTest(key_quiet_us=150_000)
     assert [s.request_id for s in started_attempts(broker.request(3, key="k"))] == ["r1"]
     assert not started_attempts(broker.request(3, key="k"))
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: draining, removed and replaced nodes, and lists that name none."""
+"""Endpoint lists: draining, removed and replaced nodes, and empty lists."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
     assert not started_attempts(actions) and len(rejections(actions)) == 1
 
 
-def test_a_node_missing_from_a_whole_list_is_gone() -> None:
+def test_a_node_missing_from_a_complete_list_counts_as_removed() -> None:
     broker = BrokerUnderTest()
     broker.handle(api.EndpointUpdate("full", (api.NodeEntry("n1", 1),)))
     assert not started_attempts(broker.request())
 
 
 def test_queued_requests_are_answered_when_their_node_is_removed() -> None:
-    """Requests are queued for a node, and the node is removed. They do not wait for their deadline."""
+    """Requests queued for a node that is removed are answered at once, and do not wait for their deadline."""
     broker = BrokerUnderTest()
     for _ in range(6):
         broker.request()
@@ -58,7 +58,8 @@
     """Six in ten nodes are replaced within 7 s: listed as draining, then as gone, with a new node of the same
     shard.
 
-    shards_per_broker: shards that a broker is asked for, besides new objects, which are a third.
+    shards_per_broker: number of shards that a broker's requests name; a third of the requests place new
+    objects.
     """
     simulation = FleetSimulation(replace(LARGE_FLEET, broker_count=brokers, shard_count=nodes))
     for number in range(brokers):
@@ -85,33 +86,38 @@
     ]
     assert not late_sends
     simulation.run(2_000_000, rate, [])
-    used = {node for _, _, node, _ in simulation.attempts if node.startswith("m")}
-    assert len(used) >= 0.95 * 6 * wave_size
+    used_new_nodes = {node for _, _, node, _ in simulation.attempts if node.startswith("m")}
+    assert len(used_new_nodes) >= 0.95 * 6 * wave_size
     nodes_by_broker = Counter(
         broker for broker, _ in {(broker, node) for _, broker, node, _ in simulation.attempts}
     )
-    # connections that a broker has ever to open
+    # bounds the connections that a broker has to open
     assert max(nodes_by_broker.values()) <= 2 * (shards_per_broker + PREFERRED_SHARD_COUNT)
     per_second = Counter(
         (node, at_us // 1_000_000) for at_us, _, node, _ in simulation.attempts if node.startswith("m")
     )
-    assert max(per_second.values()) <= 12  # 24 units at the start, half of that a request, and it grows
+    # the slow-start budget begins at 24 units, a request has 2 units, and the budget grows
+    assert max(per_second.values()) <= 12
 
 
-def test_empty_lists_and_datagrams_of_unknown_brokers_are_borne_under_load() -> None:
-    """Discovery publishes an empty list under load, and datagrams come from brokers that do not exist.
+def test_empty_lists_and_datagrams_of_unknown_brokers_are_tolerated_under_load() -> None:
+    """Discovery publishes an empty list under load, and datagrams arrive from brokers that do not exist.
 
-    Each request is rejected at once while there is no node, and none is lost when the nodes are back.
+    Each request is rejected at once while there is no node, and requests are served when the nodes are back.
     """
     broker = start_fleet(LARGE_FLEET)[0]
-    now = START_US + 10_000
+    now_us = START_US + 10_000
     report = report_datagram(0, [1.0] * PRIORITY_BAND_COUNT, 1.0, 1.0, 1.0, is_overloaded=False)
-    misaddressed = [api.PeerMessageReceived(number, report) for number in (-1, LARGE_BROKER_COUNT, 10_000)]
-    broker.decide(now, [api.EndpointUpdate("full"), *misaddressed, *[api.EndpointUpdate("failed")] * 50])
+    invalid_messages = [
+        api.PeerMessageReceived(number, report) for number in (-1, LARGE_BROKER_COUNT, 10_000)
+    ]
+    broker.decide(
+        now_us, [api.EndpointUpdate("full"), *invalid_messages, *[api.EndpointUpdate("failed")] * 50]
+    )
     arrivals: list[api.Event] = [
-        api.Arrival(f"r{i}", 0, 0, "v", i % 3 - 1, now + 2_000_000, 2.0) for i in range(300)
+        api.Arrival(f"r{i}", 0, 0, "v", i % 3 - 1, now_us + 2_000_000, 2.0) for i in range(300)
     ]
-    assert len(rejections(broker.decide(now + 1_000, arrivals))) == 300 and not broker.responses.requests
-    broker.decide(now + 2_000, [replace(LARGE_NODE_LIST, kind="full")])
-    late_arrival = api.Arrival("r", 0, 0, "v", 0, now + 2_000_000, 2.0)
-    assert len(started_attempts(broker.decide(now + 3_000, [late_arrival]))) == 1
+    assert len(rejections(broker.decide(now_us + 1_000, arrivals))) == 300 and not broker.responses.requests
+    broker.decide(now_us + 2_000, [replace(LARGE_NODE_LIST, kind="full")])
+    late_arrival = api.Arrival("r", 0, 0, "v", 0, now_us + 2_000_000, 2.0)
+    assert len(started_attempts(broker.decide(now_us + 3_000, [late_arrival]))) == 1
--- a/tests/test_give_up_reasons.py
+++ b/tests/test_give_up_reasons.py
@@ -1,4 +1,4 @@
-"""Why the decisions give a request up: each reason, caused once, in the final answer that carries it."""
+"""Each reason for which the scheduler gives up a request: one cause, and the reason in the final answer."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 def no_node_of_its_shard() -> list[api.Action]:
-    """Its shard has no node in the endpoint list."""
+    """No node of the endpoint list serves the request's shard."""
     return BrokerUnderTest().request(shard=3)
 
 
 def overloaded_shard() -> list[api.Action]:
-    """All brokers together offer a hundred times what its shard can do."""
+    """All brokers together offer a hundred times the capacity of the shard."""
     broker = BrokerUnderTest(broker_index=1 - COORDINATOR_OF_TWO)
     demand = [100.0] * PRIORITY_BAND_COUNT
     report = report_datagram(0, demand, capacity=6.0, is_overloaded=True)
@@ -39,7 +39,7 @@
 
 
 def long_queue() -> list[api.Action]:
-    """More wait for its shard than gets through in a part of the latency objective."""
+    """More requests are queued for the shard than it serves in a part of the latency objective."""
     broker = BrokerUnderTest()
     broker.request()
     broker.finish_attempt("r1", after_us=100_000)
@@ -47,7 +47,7 @@
 
 
 def slow_node() -> list[api.Action]:
-    """Its node takes nearly the whole latency objective, and it had to wait before."""
+    """The node needs nearly the whole latency objective, and the request has waited in the queue before."""
     broker = BrokerUnderTest()
     broker.request()
     broker.finish_attempt("r1", after_us=290_000)
@@ -57,12 +57,12 @@
 
 
 def plan_limit() -> list[api.Action]:
-    """Its plan has 10 units a second, and nothing of them yet, as this broker has just started."""
+    """The plan allows 10 units a second, of which none have accrued, as the broker has just started."""
     return BrokerUnderTest().request(plan=LIMITED_PLAN, units=8.0)
 
 
 def deadline_while_waiting_for_its_turn() -> list[api.Action]:
-    """An earlier request of its key is still running when its client's deadline comes."""
+    """An earlier request of the same key is still running at the request's deadline."""
     broker = BrokerUnderTest()
     broker.request(ORDERED_READS, key="k")
     broker.request(ORDERED_READS, key="k", deadline_at_us=broker.now_us + 100_000)
@@ -70,14 +70,14 @@
 
 
 def not_idempotent() -> list[api.Action]:
-    """It may have run, and may not run twice."""
+    """The request may have run, and must not run twice."""
     broker = BrokerUnderTest()
     broker.request(NON_IDEMPOTENT_WRITES)
     return broker.finish_attempt("r1", "reset")
 
 
 def deduplication_window_over() -> list[api.Action]:
-    """It may have run, and nodes would soon no longer recognize its key."""
+    """The request may have run, and its deduplication window is about to end."""
     keyed = replace(WRITE, deduplication_window_us=100_000)
     classes = tuple(keyed if each is WRITE else each for each in CLASSES)
     broker = BrokerUnderTest(classes=classes)
@@ -86,14 +86,14 @@
 
 
 def retry_budget_used_up() -> list[api.Action]:
-    """The settings allow no retries beside the requests of a window."""
+    """The settings have a retry budget of 0."""
     broker = BrokerUnderTest(retry_budget_floor=0.0, retry_budget_window_us=1_000_000)
     broker.request()
     return broker.finish_attempt("r1", "error")
 
 
 def node_without_its_shard() -> list[api.Action]:
-    """Its node answers that it does not hold the shard, and no other shard is known to have the object."""
+    """The node answers that it does not hold the shard, and no other shard is known to have the object."""
     broker = BrokerUnderTest()
     broker.request(key="k")
     return broker.finish_attempt("r1", "not_sent")
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of ejected nodes, on real sockets."""
+"""Probes of ejected nodes, on real sockets."""
 
 from __future__ import annotations
 
@@ -70,10 +70,7 @@
 
 
 def test_without_health_checks_a_request_is_the_trial(tmp_path: Path) -> None:
-    """A node is ejected, and the settings allow no health checks.
-
-    A client's request is the trial that reinstates it.
-    """
+    """If the settings allow no probes, a client's request is the trial that reinstates an ejected node."""
     script = f"""{WATCH_OPENED}
         c send GET /api @0
         {CONNECTION_LOST * 3}
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -1,4 +1,4 @@
-"""Responses: one final answer to each request, in time, and nothing sent behind it."""
+"""Responses: each request gets one final answer in time, and no attempt is sent after it."""
 
 from __future__ import annotations
 
@@ -15,23 +15,21 @@
 
 
 def test_queued_requests_get_one_final_answer_before_their_deadline() -> None:
-    """Nodes do not answer, so requests stay queued. Each gets one final answer before its client's
-    deadline.
-    """
+    """Nodes do not answer, so requests stay queued; each gets one final answer before its deadline."""
     broker = BrokerUnderTest()
     for _ in range(12):
         broker.request()
-    requested = {f"r{i}" for i in range(1, 13)}
+    request_ids = {f"r{i}" for i in range(1, 13)}
     actions = broker.advance(2_500_000)
-    rejected_or_failed = [a.request_id for a in rejections(actions) + failures(actions)]
-    assert len(rejected_or_failed) == len(set(rejected_or_failed))
-    in_flight = set(broker.scheduler.responses.requests)
-    assert all(broker.scheduler.responses.requests[r].open_attempts for r in in_flight)
-    assert requested - set(rejected_or_failed) >= in_flight
+    answered_ids = [a.request_id for a in rejections(actions) + failures(actions)]
+    assert len(answered_ids) == len(set(answered_ids))
+    in_flight_ids = set(broker.scheduler.responses.requests)
+    assert all(broker.scheduler.responses.requests[r].open_attempts for r in in_flight_ids)
+    assert request_ids - set(answered_ids) >= in_flight_ids
 
 
 def test_a_timeout_at_a_deadline_before_the_latency_objective_is_answered_at_once() -> None:
-    """A client's deadline is shorter than the latency objective, and its attempt times out there."""
+    """An attempt times out at a deadline that is earlier than the latency objective."""
     broker = BrokerUnderTest()
     broker.request(deadline_at_us=broker.now_us + 90_000)
     actions = broker.finish_attempt("r1", "timeout", after_us=89_000)
@@ -40,7 +38,7 @@
 
 
 def test_nothing_is_sent_after_the_final_answer() -> None:
-    """A client disconnects, and then its attempt fails. Nobody waits for a retry."""
+    """A client disconnects, and then its attempt fails: there is no retry."""
     broker = BrokerUnderTest()
     broker.request()
     broker.handle(api.ClientDisconnected("r1"))
@@ -49,7 +47,7 @@
 
 
 def test_a_response_that_has_started_is_left_to_the_client() -> None:
-    """The first bytes of a response have reached the client. It can't be retried or rejected any more."""
+    """A request whose response has started to reach the client is neither retried nor rejected."""
     broker = BrokerUnderTest()
     broker.request()
     broker.handle(api.ResponseStarted("r1", 0))
@@ -59,7 +57,7 @@
 
 
 def test_repeated_late_and_unknown_events_have_no_effect() -> None:
-    """Events come twice, late, or for requests and peers that do not exist."""
+    """Events arrive twice, late, or for requests and peers that do not exist."""
     broker = BrokerUnderTest()
     broker.request()
     broker.finish_attempt("r1")
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: which request may be attempted again, how often, and within which budget."""
+"""Retries: idempotency, deduplication windows, the attempt limit, and the retry budget."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 
 
 def test_a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() -> None:
-    """A node fails while it runs a request that must not run twice. A rejection would invite the client to
-    repeat it, so the request fails.
+    """A node fails while it runs a request that must not run twice.
+
+    A rejection would tell the client that a retry is harmless, so the request fails instead.
     """
     broker = BrokerUnderTest()
     broker.request(2)
@@ -31,9 +32,7 @@
 
 
 def test_a_keyed_request_is_retried_in_its_window_and_never_rejected() -> None:
-    """A write with an idempotency key fails. It is retried while the node remembers the key, and fails
-    afterwards.
-    """
+    """A write with an idempotency key is retried within the deduplication window, and fails afterwards."""
     broker = BrokerUnderTest()
     broker.request(1)
     assert started_attempts(broker.finish_attempt("r1", "error"))
@@ -42,9 +41,7 @@
 
 
 def test_a_keyed_request_is_not_retried_past_its_window_even_with_time_left() -> None:
-    """The node's memory of the key ends before the client's deadline. A retry behind it could run a second
-    time.
-    """
+    """The deduplication window ends before the deadline: a retry after it could run the write twice."""
     short_window = replace(CLASSES[1], deduplication_window_us=60_000)
     broker = BrokerUnderTest(classes=(CLASSES[0], short_window))
     broker.request(1)
@@ -63,7 +60,7 @@
 
 
 def test_retries_stay_within_the_budget() -> None:
-    """Many requests fail at once. Retries of all would multiply the load of nodes that are in trouble."""
+    """If many requests fail at once, retries of all of them would multiply the load of failing nodes."""
     broker = BrokerUnderTest(retry_budget_floor=1, retry_budget_ratio=0.0, retry_budget_window_us=1_000_000)
     for _ in range(2):
         broker.request()
@@ -73,9 +70,10 @@
 
 
 def test_a_cancelled_attempt_is_retried_and_its_slot_is_free() -> None:
-    """An attempt that hung was cancelled early. The request has time left for another one."""
+    """A hung attempt is cancelled early, and the request has time left for another attempt."""
     broker = BrokerUnderTest(cancel_allowed=True)
     broker.request()
     assert [
-        send.request_id for send in started_attempts(broker.finish_attempt("r1", "cancelled", is_final=False))
+        attempt.request_id
+        for attempt in started_attempts(broker.finish_attempt("r1", "cancelled", is_final=False))
     ] == ["r1"]
