--- a/harriertide/decide/admission.py
+++ b/harriertide/decide/admission.py
@@ -34,7 +34,7 @@
     remaining_rate = _target_rate(context, shard)
     is_report_missing = context.now_us - shard.updated_at_us > BID_LIFETIME_US
     if not shard.is_capacity_known and is_report_missing:
-        # This broker has no report of the shard yet, and takes an even share of the capacity.
+        # The shard is new to this broker or its capacity was never reported: take an even share.
         shard.allotment = remaining_rate / context.settings.broker_count
         return
     # If reports stop, the last one stays in use: an even share among hundreds of brokers would be too little
--- a/harriertide/decide/capacity.py
+++ b/harriertide/decide/capacity.py
@@ -45,9 +45,9 @@
 
         :param shard: the shard's state at this broker; None if no node of the endpoint list serves it
         """
-        live = [node for node in shard.nodes.values() if node.is_live] if shard is not None else []
-        if live and all(is_warming(self._context, node) for node in live):
-            self._estimate_warming(aggregate, live)
+        live_nodes = [node for node in shard.nodes.values() if node.is_live] if shard is not None else []
+        if live_nodes and all(is_warming(self._context, node) for node in live_nodes):
+            self._estimate_warming(aggregate, live_nodes)
             return
         served_rate = aggregate.served_rate
         threshold = OVERLOAD_LEAVE_LATENCY_RATIO if aggregate.is_overloaded else OVERLOAD_ENTER_LATENCY_RATIO
@@ -60,9 +60,9 @@
         else:
             self._follow_served_rate(aggregate, served_rate)
 
-    def _estimate_warming(self, aggregate: DemandAggregate, live: list[NodeState]) -> None:
+    def _estimate_warming(self, aggregate: DemandAggregate, live_nodes: list[NodeState]) -> None:
         """Set the capacity of a shard whose live nodes are all warming, to the sum of their budgets."""
-        budget_units = sum(slow_start_budget_units(self._context, node) for node in live)
+        budget_units = sum(slow_start_budget_units(self._context, node) for node in live_nodes)
         aggregate.capacity = budget_units * SECOND_US / max(1, self._context.settings.collapse_window_us)
         aggregate.is_capacity_known = True
         aggregate.is_overloaded = aggregate.demand_rate > aggregate.capacity
--- a/harriertide/decide/demand.py
+++ b/harriertide/decide/demand.py
@@ -81,14 +81,14 @@
     def close_interval(self) -> None:
         """Bid for each active shard, and start the next interval."""
         now_us = self._context.now_us
-        span_s = (now_us - self.interval_started_us) / SECOND_US
+        interval_s = (now_us - self.interval_started_us) / SECOND_US
         self.interval_started_us = now_us
         self.interval_ends_us = now_us + BID_INTERVAL_US
         for shard in list(self.active_shards.values()):
-            self._close_shard_interval(shard, span_s)
+            self._close_shard_interval(shard, interval_s)
 
-    def _close_shard_interval(self, shard: ShardState, span_s: float) -> None:
-        bid = self._collect_bid(shard, span_s)
+    def _close_shard_interval(self, shard: ShardState, interval_s: float) -> None:
+        bid = self._collect_bid(shard, interval_s)
         self._context.mark_ready(shard)
         min_rate = MIN_BID_REQUESTS_PER_S * self._context.settings.mean_request_units
         if sum(shard.demand) < min_rate and not shard.queue and not shard.is_limited:
@@ -101,17 +101,17 @@
         shard.unanswered_bids += 1
         self._exchange.send(coordinator, bid)
 
-    def _collect_bid(self, shard: ShardState, span_s: float) -> DemandBid:
+    def _collect_bid(self, shard: ShardState, interval_s: float) -> DemandBid:
         """Build the bid of the interval that ends, and reset the shard's counters for the next one."""
         for band in range(PRIORITY_BAND_COUNT):
-            offered_rate = shard.offered_units[band] / span_s
+            offered_rate = shard.offered_units[band] / interval_s
             shard.demand[band] += SMOOTHING_RATIO * (offered_rate - shard.demand[band])
             shard.offered_units[band] = 0.0
         bid = DemandBid(
             shard=shard.shard,
             demand=tuple(shard.demand),
-            served_rate=shard.served_units / span_s,
-            latency_weighted_rate=shard.latency_weighted_units / span_s,
+            served_rate=shard.served_units / interval_s,
+            latency_weighted_rate=shard.latency_weighted_units / interval_s,
             weight_sum=sum(shard.volume_weights.values()),
             capacity=shard.capacity,
         )
--- a/harriertide/decide/endpoints.py
+++ b/harriertide/decide/endpoints.py
@@ -62,8 +62,8 @@
         node.zone = entry.zone
         node.restart(entry.started_us)
         context = self._context
-        window_us = context.settings.collapse_window_us + CREDIT_LIFETIME_US
-        if context.now_us - context.started_at_us <= window_us:
+        uncertain_us = context.settings.collapse_window_us + CREDIT_LIFETIME_US
+        if context.now_us - context.started_at_us <= uncertain_us:
             # This broker may have granted its part of the budget just before it restarted itself.
             assume_all_granted(context, node)
 
@@ -76,7 +76,7 @@
         """Forget nodes that were removed so long ago that their grants no longer count."""
         settings = self._context.settings
         retention_us = settings.slow_start_us + settings.collapse_window_us + REMOVAL_MARGIN_US
-        before_us = self._context.now_us - retention_us
-        for node_id, _ in expire_oldest(self._removed_at_us, lambda at_us: at_us < before_us):
+        cutoff_us = self._context.now_us - retention_us
+        for node_id, _ in expire_oldest(self._removed_at_us, lambda at_us: at_us < cutoff_us):
             node = self.nodes.pop(node_id)
             del self.shards[node.shard].nodes[node.id]
--- a/harriertide/decide/health.py
+++ b/harriertide/decide/health.py
@@ -121,8 +121,8 @@
             if sent_at_us >= answered_sent_at_us:
                 return
             node.overtaking_answers[request] = count + 1
-            size = max(1.0, request.arrival.units / self._context.settings.mean_request_units)
-            expected_us = self._latency.expected_us(node, request.arrival.request_class) * size
+            relative_size = max(1.0, request.arrival.units / self._context.settings.mean_request_units)
+            expected_us = self._latency.expected_us(node, request.arrival.request_class) * relative_size
             is_overdue = now_us > sent_at_us + HUNG_LATENCY_FACTOR * expected_us
             if count + 1 >= HUNG_OVERTAKING_COUNT and is_overdue:
                 del node.overtaking_answers[request]
--- a/harriertide/decide/placement.py
+++ b/harriertide/decide/placement.py
@@ -151,7 +151,9 @@
         derived = self._context.derived
         even_share = ceil(PLACEMENT_SAMPLE_FACTOR * len(candidates) / derived.broker_count)
         sample_size = max(MIN_PLACEMENT_SAMPLE_COUNT, even_share)
-        preferred = [each for each in candidates if each.shard.shard in derived.preferred_shards]
+        preferred = [
+            candidate for candidate in candidates if candidate.shard.shard in derived.preferred_shards
+        ]
         population = preferred if len(preferred) >= sample_size else candidates
         return self._context.random.sample(population, min(len(population), sample_size))
 
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -310,7 +310,7 @@
         arrival = request.arrival
         node = attempt.node
         shard.served_units += arrival.units
-        # If an earlier attempt may have run at another node, the object may be at either node.
+        # The placement is recorded only if no earlier attempt may have run at another node.
         if arrival.shard < 0 and request.executed_on is node:
             self.placements.put(arrival.key, node.shard, self.context.now_us)
         self.slow_start.record_answer(attempt, arrival.units, latency_us)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -89,7 +89,7 @@
             )
         )
         admitted_count += len(started_attempts(broker.request()))
-    assert 80 <= admitted_count <= 130  # 105 of 200 units
+    assert 80 <= admitted_count <= 130  # the admit probability is 105 / 200
 
 
 def test_admission_rejects_about_the_demand_above_capacity() -> None:
@@ -129,7 +129,7 @@
     broker.request(volume="a")
     broker.request(volume="b", is_retry=True)
     first, retry = (broker.scheduler.responses.requests[f"r{i}"].priority_band for i in (1, 2))
-    assert first == 0 and retry >= 2  # late_priority_weight is 0.2, a band's step 2.2
+    assert first == 0 and retry >= 2  # late_priority_weight is 0.2, and BAND_PRIORITY_FACTOR is 2.2
 
 
 def test_rejections_carry_retry_after_only_where_it_is_allowed() -> None:
@@ -163,7 +163,7 @@
 def test_a_broker_that_offers_little_leaves_a_slow_shard_more_headroom() -> None:
     """A shard's latency ratio is a coarse estimate where each of many brokers seldom uses the shard."""
     probabilities = []
-    for total in (20.0, 200.0):  # under and over a request a second from each broker
+    for total in (20.0, 200.0):  # below and above one request a second from each broker
         broker = start_fleet(LARGE_FLEET)[(LARGE_COORDINATOR + 5) % LARGE_BROKER_COUNT]
         datagram = report_datagram(0, [total, *[0.0] * (PRIORITY_BAND_COUNT - 1)], total / 2, 10.0, 0.85)
         broker.decide(START_US + 1_000, [api.PeerMessageReceived(LARGE_COORDINATOR, datagram)])
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -80,13 +80,15 @@
         broker for _, broker, node, _ in simulation.attempts[attempts_before:] if node == "n00"
     )
     assert max(trials_by_broker.values()) <= 2 * 4 + 1  # one per 250 ms
-    assert sum(node == "n01" for _, _, node, _ in simulation.attempts[attempts_before:]) > 350  # of 400
+    assert (
+        sum(node == "n01" for _, _, node, _ in simulation.attempts[attempts_before:]) > 350
+    )  # of 400 requests
     simulation.unreachable_nodes.clear()
     simulation.run(4_000_000, 10.0, [0, 1])
     attempts_before = len(simulation.attempts)
     simulation.run(1_000_000, 10.0, [0, 1])
     attempts_after = sum(node == "n00" for _, _, node, _ in simulation.attempts[attempts_before:])
-    assert attempts_after > 150  # of 200, once the node accepts connections again
+    assert attempts_after > 150  # of 200 requests, once the node accepts connections again
 
 
 def test_probes_of_an_unresponsive_node_by_all_brokers_are_bounded_and_end_with_it() -> None:
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -11,7 +11,7 @@
 from tests.platform_scripts import PUSHED_SETTINGS, REJECTED, WATCH_OPENED
 from tests.test_net import OK, play
 
-HEALTH_CHECK_SETTINGS: dict[str, Any] = {
+PROBE_SETTINGS: dict[str, Any] = {
     **PUSHED_SETTINGS,
     "limits": {**PUSHED_SETTINGS["limits"], "probes": True},
 }
@@ -29,8 +29,8 @@
         {REJECTED}"""
 
 
-HEALTH_CHECK_SCENARIOS = {
-    "an ejected node is health-checked, and gets no request until a check succeeds": f"""
+PROBE_SCENARIOS = {
+    "an ejected node is probed, and gets no request until a probe succeeds": f"""
         {UNRESPONSIVE_NODE}
         b1 expect GET /health/live X-Call-Id=- Content-Length=-
         b1 send 200 body=live
@@ -40,7 +40,7 @@
         {OK}
         c expect 200
         d expect probes=1 probe_ok=1""",
-    "a node that answers its health check with nonsense stays ejected": rf"""
+    "a node that answers its probe with invalid bytes stays ejected": rf"""
         {UNRESPONSIVE_NODE}
         b1 expect GET /health/live
         b1 send bytes '\x00\xff nonsense\r\n\r\n'
@@ -48,7 +48,7 @@
         c send GET /api @0
         c expect 503
         d expect probes=1 probe_reset=1""",
-    "a node that fails its health check, and then does not answer, is checked no more often": f"""
+    "a node that fails its probe, and then does not answer, is probed no more often": f"""
         {UNRESPONSIVE_NODE}
         b1 expect GET /health/live
         b1 send 503
@@ -64,12 +64,12 @@
 }
 
 
-@pytest.mark.parametrize("script", HEALTH_CHECK_SCENARIOS.values(), ids=HEALTH_CHECK_SCENARIOS.keys())
-def test_health_checks(script: str, tmp_path: Path) -> None:
-    asyncio.run(play(script.lstrip(), objects=False, folder=tmp_path, wire=HEALTH_CHECK_SETTINGS))
+@pytest.mark.parametrize("script", PROBE_SCENARIOS.values(), ids=PROBE_SCENARIOS.keys())
+def test_probes_of_ejected_nodes(script: str, tmp_path: Path) -> None:
+    asyncio.run(play(script.lstrip(), objects=False, folder=tmp_path, wire=PROBE_SETTINGS))
 
 
-def test_without_health_checks_a_request_is_the_trial(tmp_path: Path) -> None:
+def test_without_probes_a_request_is_the_trial(tmp_path: Path) -> None:
     """If the settings allow no probes, a client's request is the trial that reinstates an ejected node."""
     script = f"""{WATCH_OPENED}
         c send GET /api @0
--- a/tests/test_idempotent_writes.py
+++ b/tests/test_idempotent_writes.py
@@ -36,7 +36,7 @@
         c expect 502
         b1 expect nothing
         b2 expect nothing""",
-    "never begun: it may be retried at the node that rejected it at any time": f"""
+    "rejected before it ran: may be retried at any time, at the node that rejected it": f"""
         {WATCH_OPENED}
         c send PUT /api @0 Idempotency-Key=k body=x
         b1 expect PUT /api
