--- a/harriertide/consensus/__init__.py
+++ b/harriertide/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement between brokers: a replicated log after Raft. Pure but for `store` and `transport`."""
+"""Consensus between brokers: a log replicated by Raft. Only `store` and `transport` perform I/O."""
--- a/harriertide/consensus/append_entries.py
+++ b/harriertide/consensus/append_entries.py
@@ -1,7 +1,7 @@
-"""The follower's side of AppendEntries (Ongaro 2014, 3.5).
+"""The follower side of AppendEntries (Ongaro 2014, 3.5).
 
-MATCH      equal index and term: equal entries, here and before
-COMPLETE   what is committed is in the log of every later leader
+MATCH      If two logs hold an entry with the same index and term, they are equal up to that entry.
+COMPLETE   A committed entry is in the log of every leader of a later term.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     received_index: int,
     match_index: int,
 ) -> AppendResponse:
-    """The response to an append, or to a chunk that completes a snapshot."""
+    """Build the response to an append, or to a snapshot chunk whose snapshot is covered by the log."""
     return AppendResponse(
         cluster=state.cluster,
         sender=state.me,
@@ -36,7 +36,7 @@
 
 
 class AppendReceiver:
-    """Takes entries of the leader into the log."""
+    """Appends the leader's entries to the follower's log."""
 
     def __init__(self, state: RaftState, outbox: Outbox, roles: Roles) -> None:
         self._state = state
@@ -44,20 +44,20 @@
         self._roles = roles
 
     def on_append_request(self, message: AppendRequest) -> None:
-        """Append what the log lacks, or refuse where it does not agree with the leader's."""
+        """Append missing entries, or reject the request if the log does not match the leader's."""
         self._roles.accept_leader(message)
         log = self._state.log
         entries = message.entries
-        if message.prev_index < log.base_index:  # the snapshot covers a part of it
+        if message.prev_index < log.base_index:  # the snapshot covers some of the entries
             last_sent_index = message.prev_index + len(message.entries)
             if last_sent_index < log.base_index:
                 self._accept(message, log.base_index)
                 return
             entries = tuple(entry for entry in entries if entry.index > log.base_index)
         elif log.term_at(message.prev_index) != message.prev_term:
-            self._refuse(message)
+            self._reject(message)
             return
-        self._store(entries)
+        self._store_entries(entries)
         received_index = max(message.prev_index + len(message.entries), log.base_index)
         self._accept(message, received_index)
         commit_index = min(message.commit_index, received_index)
@@ -65,7 +65,7 @@
             self._outbox.commit(commit_index)
 
     def reject_stale_leader(self, message: AppendRequest | SnapshotChunk) -> None:
-        """Answer a leader of an earlier term, which learns the newer term from it and from nothing else."""
+        """Reject a leader of an earlier term, which learns the newer term only from this response."""
         state = self._state
         response = AppendResponse(
             cluster=state.cluster,
@@ -81,14 +81,14 @@
         )
         self._outbox.send_when_term_durable(response)
 
-    def _store(self, entries: tuple[Entry, ...]) -> None:
+    def _store_entries(self, entries: tuple[Entry, ...]) -> None:
         log = self._state.log
         added: list[Entry] = []
         truncated_from = 0
         for entry in entries:
             term = log.term_at(entry.index)
             if term == entry.term:
-                continue  # MATCH: it is here already
+                continue  # MATCH: the log holds this entry already
             if term is not None:
                 self._truncate(entry.index)
                 truncated_from = entry.index
@@ -98,24 +98,27 @@
             self._outbox.persist(truncate_from=truncated_from, entries=tuple(added))
 
     def _truncate(self, index: int) -> None:
-        """Remove entries of an earlier leader that differ from this one's."""
+        """Remove entries of an earlier leader that conflict with the current leader's."""
         if index <= self._state.commit_index:
             raise InvariantViolationError(f"COMPLETE: entry {index} was committed and is to change")
         self._state.log.truncate(index)
         self._outbox.forget_durable_from(index)
 
-    def _refuse(self, message: AppendRequest) -> None:
-        """Answer where the logs may agree: the leader skips a whole term at a time on its way back."""
+    def _reject(self, message: AppendRequest) -> None:
+        """Reject with a hint where the logs may match, so that the leader backs up one term per rejection."""
         state = self._state
         hint_index = state.log.last_index
         if message.prev_index <= hint_index:
-            before_term = state.log.first_index_of_term(message.prev_index) - 1
-            hint_index = max(before_term, state.commit_index)
+            index_before_term = state.log.first_index_of_term(message.prev_index) - 1
+            hint_index = max(index_before_term, state.commit_index)
         response = append_response(state, message, False, message.prev_index, hint_index, match_index=0)
         self._outbox.send_when_term_durable(response)
 
     def _accept(self, message: AppendRequest, received_index: int) -> None:
-        """Answer at once with what is synced, and again when the rest is: a slow disk is not silence."""
+        """Acknowledge the synced entries immediately and the others once they are synced.
+
+        The immediate response keeps the leader from taking a member with a slow disk for disconnected.
+        """
         state, prev_index = self._state, message.prev_index
         match_index = min(received_index, state.durable_index)
         response = append_response(state, message, True, prev_index, received_index, match_index)
--- a/harriertide/consensus/applied_state.py
+++ b/harriertide/consensus/applied_state.py
@@ -1,4 +1,4 @@
-"""What a broker has applied: its state machine, the sessions of clients, and a chain of hashes over both."""
+"""The applied state of a broker: its state machine, the client sessions and a hash chain over the entries."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class StateMachine(Protocol):
-    """What is agreed on. apply must depend on nothing but the state and its arguments."""
+    """The replicated state machine. apply must be deterministic in the state and its arguments."""
 
     def apply(self, index: int, data: bytes) -> bytes:
         """Apply a command.
 
-        :returns: the answer to whoever called
+        :returns: the answer for the client
         """
 
     def dump(self) -> bytes:
-        """The whole state."""
+        """Encode the whole state."""
 
     def load(self, data: bytes) -> None:
-        """Replace the state by a dump."""
+        """Replace the state with that of a dump."""
 
 
 class AppliedState:
-    """A state machine behind its sessions. All brokers have the same at the same index.
+    """A state machine with its client sessions. All brokers hold the same applied state at the same index.
 
-    The digest is a chain of hashes of all entries: brokers whose digests differ at an index have applied
-    different entries.
+    The digest is a hash chain of all entries: brokers whose digests differ at an index have applied different
+    entries.
     """
 
     def __init__(self, machine: StateMachine) -> None:
@@ -43,7 +43,8 @@
     def apply(self, entry: Entry) -> tuple[bytes, bool]:
         """Apply the next entry.
 
-        :returns: the answer, and whether the entry took effect now: False for a repeated command
+        :returns: the answer, and whether the entry took effect: False for a repeated command and for an entry
+            without a command
         """
         self.last_applied = entry.index
         answer, fresh = b"", False
@@ -56,11 +57,11 @@
         return answer, fresh
 
     def dump(self) -> bytes:
-        """State, sessions and digest, as a snapshot carries them."""
+        """Encode the digest, the sessions and the state for a snapshot."""
         return msgpack.encode((self.digest, self.sessions.dump(), self.machine.dump()))
 
     def load(self, index: int, data: bytes) -> None:
-        """Replace all by a dump as of an index."""
+        """Replace the applied state with a dump taken at an index."""
         self.digest, sessions, state = msgpack.decode(data, type=tuple[int, bytes, bytes])
         self.sessions.load(sessions)
         self.machine.load(state)
--- a/harriertide/consensus/election.py
+++ b/harriertide/consensus/election.py
@@ -1,7 +1,7 @@
 """Elections with pre-vote and leader stickiness (Ongaro 2014, 3.4, 9.6 and 4.2.3).
 
-ELECTION   one leader a term: a vote is on the disk before it is sent, and only the disk that the membership
-           names may cast it
+ELECTION   A term has at most one leader. A vote is synced to disk before it is sent, and only the member on
+           the disk that the membership names may cast it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Election:
-    """Campaigns of this member, and its votes in those of others."""
+    """Runs this member's campaigns and casts its votes for other candidates."""
 
     def __init__(self, state: RaftState, outbox: Outbox, roles: Roles) -> None:
         self._state = state
@@ -23,10 +23,10 @@
     # --- as candidate ---------------------------------------------------------------------------------
 
     def start_pre_vote(self) -> None:
-        """Ask whether an election would be won, before anybody's term changes.
+        """Ask the voters whether this member would win an election, without changing any member's term.
 
-        Guards against a member that was cut off: it would come back with a higher term and unseat a leader
-        that all others hear.
+        Otherwise a partitioned member would rejoin with a higher term and depose a leader that all other
+        members can reach.
         """
         self._request_votes(CampaignPhase.PRE_VOTE)
         self._state.campaign.votes[self._state.me] = True
@@ -34,15 +34,15 @@
             self._request_votes(CampaignPhase.VOTE)
 
     def on_timeout_now(self, message: TimeoutNow) -> None:
-        """Campaign at once: the leader transfers leadership to this member."""
+        """Campaign immediately because the leader transfers leadership to this member."""
         if message.sender == self._state.leader and self._state.is_voter:
             self._state.campaign.by_transfer = True
             self._request_votes(CampaignPhase.VOTE)
 
     def on_vote_response(self, message: VoteResponse) -> bool:
-        """Count a vote.
+        """Count a vote or a pre-vote.
 
-        :returns: whether the election is won with it
+        :returns: whether this vote wins the election
         """
         campaign = self._state.campaign
         is_pre_vote = campaign.phase == CampaignPhase.PRE_VOTE
@@ -63,7 +63,7 @@
     def count_own_vote(self) -> bool:
         """Count the candidate's own vote once it is synced (ELECTION).
 
-        :returns: whether the election is won with it
+        :returns: whether this vote wins the election
         """
         state = self._state
         if state.role != Role.CANDIDATE or state.campaign.phase != CampaignPhase.VOTE:
@@ -99,11 +99,11 @@
     # --- as voter -------------------------------------------------------------------------------------
 
     def on_vote_request(self, message: VoteRequest) -> None:
-        """Grant or refuse a vote or a pre-vote."""
+        """Grant or reject a vote or a pre-vote."""
         state = self._state
         if self._is_leader_alive() and not message.transfer and state.leader != message.sender:
-            # Leader stickiness: guards against a member that was cut off unseating a leader that the others
-            # hear. The answer names that leader.
+            # Leader stickiness: a partitioned member must not depose a leader that the other members can
+            # reach. The response names that leader.
             leader_name = state.leader.name if state.leader else ""
             self._outbox.send(self._response(message, state.term, granted=False, leader_name=leader_name))
         elif message.pre_vote:
@@ -119,7 +119,7 @@
         return state.leader is not None and silence_us < state.election_timeout_us
 
     def _is_up_to_date(self, message: VoteRequest) -> bool:
-        """COMPLETE: no vote for a candidate whose log lacks what may be committed."""
+        """COMPLETE: whether the candidate's log is at least as up to date as this member's."""
         log = self._state.log
         return (message.last_term, message.last_index) >= (log.last_term, log.last_index)
 
@@ -133,9 +133,9 @@
         state = self._state
         if message.term > state.term:
             self._roles.become_follower(message.term, None)
-        is_free = state.voted_for is None or state.voted_for == message.sender
+        can_vote = state.voted_for is None or state.voted_for == message.sender
         granted = (
-            message.term == state.term and is_free and self._is_up_to_date(message) and not state.is_leader
+            message.term == state.term and can_vote and self._is_up_to_date(message) and not state.is_leader
         )
         if granted:
             if state.voted_for is None:
--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -1,4 +1,4 @@
-"""Events that a Raft node takes and effects that it returns: the interface of the pure protocol code."""
+"""Events that a Raft node takes and effects that it returns: the interface of the protocol code."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message of another member has arrived."""
+    """A message from another member has arrived."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time that RaftNode.next_tick_us named has come. It may come late, and more often than needed."""
+    """The time of RaftNode.next_tick_us has come. Ticks may be late or more frequent than needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ElectionTimedOut:
-    """Campaign now, as if no leader had been heard for an election timeout.
+    """Campaign immediately, as after an election timeout without a leader.
 
-    Only the lab's search through states sends this: there the clock stands still.
+    Sent only by the model checker of the lab, whose clock does not advance.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Synced:
-    """All writes up to this Persist are durable.
+    """All writes up to a Persist are durable.
 
-    :param number: of the last Persist that the sync covers
-    :param took_us: how long that write and its sync took; 0 where it was not measured
+    :param number: number of the last Persist that the sync covers
+    :param took_us: duration of the write and its sync; 0 if unknown
     """
 
     number: int
@@ -45,19 +45,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncFailed:
-    """A write or sync failed. The node halts until its process is started again."""
+    """A write or sync failed. The node halts until its process restarts."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvariantViolated:
-    """An invariant does not hold. The node halts until its process is started again."""
+    """An invariant is violated. The node halts until its process restarts."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """Append a command, if this node leads. client and serial make its repetition recognizable."""
+    """Append a command if this node is the leader. client and serial identify repeated commands."""
 
     client: str
     serial: int
@@ -66,14 +66,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequested:
-    """Find the index up to which the state must be applied for a read that starts now to be linearizable."""
+    """Request the index that must be applied before a read that starts now is linearizable."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Hand leadership to this member; None: to the one that fits best."""
+    """Transfer leadership.
+
+    :param to: the target; None lets the leader choose the target
+    """
 
     to: Member | None = None
 
@@ -82,8 +85,8 @@
 class ChangeMembership:
     """Change the membership by one member.
 
-    Ignored unless this node leads, has committed an entry of its own term, and no other change or transfer
-    is under way.
+    Ignored unless this node is the leader, has committed an entry of its own term, and no other change or
+    transfer is in progress.
     """
 
     action: Literal["learn", "promote", "remove"]
@@ -92,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """The state machine was dumped as of an applied index: the log up to it can go.
+    """The state machine was dumped at an applied index, so the log up to the index may be compacted.
 
-    :param checksum: xxh3 of data
+    :param checksum: xxh3 checksum of data
     """
 
     index: int
@@ -121,20 +124,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message. It may be lost, late, doubled or out of order."""
+    """Send a message. The network may lose, delay, duplicate or reorder messages."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write, sync, then report with Synced.
+    """Write to disk and sync, then report with a Synced event.
 
-    The parts take effect in this order: the snapshot, the truncation, the entries. Term, vote and cluster are
-    written with each.
+    The changes apply in this order: snapshot, truncation, entries. Every Persist also writes the term, the
+    vote and the cluster.
 
-    :param number: counts up by one with each Persist
-    :param truncate_from: entries from this index on are void; 0 for none
+    :param number: increases by one with each Persist
+    :param truncate_from: index of the first entry to remove; 0 removes none
     """
 
     number: int
@@ -148,14 +151,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Apply these entries, in this order: they are never taken back."""
+    """Apply these committed entries in this order. Committed entries never change."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """Load a snapshot of the leader in place of the state machine."""
+    """Replace the state machine's state with a snapshot from the leader."""
 
     snapshot: Snapshot
 
@@ -170,29 +173,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadAborted:
-    """A requested read can't be confirmed: this node does not lead any more. Ask the next leader."""
+    """A requested read can't be confirmed, as this node is not the leader. Retry with the next leader."""
 
     number: int
 
 
 class LogEvent(StrEnum):
-    """Texts of log lines. The lab's checkers and the counters of the process use these words as they are."""
+    """Kinds of log lines. The lab's checkers and the process's counters use the values unchanged."""
 
-    LEADS = "leads"  # won an election
-    FOLLOWS = "follows"  # led, and does not any more
-    FOLLOWS_LEADER = "hears"  # accepted another leader; detail: its name
-    CAMPAIGNS = "stands"  # asks for votes; detail: "pre" or "vote"
-    STEPPED_DOWN = "stepped down"  # of its own accord; detail: why
-    TRANSFERS = "hands over"  # gives up leadership by itself; detail: why
-    MEMBERSHIP = "members"  # changes the membership; detail: the change
-    SNAPSHOT = "snapshot"  # threw a received snapshot away; detail: why
-    HALTED = "halted"  # takes no part any more until it is started again
-    BROKEN = "broken"  # an invariant does not hold; detail: which
+    LEADS = "leads"  # this member won an election
+    FOLLOWS = "follows"  # this member is no longer the leader
+    FOLLOWS_LEADER = "hears"  # this member follows another leader; detail: the leader's name
+    CAMPAIGNS = "stands"  # this member requests votes; detail: "pre" or "vote"
+    STEPPED_DOWN = "stepped down"  # the leader gave up leadership without a newer term; detail: reason
+    TRANSFERS = "hands over"  # the leader started a transfer by itself; detail: reason
+    MEMBERSHIP = "members"  # the leader changes the membership; detail: the change
+    SNAPSHOT = "snapshot"  # a received snapshot was discarded; detail: reason
+    HALTED = "halted"  # this member is halted until its process restarts; detail: reason
+    BROKEN = "broken"  # an invariant is violated; detail: which one
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log of the process and the lab's checkers."""
+    """A line for the process log and the lab's checkers."""
 
     event: LogEvent
     term: int = 0
@@ -204,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What a start finds on the disk. All fields at their defaults: an empty disk."""
+    """The state read from the disk at startup; the defaults stand for an empty disk."""
 
     cluster: str = ""
     term: int = 0
@@ -215,23 +218,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """Times and sizes of the protocol.
+    """Timing and size parameters of the protocol.
 
-    The leader raises the election timeout above its floor by measured round trips and syncs, up to the
-    maximum.
+    The leader raises the election timeout according to measured round trips and syncs, within its minimum
+    (election_timeout_us) and max_election_timeout_us.
     """
 
     heartbeat_us: int = 100_000
-    # four heartbeats: one or two lost ones start no election
+    # four heartbeats, so that one or two lost heartbeats start no election
     election_timeout_us: int = 400_000
-    # bounds how long a crashed leader goes unnoticed, however slow disks and network are
+    # bounds the time until a crashed leader is detected, however slow disks and network are
     max_election_timeout_us: int = 1_200_000
-    # a leader whose syncs take longer, and much longer than others', hands leadership over
+    # a leader with longer sync times, and much longer ones than the others, transfers leadership
     slow_sync_us: int = 150_000
-    # appends to a member without a response: keeps a link busy over its round trip
+    # unanswered appends per member: enough to keep a link busy for its round trip
     max_inflight_appends: int = 8
     batch_entries: int = 128
-    # of the entries of one append: a quarter of what the transport takes as a frame
+    # size of the entries of one append: a quarter of the maximum frame size of the transport
     batch_bytes: int = 256 * 1024
-    # small enough that heartbeats are not late behind a chunk on a slow link
+    # small enough that a chunk does not delay heartbeats on a slow link
     snapshot_chunk_bytes: int = 64 * 1024
--- a/harriertide/consensus/heartbeat.py
+++ b/harriertide/consensus/heartbeat.py
@@ -1,5 +1,5 @@
-"""Rounds of heartbeats: whether a majority still hears the leader (check quorum; Ongaro 2014, 6.2), and the
-election timeout that round trips and syncs ask for.
+"""Heartbeat rounds: the leader checks that a majority still responds (Ongaro 2014, 6.2) and adapts the
+election timeout to measured round trips and syncs.
 """
 
 from __future__ import annotations
@@ -13,17 +13,21 @@
 from harriertide.consensus.snapshots import SnapshotSender
 from harriertide.consensus.state import PeerProgress, RaftState, moving_average
 
-# Rounds whose times are kept for measuring round trips: six seconds of them, later answers tell nothing.
+# Rounds whose send times are kept to measure round trips: about six seconds of rounds. Later responses are
+# ignored in the measurement.
 ROUNDS_KEPT_COUNT = 64
-ROUND_TRIP_WEIGHT = 0.2  # of the latest round trip in the moving average: about the last five count
-# An election takes two round trips and two syncs, a heartbeat half a round trip: with these a candidate wins
-# well within one election timeout, and jitter does not look like a silent leader.
+ROUND_TRIP_WEIGHT = 0.2  # weight of the latest sample: the average covers about five samples
+# An election takes two round trips and two syncs, a heartbeat half a round trip. With these factors a
+# candidate wins well within one election timeout, and latency jitter does not start an election.
 ROUND_TRIPS_PER_TIMEOUT = 6
 SYNCS_PER_TIMEOUT = 3
 
 
 class Heartbeat:
-    """The leader's rounds. One that a majority has answered shows that this node led when it was sent."""
+    """Runs the leader's heartbeat rounds.
+
+    A round answered by a majority shows that this node was the leader when the round was sent.
+    """
 
     def __init__(
         self,
@@ -40,11 +44,11 @@
         self._reads = reads
 
     def schedule(self) -> None:
-        """The next round is due a heartbeat interval from now."""
+        """Schedule the next round one heartbeat interval from now."""
         self._state.leadership.next_heartbeat_us = self._state.now_us + self._state.tuning.heartbeat_us
 
     def start_round(self) -> None:
-        """Send a heartbeat to all members."""
+        """Start a round: send a heartbeat to all other members."""
         leadership = self._state.leadership
         leadership.heartbeat_round += 1
         leadership.round_sent_us[leadership.heartbeat_round] = self._state.now_us
@@ -57,17 +61,17 @@
         progress.probe_sent = False
         silence_us = self._state.now_us - progress.last_contact_us
         if progress.inflight and silence_us > self._state.election_timeout_us:
-            # The appends on their way are lost: begin anew behind what is known to match.
+            # The appends in flight are lost: probe again.
             progress.probing = True
             progress.inflight = []
         self._snapshots.resend_if_lost(member, progress)
         self._replication.replicate(member, heartbeat=True)
 
     def record_response(self, member: Member, heartbeat_round: int) -> PeerProgress | None:
-        """Record that a member has answered, and confirm the reads that waited for this.
+        """Record a member's response and confirm the reads that waited for the response.
 
-        :param heartbeat_round: that the response repeats
-        :returns: None where this node does not lead, or the sender is no member
+        :param heartbeat_round: the round that the response repeats
+        :returns: the member's progress; None if this node is not the leader or the sender is not a member
         """
         state = self._state
         progress = state.leadership.progress.get(member)
@@ -78,15 +82,15 @@
             progress.last_answered_round = heartbeat_round
             sent_us = state.leadership.round_sent_us.get(heartbeat_round)
             if sent_us is not None:
-                took_us = state.now_us - sent_us
-                progress.round_trip_us = moving_average(progress.round_trip_us, took_us, ROUND_TRIP_WEIGHT)
+                sample_us = state.now_us - sent_us
+                progress.round_trip_us = moving_average(progress.round_trip_us, sample_us, ROUND_TRIP_WEIGHT)
             self._reads.confirm()
         return progress
 
     def has_quorum(self) -> bool:
-        """Whether a majority of the voters has answered lately.
+        """Whether a majority of the voters has responded recently.
 
-        Guards against a leader that is cut off and answers for a cluster that has gone on without it.
+        A leader without a quorum steps down: the other members may have elected a new leader.
         """
         state = self._state
         connected = [
@@ -95,7 +99,7 @@
         return len(connected) >= state.members.majority
 
     def update_election_timeout(self) -> None:
-        """Set the election timeout by measured round trips and syncs; heartbeats tell it to all members."""
+        """Derive the election timeout from measured round trips and syncs; it is announced in appends."""
         state = self._state
         progress_of_voters = [
             progress
@@ -106,5 +110,8 @@
         syncs = [progress.sync_us for progress in progress_of_voters if progress.sync_us]
         needed_us = ROUND_TRIPS_PER_TIMEOUT * (median(round_trips) if round_trips else 0)
         needed_us += SYNCS_PER_TIMEOUT * (median(syncs) if syncs else 0)
-        least_us, most_us = state.tuning.election_timeout_us, state.tuning.max_election_timeout_us
-        state.election_timeout_us = int(min(most_us, max(least_us, needed_us)))
+        min_timeout_us, max_timeout_us = (
+            state.tuning.election_timeout_us,
+            state.tuning.max_election_timeout_us,
+        )
+        state.election_timeout_us = int(min(max_timeout_us, max(min_timeout_us, needed_us)))
--- a/harriertide/consensus/membership.py
+++ b/harriertide/consensus/membership.py
@@ -1,7 +1,7 @@
-"""Changes of membership, one member at a time (Ongaro 2014, 4.1, with his correction of 2015).
+"""Membership changes, one member at a time (Ongaro 2014, 4.1, with his correction of 2015).
 
-CHANGE     one member at a time, the next after the last is committed, the first after an entry of the own
-           term: the majorities of two memberships in a row share a member
+CHANGE     The membership changes by one member at a time. A change needs a committed entry of the leader's
+           term and a committed previous change, so consecutive memberships have overlapping majorities.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
         self.replication = replication
 
     def change(self, event: ev.ChangeMembership) -> None:
-        """Append a membership with one member changed, if CHANGE allows it and it is a change."""
+        """Append a membership with one member changed, if CHANGE allows it and the membership differs."""
         if not self._is_change_allowed():
             return
         members = self._changed_members(event)
@@ -34,22 +34,22 @@
         self.replication.advance_commit()
 
     def _is_change_allowed(self) -> bool:
-        """CHANGE: behind a committed entry of this term and a committed membership."""
+        """CHANGE: an entry of this term and the latest membership are committed; no transfer is active."""
         state = self.state
         if not state.has_committed_own_term or state.leadership.transfer_target is not None:
             return False
         return state.log.membership_index <= state.commit_index
 
     def _changed_members(self, event: ev.ChangeMembership) -> Membership | None:
-        """The membership after a change; None where there is nothing to change."""
-        present, member = self.state.members, event.member
-        voters, learners = list(present.voters), list(present.learners)
-        if event.action == "learn" and member not in present.all:
+        """Return the membership after a change; None if the change does not apply."""
+        current, member = self.state.members, event.member
+        voters, learners = list(current.voters), list(current.learners)
+        if event.action == "learn" and member not in current.all:
             learners.append(member)
         elif event.action == "promote" and member in learners:
             learners.remove(member)
             voters.append(member)
-        elif event.action == "remove" and member in present.all and member != self.state.me:
+        elif event.action == "remove" and member in current.all and member != self.state.me:
             (voters if member in voters else learners).remove(member)
         else:
             return None
--- a/harriertide/consensus/membership_reconciler.py
+++ b/harriertide/consensus/membership_reconciler.py
@@ -1,10 +1,10 @@
-"""Reconciles the membership with the voters of the deploy file: bootstrap, disks that were replaced. Pure.
+"""Reconciles the membership with the voters of the deploy file: bootstrap and replaced disks. No I/O.
 
-A disk has an identity, made on its first use. A cluster is bootstrapped only while every voter of the deploy
-file is there with an empty disk. So a broker that comes back with an empty disk to a cluster that exists
-can't bootstrap a second one; nor does the vote count that it has forgotten, as the membership names another
-disk. Its new disk is caught up as a learner, then the old disk is removed and the new one promoted, each by a
-change of membership that is committed.
+Each disk gets an identity on its first use. A cluster is bootstrapped only while every voter of the deploy
+file responds with an empty disk. A broker that returns to an existing cluster with an empty disk therefore
+can't bootstrap a second cluster. Nor does its vote count, as the membership names the old disk: a broker that
+has lost its votes must not vote again. The new disk catches up as a learner; then the old disk is removed and
+the new one promoted, each by a committed membership change.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from harriertide.consensus.node import RaftNode
 
 HELLO_INTERVAL_US = 300_000
-# A hello older than this (five intervals) says nothing about the present.
+# Five intervals: an older hello is ignored.
 HELLO_VALID_US = 1_500_000
-# A learner no further behind than this has caught up: one or two appends bring the rest.
-CAUGHT_UP_ENTRY_COUNT = 64
+# A learner that lags by at most this many entries has caught up: one or two appends carry the rest.
+CAUGHT_UP_MAX_LAG_ENTRIES = 64
 
 
 class Hello(Struct, frozen=True, tag="hello"):
-    """The sender is up, on this disk, as a member of this cluster ("" for an empty disk)."""
+    """Announces the sender with the identity of its disk and its cluster ("" for an empty disk)."""
 
     sender: Member
     cluster: str
 
 
 class BootstrapCluster(Struct, frozen=True, tag="found"):
-    """From the first voter of the deploy file to the others: the cluster and its first membership."""
+    """Sent by the first voter of the deploy file to the others: the cluster name and the first membership."""
 
     cluster: str
     members: Membership
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedHello:
-    """The latest hello of a voter's name."""
+    """The latest hello received under a voter's name."""
 
     disk: str
     cluster: str
@@ -48,25 +48,25 @@
 
 
 class MembershipReconciler:
-    """Collects hellos of the other voters, and decides which change of membership comes next.
+    """Collects hellos from the other voters and chooses the next membership change.
 
-    :param voters: names in the order of the deploy file
+    :param voters: voter names in the order of the deploy file
     """
 
     def __init__(self, me: Member, voters: tuple[str, ...]) -> None:
         self.me = me
         self.voters = voters
-        self.duplicate_names: set[str] = set()  # of brokers under whose name two disks answer at once
+        self.duplicate_names: set[str] = set()  # names under which two disks respond at the same time
         self._hellos: dict[str, _ReceivedHello] = {}
         self._next_hello_us = 0
 
     def on_hello(self, now_us: int, hello: Hello) -> None:
-        """Take the hello of another voter."""
+        """Record a hello from another voter."""
         if hello.sender.name in self.voters:
             self._hellos[hello.sender.name] = _ReceivedHello(hello.sender.disk, hello.cluster, now_us)
 
     def next_hello(self, now_us: int, node: RaftNode) -> Hello | None:
-        """The hello to send to all voters; None while none is due, or once this disk is a voter."""
+        """Return the hello to send to all voters; None if none is due or this member is a voter."""
         if now_us < self._next_hello_us or self.me in node.members.voters:
             return None
         self._next_hello_us = now_us + HELLO_INTERVAL_US
@@ -75,26 +75,26 @@
     # --- bootstrap ------------------------------------------------------------------------------------
 
     def propose_bootstrap(self, now_us: int, cluster: str) -> BootstrapCluster | None:
-        """As the first voter with an empty disk: the cluster, once all voters are there on empty disks."""
+        """Return the bootstrap for the first voter to send, once all voters have reported an empty disk."""
         if self.voters[0] != self.me.name:
             return None
         members = [self.me]
         for name in self.voters[1:]:
             hello = self._hellos.get(name)
             if hello is None or hello.cluster or now_us - hello.received_us > HELLO_VALID_US:
-                # Guards against a second cluster beside one that a silent voter is a member of.
+                # A silent voter may belong to an existing cluster, so no second cluster may be bootstrapped.
                 return None
             members.append(Member(name, hello.disk))
         return BootstrapCluster(cluster, Membership(tuple(members)))
 
     def accepts_bootstrap(self, bootstrap: BootstrapCluster, node: RaftNode) -> bool:
-        """Whether this disk is empty and among the first voters."""
+        """Whether this disk is empty and named as a voter by the bootstrap."""
         return not node.cluster and not node.log.last_index and self.me in bootstrap.members.voters
 
-    # --- changes of membership ------------------------------------------------------------------------
+    # --- membership changes ---------------------------------------------------------------------------
 
     def next_change(self, now_us: int, node: RaftNode) -> ev.ChangeMembership | ev.TransferLeadership | None:
-        """As leader: the next step towards exactly one member for each voter's name of the deploy file."""
+        """Return the leader's next step towards exactly one member per voter name of the deploy file."""
         if not node.has_committed_own_term:
             return None
         self.duplicate_names.clear()
@@ -105,28 +105,28 @@
         return self._remove_unlisted(node)
 
     def _replace_disk(self, now_us: int, node: RaftNode, name: str) -> ev.ChangeMembership | None:
-        """The next step for a voter's name whose broker has come back with another disk."""
+        """Return the next step for a voter whose broker has returned with another disk."""
         voters = [member for member in node.members.voters if member.name == name]
         learners = [member for member in node.members.learners if member.name == name]
-        newcomer = self._newcomer(now_us, node, name)
-        if newcomer is not None:
+        replacement = self._find_replacement(now_us, node, name)
+        if replacement is not None:
             if any(_is_answering(now_us, node, voter) for voter in voters):
-                # Two processes run under one name: nobody can tell the right one, so neither is removed.
+                # Two processes run under one name. The right one is unknown, so neither is removed.
                 self.duplicate_names.add(name)
                 return None
             if learners:
-                return ev.ChangeMembership("remove", learners[0])  # a disk that was replaced as well
-            return ev.ChangeMembership("learn", newcomer)
+                return ev.ChangeMembership("remove", learners[0])  # the learner's disk was replaced too
+            return ev.ChangeMembership("learn", replacement)
         for learner in learners:
-            if node.progress[learner].match_index < node.commit_index - CAUGHT_UP_ENTRY_COUNT:
+            if node.progress[learner].match_index < node.commit_index - CAUGHT_UP_MAX_LAG_ENTRIES:
                 continue
             if voters:
                 return ev.ChangeMembership("remove", voters[0])
             return ev.ChangeMembership("promote", learner)
         return None
 
-    def _newcomer(self, now_us: int, node: RaftNode, name: str) -> Member | None:
-        """The member under this name that is there now, where the membership does not have it."""
+    def _find_replacement(self, now_us: int, node: RaftNode, name: str) -> Member | None:
+        """Return the member that a recent hello announces under this name, if the membership lacks it."""
         hello = self._hellos.get(name)
         if hello is None or now_us - hello.received_us >= HELLO_VALID_US or name == self.me.name:
             return None
@@ -134,7 +134,7 @@
         return None if member in node.members.all else member
 
     def _remove_unlisted(self, node: RaftNode) -> ev.ChangeMembership | ev.TransferLeadership | None:
-        """Remove a member whose name the deploy file does not list as a voter any more."""
+        """Return the step that removes a member whose name the deploy file no longer lists as a voter."""
         for member in node.members.all:
             if member.name not in self.voters:
                 return ev.TransferLeadership() if member == node.me else ev.ChangeMembership("remove", member)
@@ -142,6 +142,6 @@
 
 
 def _is_answering(now_us: int, node: RaftNode, member: Member) -> bool:
-    """As leader: whether a member has answered within two election timeouts."""
+    """Whether a member has answered this leader within two election timeouts."""
     progress = node.progress.get(member)
     return progress is not None and now_us - progress.last_contact_us < 2 * node.election_timeout_us
--- a/harriertide/consensus/messages.py
+++ b/harriertide/consensus/messages.py
@@ -1,8 +1,8 @@
-"""Messages between members, and the log's entries and snapshots, as msgspec records.
+"""Messages between members, log entries and snapshots, as msgspec structs.
 
-Tags and names of fields on the wire are fixed: members of two releases understand each other. A field whose
-name in the code differs has its name on the wire in `field(name=)`. Records that are written as arrays
-(array_like) keep the order of their fields instead.
+Tags and wire names of fields are fixed, so that members of different releases are compatible. A field whose
+attribute has another name sets its wire name with `field(name=)`. Structs encoded as arrays (array_like) keep
+the order of their fields instead.
 """
 
 from __future__ import annotations
@@ -12,47 +12,47 @@
 import msgspec
 from msgspec import Struct, field
 
-VERSION = 1  # of records on the disk; a member refuses a newer one at its start
+VERSION = 1  # format of records on disk; a member rejects a newer version at startup
 
 EntryKind = Literal["noop", "command", "members"]
 
 
 class Member(Struct, frozen=True, array_like=True, order=True):
-    """A broker on one disk. A broker that comes back with another disk is another member."""
+    """A broker with the identity of its disk. A broker that returns with another disk is another member."""
 
     name: str
     disk: str
 
 
 class Membership(Struct, frozen=True, array_like=True):
-    """The voters, and the learners: members that receive the log but do not vote or count for commits."""
+    """The voters, and the learners, which receive the log but neither vote nor count towards commits."""
 
     voters: tuple[Member, ...]
     learners: tuple[Member, ...] = ()
 
     @property
     def all(self) -> tuple[Member, ...]:
-        """Voters and learners."""
+        """The voters followed by the learners."""
         return (*self.voters, *self.learners)
 
     def majority_value(self, values: list[int]) -> int:
-        """The highest value that a majority of the voters has reached.
+        """Return the highest value that a majority of the voters has reached.
 
-        :param values: one for each voter, in any order
+        :param values: one value per voter, in any order
         """
         return sorted(values, reverse=True)[self.majority - 1] if values else 0
 
     @property
     def majority(self) -> int:
-        """How many voters decide."""
+        """Number of voters in a majority."""
         return len(self.voters) // 2 + 1
 
 
-NO_MEMBERS = Membership((), ())
+EMPTY_MEMBERSHIP = Membership((), ())
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """An entry of the log. client, serial: whose command, so that a repeated one takes effect once."""
+    """A log entry. client and serial identify its command, so that a repeated command takes effect once."""
 
     index: int
     term: int
@@ -63,17 +63,17 @@
 
 
 class Snapshot(Struct, frozen=True, array_like=True):
-    """The state machine as of an index, with the membership as of there."""
+    """The state machine and the membership at a log index."""
 
     index: int
     term: int
     members: Membership
     data: bytes
-    checksum: int  # xxh3 of data
+    checksum: int  # xxh3 checksum of data
 
 
 class Envelope(Struct, frozen=True, tag=True):
-    """Fields of each message: the cluster, the sender's and the recipient's disk, and the sender's term."""
+    """Fields of every message: the cluster, the sending and the receiving member, and the sender's term."""
 
     cluster: str
     sender: Member
@@ -82,10 +82,10 @@
 
 
 class VoteRequest(Envelope, frozen=True, tag="ask"):
-    """RequestVote of a candidate.
+    """A candidate's RequestVote.
 
-    :param pre_vote: asks only whether the vote would be given; nobody's term changes
-    :param transfer: the leader itself wants this election, so leader stickiness does not refuse it
+    :param pre_vote: asks only whether the vote would be granted; no member's term changes
+    :param transfer: the leader requested this election by a transfer, which bypasses leader stickiness
     """
 
     last_index: int
@@ -97,7 +97,7 @@
 class VoteResponse(Envelope, frozen=True, tag="vote"):
     """The response to a VoteRequest.
 
-    :param leader: name of the leader whose heartbeats the voter receives, "" for none
+    :param leader: name of the leader that the voter still hears from; "" unless leader stickiness applies
     """
 
     granted: bool
@@ -106,10 +106,10 @@
 
 
 class AppendRequest(Envelope, frozen=True, tag="append"):
-    """AppendEntries: entries behind one that has to match; without entries a heartbeat.
+    """AppendEntries: entries after a previous entry that must match; without entries a heartbeat.
 
-    :param heartbeat_round: the leader's latest round as this was sent; the response repeats it
-    :param election_timeout_us: as the leader measured it, for all members
+    :param heartbeat_round: the leader's latest heartbeat round at sending time; the response repeats it
+    :param election_timeout_us: election timeout that the leader has derived for all members
     """
 
     prev_index: int
@@ -123,11 +123,11 @@
 class AppendResponse(Envelope, frozen=True, tag="appended"):
     """The response to an AppendRequest.
 
-    :param prev_index: of the request that this answers
-    :param received_index: up to where the log agrees with the leader's, synced or not; of a refusal: where it
-        may agree
-    :param match_index: up to where it agrees and is synced: this counts for a commit
-    :param sync_us: how long syncs take on this member's disk, smoothed
+    :param prev_index: prev_index of the request
+    :param received_index: highest index up to which the log matches the leader's, synced or not; in a
+        rejection the highest index up to which the log may match
+    :param match_index: highest index up to which the log matches and is synced; counts towards commits
+    :param sync_us: moving average of sync times on this member's disk
     """
 
     success: bool = field(name="ok")
@@ -141,7 +141,7 @@
 class SnapshotChunk(Envelope, frozen=True, tag="piece"):
     """InstallSnapshot: one chunk of a snapshot's data; without data a heartbeat.
 
-    :param checksum: xxh3 of the snapshot's whole data
+    :param checksum: xxh3 checksum of the complete snapshot data
     """
 
     snapshot_index: int = field(name="index")
@@ -156,7 +156,10 @@
 
 
 class SnapshotChunkResponse(Envelope, frozen=True, tag="piece-taken"):
-    """How many bytes of a snapshot have been received in order."""
+    """The response to a SnapshotChunk.
+
+    :param offset: number of bytes received so far, which is the offset of the requested chunk
+    """
 
     snapshot_index: int = field(name="index")
     offset: int
@@ -164,11 +167,11 @@
 
 
 class TimeoutNow(Envelope, frozen=True, tag="take-over"):
-    """The leader transfers leadership: the recipient campaigns at once."""
+    """The leader transfers leadership to the recipient, which campaigns immediately."""
 
 
 class Proposal(Envelope, frozen=True, tag="proposal"):
-    """A command of a follower, for the leader to append."""
+    """A command that a follower forwards to the leader."""
 
     client: str
     serial: int
@@ -176,13 +179,13 @@
 
 
 class ReadIndexRequest(Envelope, frozen=True, tag="read-ask"):
-    """A follower's question: up to which index must be applied before a read is linearizable?"""
+    """A follower asks the leader for the index that must be applied before a read is linearizable."""
 
     number: int
 
 
 class ReadIndexResponse(Envelope, frozen=True, tag="read-answer"):
-    """The leader's answer, after a majority has confirmed that it still leads."""
+    """The leader's read index, sent after a majority has confirmed the leadership."""
 
     number: int
     index: int
@@ -201,7 +204,7 @@
     | ReadIndexResponse
 )
 
-# Messages between replicas, beside the Raft protocol: a RaftNode takes none of them.
+# Messages between replicas outside the Raft protocol, handled by Replica and ignored by RaftNode.
 ReplicaMessage = Proposal | ReadIndexRequest | ReadIndexResponse
 
 _encode = msgspec.msgpack.Encoder()
@@ -209,10 +212,10 @@
 
 
 def encode_membership(members: Membership) -> bytes:
-    """Encode a membership as the data of an entry of kind "members"."""
+    """Encode a membership as the data of a "members" entry."""
     return _encode.encode(members)
 
 
 def decode_membership(data: bytes) -> Membership:
-    """Decode the data of an entry of kind "members"."""
+    """Decode the data of a "members" entry."""
     return _decode_membership.decode(data)
--- a/harriertide/consensus/node.py
+++ b/harriertide/consensus/node.py
@@ -1,20 +1,21 @@
-"""One member of a Raft cluster. Pure: events in, effects out; time and random numbers are arguments.
-
-The protocol (Ongaro and Ousterhout 2014; Ongaro 2014; his note of 2015 on single changes) stands in one
-module for each section of the papers: `election`, `replication` (the leader's side) and `append_entries` (the
-follower's), `heartbeat`, `snapshots`, `membership`, `transfer`, `reads`. They share one `RaftState`, and put
-what is to be done into one `Outbox`. This module hands each event to the part that takes it.
-
-The invariants; each is named again beside the line that keeps it, and lab/model_checker checks it:
-
-ELECTION   one leader a term: a vote is on the disk before it is sent, and only the member on the disk that
-           the membership names may cast it (each disk has an identity, made on its first use)
-APPEND     a leader never takes back or changes an entry of its own log
-MATCH      equal index and term: equal entries, here and before
-COMPLETE   what is committed is in the log of every later leader
-COMMIT     only entries of the leader's own term are committed by count, of synced copies
-CHANGE     one member at a time, the next after the last is committed, the first after an entry of the own
-           term: the majorities of two memberships in a row share a member
+"""One member of a Raft cluster: a state machine that takes events and returns effects.
+
+The code performs no I/O; the time and the random generator are arguments. Each section of the Raft papers
+(Ongaro and Ousterhout 2014; Ongaro 2014; Ongaro's 2015 note on single-server changes) has a module:
+`election`, `replication` (leader side), `append_entries` (follower side), `heartbeat`, `snapshots`,
+`membership`, `transfer` and `reads`. The modules share one `RaftState` and add their effects to one `Outbox`.
+This module dispatches each event to the module that handles it.
+
+Comments name the invariant that a line preserves, and lab/model_checker checks each invariant:
+
+ELECTION   A term has at most one leader. A vote is synced to disk before it is sent, and only the member on
+           the disk that the membership names may cast it (each disk gets an identity on its first use).
+APPEND     A leader never deletes or overwrites an entry of its own log.
+MATCH      If two logs hold an entry with the same index and term, they are equal up to that entry.
+COMPLETE   A committed entry is in the log of every leader of a later term.
+COMMIT     A leader counts synced copies only to commit entries of its own term.
+CHANGE     The membership changes by one member at a time. A change needs a committed entry of the leader's
+           term and a committed previous change, so consecutive memberships have overlapping majorities.
 """
 
 from __future__ import annotations
@@ -56,12 +57,12 @@
 
 
 class RaftNode:
-    """A member, which changes by its events only.
+    """A cluster member whose state changes only through events.
 
-    All that it knows is in its RaftState, so a node on a copy of that behaves as this one would.
+    The RaftState holds the entire state, so a node on a copy of the RaftState behaves identically.
     """
 
-    # Replaced by the lab's seeded bugs (harriertide/lab/seeded_bugs.py).
+    # Overridden by the lab's seeded bugs (harriertide/lab/seeded_bugs.py).
     outbox_class: type[Outbox] = Outbox
     replication_class: type[Replication] = Replication
     membership_class: type[MembershipChanges] = MembershipChanges
@@ -87,13 +88,13 @@
     def restore(
         cls, me: Member, tuning: Tuning, restored: ev.RestoredState, random: Random, now_us: int
     ) -> RaftNode:
-        """A node that starts as a follower, on what its disk holds.
+        """Create a node that starts as a follower with the state restored from its disk.
 
-        :param random: for election timeouts
+        :param random: draws the election timeouts
         """
         return cls(RaftState.restore(me, tuning, restored, random, now_us))
 
-    # --- what others may read -------------------------------------------------------------------------
+    # --- properties -----------------------------------------------------------------------------------
 
     @property
     def me(self) -> Member:
@@ -102,32 +103,32 @@
 
     @property
     def cluster(self) -> str:
-        """Name of the cluster, "" while this node is of none."""
+        """Name of the cluster, "" while this node belongs to none."""
         return self._state.cluster
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self._state.term
 
     @property
     def role(self) -> Role:
-        """What this node is at present."""
+        """The current role of this node."""
         return self._state.role
 
     @property
     def leader(self) -> Member | None:
-        """The leader of the present term, None while it is not known."""
+        """The leader of the current term, None while the leader is unknown."""
         return self._state.leader
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads."""
+        """Whether this node is the leader."""
         return self._state.is_leader
 
     @property
     def has_committed_own_term(self) -> bool:
-        """Whether this node leads and has committed an entry of its own term."""
+        """Whether this node is the leader and has committed an entry of its own term."""
         return self._state.has_committed_own_term
 
     @property
@@ -137,7 +138,7 @@
 
     @property
     def log(self) -> Log:
-        """The log behind the snapshot."""
+        """The log after the snapshot."""
         return self._state.log
 
     @property
@@ -147,22 +148,22 @@
 
     @property
     def commit_index(self) -> int:
-        """Highest index known to be committed."""
+        """Highest log index known to be committed."""
         return self._state.commit_index
 
     @property
     def progress(self) -> dict[Member, PeerProgress]:
-        """As leader: what is known of each other member."""
+        """Replication progress of each other member, kept while this node is the leader."""
         return self._state.leadership.progress
 
     @property
     def election_timeout_us(self) -> int:
-        """How long a follower waits for its leader, as the leader measures it."""
+        """Minimum election timeout, which the leader derives from measured latencies."""
         return self._state.election_timeout_us
 
     @property
     def next_tick_us(self) -> int:
-        """When this node needs a Tick."""
+        """Time at which this node needs the next Tick."""
         state = self._state
         if state.role == Role.HALTED:
             return NEVER_US
@@ -173,10 +174,10 @@
     # --- events ---------------------------------------------------------------------------------------
 
     def step(self, now_us: int, event: ev.Event) -> list[ev.Effect]:
-        """Take an event.
+        """Process an event.
 
-        :returns: what is to be done, in order
-        :raises InvariantViolationError: the node must not go on
+        :returns: the effects to perform, in order
+        :raises InvariantViolationError: an invariant is violated and the node must halt
         """
         if self._state.role == Role.HALTED:
             return []
@@ -186,9 +187,9 @@
         return self._outbox.take_effects()
 
     def bootstrap_cluster(self, now_us: int, cluster: str, members: Membership) -> list[ev.Effect]:
-        """On an empty disk: write the first membership, as entry 1 of term 1, identical at all its voters.
+        """Write the first membership to an empty disk, as entry 1 of term 1, identical on all voters.
 
-        :returns: what is to be done, in order
+        :returns: the effects to perform, in order
         """
         state = self._state
         assert not state.cluster and not state.log.last_index
@@ -313,10 +314,10 @@
                 self._election.on_timeout_now(message)
 
     def _is_for_this_member(self, message: Message) -> bool:
-        """ELECTION: whether a message is meant for this member's disk and cluster.
+        """ELECTION: whether a message is addressed to this member's disk and cluster.
 
-        A fresh disk takes the cluster's name from the first message of one that has it in its membership.
-        Anything else is meant for a disk that this broker had before, or does not have yet.
+        An empty disk adopts the cluster name of the first AppendRequest, SnapshotChunk or VoteRequest that is
+        addressed to it. Any other message is meant for an earlier or a later disk of this broker.
         """
         state = self._state
         if message.to != state.me or isinstance(message, ReplicaMessage):
@@ -341,5 +342,5 @@
 
 
 def _is_granted_pre_vote(message: Message) -> bool:
-    """A granted pre-vote carries the term that the candidate would enter, and nobody has entered it yet."""
+    """Whether a message grants a pre-vote, whose term is the candidate's next one and not entered yet."""
     return isinstance(message, VoteResponse) and message.pre_vote and message.granted
--- a/harriertide/consensus/observer.py
+++ b/harriertide/consensus/observer.py
@@ -1,4 +1,7 @@
-"""An observer: a broker that applies what the voters commit, and has no disk and no vote. Pure."""
+"""An observer: a broker without disk or vote that applies the entries committed by the voters.
+
+The code performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,15 @@
 from harriertide.consensus.messages import Entry
 from harriertide.consensus.state import IncomingSnapshot
 
-# Entries kept for children that are behind: as many as a voter keeps; who lacks more is sent a snapshot.
-KEPT_ENTRY_COUNT = 1024
+# Entries kept for lagging children, as many as a voter keeps. A child that needs older ones gets a snapshot.
+MAX_KEPT_ENTRIES = 1024
 
 
 class AppliedEntry(NamedTuple):
-    """An entry that was applied.
+    """An applied entry.
 
-    :param fresh: False for a repeated command, which had no effect
-    :param digest: the state's chain of hashes behind it
+    :param fresh: False for a repeated command, which has no effect
+    :param digest: the hash chain after the entry
     """
 
     entry: Entry
@@ -28,15 +31,15 @@
 
 
 class Observer:
-    """Applies updates of the parent in order, and keeps entries for its own children."""
+    """Applies the parent's updates in log order and keeps entries for its own children in the tree."""
 
     def __init__(self, applied_state: AppliedState) -> None:
         self.applied_state = applied_state
-        self._entries: deque[Entry] = deque(maxlen=KEPT_ENTRY_COUNT)
+        self._entries: deque[Entry] = deque(maxlen=MAX_KEPT_ENTRIES)
         self._incoming = IncomingSnapshot()
 
     def apply_update(self, update: TreeUpdate) -> list[AppliedEntry]:
-        """Apply the entries that come next, or take a chunk of a snapshot."""
+        """Add the update's snapshot chunk if the snapshot is newer, then apply the entries that come next."""
         if update.snapshot_index > self.applied_state.last_applied:
             self._add_chunk(update)
         applied = []
@@ -48,20 +51,20 @@
         return applied
 
     def _add_chunk(self, update: TreeUpdate) -> None:
-        """Add a chunk that comes next, and load the snapshot once all of it is here."""
+        """Add a chunk if it is the next one, and load the snapshot once it is complete."""
         key = (update.snapshot_index, update.checksum)
         if self._incoming.key != key:
             self._incoming = IncomingSnapshot(key)
         if not self._incoming.add_chunk(update.offset, update.data, update.total_bytes):
             return
         data = self._incoming.take_data(update.checksum)
-        # One that was damaged on its way is dropped: the parent sends it again after the next report.
+        # A snapshot with a checksum mismatch is dropped; the parent resends it after the next report.
         if data is not None:
             self.applied_state.load(update.snapshot_index, data)
             self._entries.clear()
 
     def entries_after(self, index: int, max_count: int) -> tuple[Entry, ...] | None:
-        """Entries behind an index, for a child; None where they are not kept any more."""
+        """Return entries after an index for a child; None if they are no longer kept."""
         if index >= self.applied_state.last_applied:
             return ()
         if not self._entries or self._entries[0].index > index + 1:
--- a/harriertide/consensus/pending_requests.py
+++ b/harriertide/consensus/pending_requests.py
@@ -1,4 +1,4 @@
-"""Pending calls and reads of a replica's clients: where each was sent, its next attempt and its deadline."""
+"""Pending calls and reads of a replica's clients, each with its last recipient, next attempt and deadline."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 
 from harriertide.consensus.messages import Member
 
-# A request without an answer goes out again, perhaps to another leader. Over two heartbeats: where nothing is
-# lost the answer is here by then.
+# A request without an answer is sent again, possibly to another leader. The interval exceeds two heartbeats,
+# within which an answer arrives unless a message is lost.
 RETRY_INTERVAL_US = 250_000
 
 
 @dataclass(slots=True)
 class ClientCall:
-    """A command that waits to be committed. sent_to: the leader that was asked last."""
+    """A command that waits to be committed.
+
+    :param sent_to: the leader that the latest attempt was sent to
+    """
 
     number: int
     client: str
@@ -27,7 +30,11 @@
 
 @dataclass(slots=True)
 class ClientRead:
-    """A read that waits. index: it is linearizable once this is applied; None while that is not known."""
+    """A read that waits until the state is recent enough.
+
+    :param sent_to: the leader that the latest attempt was sent to
+    :param index: the read is linearizable once this index is applied; None while unknown
+    """
 
     number: int
     deadline_us: int
@@ -37,34 +44,34 @@
 
 
 class PendingRequests:
-    """The calls and reads that wait, by their numbers."""
+    """The pending calls and reads, by number."""
 
     def __init__(self) -> None:
         self._calls: dict[int, ClientCall] = {}
         self._reads: dict[int, ClientRead] = {}
 
     def add_call(self, call: ClientCall) -> None:
-        """Add a call."""
+        """Track a call until it is answered or expires."""
         self._calls[call.number] = call
 
     def add_read(self, read: ClientRead) -> None:
-        """Add a read."""
+        """Track a read until it is complete or expires."""
         self._reads[read.number] = read
 
     def _requests(self) -> Iterator[ClientCall | ClientRead]:
         yield from self._calls.values()
         yield from self._reads.values()
 
-    def earliest_us(self, until_us: int) -> int:
-        """The earliest next attempt or deadline of all requests; until_us where none is before that."""
+    def next_due_us(self, until_us: int) -> int:
+        """Return the earliest next attempt or deadline of all requests, at most until_us."""
         for request in self._requests():
             until_us = min(until_us, request.deadline_us, request.retry_at_us)
         return until_us
 
     def expire(self, now_us: int) -> list[int]:
-        """Drop those whose deadline has passed.
+        """Remove the requests whose deadline has passed.
 
-        :returns: their numbers
+        :returns: the numbers of the removed requests
         """
         expired = [request.number for request in self._requests() if request.deadline_us <= now_us]
         for number in expired:
@@ -75,7 +82,7 @@
     # --- attempts -------------------------------------------------------------------------------------
 
     def start_call_attempts(self, now_us: int, leader: Member | None) -> list[ClientCall]:
-        """The calls to send now: to a leader that was not asked yet, or again after a while."""
+        """Start and return the call attempts that are due: to a new leader, or after the retry interval."""
         started = []
         for call in self._calls.values():
             if leader is None:
@@ -87,11 +94,11 @@
         return started
 
     def start_read_attempts(self, now_us: int, leader: Member | None) -> list[ClientRead]:
-        """The reads to send now: to a leader that was not asked yet, or again after a while."""
+        """Start and return the read attempts that are due: to a new leader, or after the retry interval."""
         started = []
         for read in self._reads.values():
-            is_asked = leader is None or (read.sent_to == leader and now_us < read.retry_at_us)
-            if read.index is not None or is_asked:
+            must_wait = leader is None or (read.sent_to == leader and now_us < read.retry_at_us)
+            if read.index is not None or must_wait:
                 read.retry_at_us = max(read.retry_at_us, now_us + RETRY_INTERVAL_US)
             else:
                 read.sent_to = leader
@@ -102,17 +109,17 @@
     # --- answers --------------------------------------------------------------------------------------
 
     def calls(self) -> list[ClientCall]:
-        """The calls that wait."""
+        """Return the pending calls."""
         return list(self._calls.values())
 
     def complete_call(self, call: ClientCall) -> None:
-        """Remove a call that is answered."""
+        """Remove an answered call."""
         del self._calls[call.number]
 
     def complete_command(self, client: str, serial: int) -> list[int]:
-        """Remove the calls of a command that was applied.
+        """Remove the calls of an applied command.
 
-        :returns: their numbers
+        :returns: the numbers of the removed calls
         """
         completed = [
             call.number for call in self._calls.values() if (call.client, call.serial) == (client, serial)
@@ -122,18 +129,20 @@
         return completed
 
     def set_read_index(self, number: int, index: int) -> None:
-        """Set the index of a read; ignored where the read is not pending any more."""
+        """Set the read index of a read; does nothing if the read is no longer pending."""
         read = self._reads.get(number)
         if read is not None:
             read.index = index
 
-    def complete_reads(self, applied: int) -> list[int]:
-        """Complete the reads whose index is applied.
+    def complete_reads(self, last_applied: int) -> list[int]:
+        """Remove the reads whose read index is applied.
 
-        :returns: their numbers
+        :returns: the numbers of the removed reads
         """
         completed = [
-            number for number, read in self._reads.items() if read.index is not None and read.index <= applied
+            number
+            for number, read in self._reads.items()
+            if read.index is not None and read.index <= last_applied
         ]
         for number in completed:
             del self._reads[number]
--- a/harriertide/consensus/reads.py
+++ b/harriertide/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads by ReadIndex (Ongaro 2014, 6.4): a majority confirms the leader, no entry is written."""
+"""Linearizable reads by ReadIndex (Ongaro 2014, 6.4): a majority confirms the leader without a log entry."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class ReadIndex:
-    """Reads that were requested of this leader and are not confirmed yet."""
+    """Tracks the reads that were requested from this leader and are not confirmed yet."""
 
     def __init__(self, state: RaftState, outbox: Outbox) -> None:
         self._state = state
         self._outbox = outbox
 
     def request(self, number: int) -> bool:
-        """Register a read.
+        """Register a read, or abort the read if this node is not the leader.
 
-        :returns: whether a round of heartbeats has to be started for it
+        :returns: whether the caller must start a heartbeat round for the read
         """
         state = self._state
         if not state.is_leader:
@@ -31,13 +31,13 @@
         return True
 
     def take_deferred(self) -> list[int]:
-        """Numbers of the reads that waited for the first commit of the leader's own term."""
+        """Remove and return the reads that waited for the first commit of the leader's own term."""
         leadership = self._state.leadership
         deferred, leadership.deferred_reads = leadership.deferred_reads, []
         return deferred
 
     def confirm(self) -> None:
-        """Confirm reads whose round a majority has answered: there was no later leader when they came."""
+        """Confirm reads whose round a majority has answered: no later leader existed when they arrived."""
         state = self._state
         leadership = state.leadership
         if not leadership.pending_reads:
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -1,8 +1,8 @@
-"""A Raft node with its state machine: takes calls and reads on any member, and applies what is committed.
+"""A Raft node with its state machine: accepts calls and reads on any member and applies committed entries.
 
-A call is sent to the leader, and again until it is answered or its deadline has passed; sessions see to it
-that it takes effect once. A read waits until the state here holds all that was committed when it was asked
-for. Pure: events in, effects out.
+A call is sent to the leader and retried until it is answered or its deadline passes; client sessions make
+sure that its command takes effect once. A read waits until the local state holds every entry that was
+committed when the read was requested. The code performs no I/O: it takes events and returns effects.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 from harriertide.consensus.pending_requests import ClientCall, ClientRead, PendingRequests
 from harriertide.consensus.roles import InvariantViolationError
 
-# Entries behind the last snapshot before the next one is taken: bounds memory and a start's replay.
+# Log entries after a snapshot before the next snapshot is taken: bounds memory use and replay at startup.
 SNAPSHOT_INTERVAL_COUNT = 1024
-# Up to so many intervals the log is kept for a member that lacks entries: a snapshot would cost it more.
+# Number of intervals for which the log is kept for a lagging member, to whom a snapshot would cost more.
 LAGGING_MEMBER_INTERVALS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class CallCompleted:
-    """The command of a call is committed and applied, with this answer."""
+    """The command of a call is committed and applied with this answer."""
 
     number: int
     index: int
@@ -45,23 +45,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadCompleted:
-    """The state may be read: it holds all that was committed when the read was asked for."""
+    """The state may be read: it holds every entry that was committed when the read was requested."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallExpired:
-    """The deadline of a call or read has passed. The command may still be committed later."""
+    """The deadline of a call or read has passed. The command of a call may still be committed later."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class EntryApplied:
-    """The state's chain of hashes at an index, for the lab's checkers.
+    """The hash chain of the applied entries at an index, for the lab's checkers.
 
-    :param fresh: False for a repeated command, which had no effect
+    :param fresh: False for a repeated command, which has no effect
     """
 
     index: int
@@ -75,8 +75,8 @@
 class Replica:
     """Raft node, sessions and state machine of one member.
 
-    :param snapshot_interval: entries behind the last snapshot before the next one is taken
-    :param node_class: another one for the lab's seeded bugs
+    :param snapshot_interval: number of log entries after a snapshot before the next snapshot is taken
+    :param node_class: replaced by the lab's seeded bugs
     """
 
     def __init__(
@@ -95,35 +95,37 @@
         self._snapshot_interval = snapshot_interval
         self._pending = PendingRequests()
         self._last_read_index_number = 0
-        # As leader, by number of a ReadIndex: who asked under which number, and which read here waits.
+        # As leader, by ReadIndex number: the requesting member and its read number, or the local read number.
         self._remote_reads: dict[int, tuple[Member, int]] = {}
-        self._own_reads: dict[int, int] = {}
-        self._proposed: set[tuple[str, int]] = set()  # as leader: commands that are in the log
+        self._local_reads: dict[int, int] = {}
+        self._proposed_commands: set[tuple[str, int]] = (
+            set()
+        )  # as leader: client and serial of the commands in the log
         self._effects: list[Effect] = []
         if restored.snapshot is not None:
             self.applied_state.load(restored.snapshot.index, restored.snapshot.data)
 
     @property
     def machine(self) -> StateMachine:
-        """What commands are applied to."""
+        """The state machine that commands are applied to."""
         return self.applied_state.machine
 
     @property
     def last_applied(self) -> int:
-        """Index of the last entry that was applied."""
+        """Index of the last applied entry."""
         return self.applied_state.last_applied
 
     @property
     def next_tick_us(self) -> int:
-        """When this replica needs a Tick."""
-        return self._pending.earliest_us(self.node.next_tick_us)
+        """Time at which this replica needs the next Tick."""
+        return self._pending.next_due_us(self.node.next_tick_us)
 
     # --- calls, reads and events ----------------------------------------------------------------------
 
     def step(self, now_us: int, event: ev.Event) -> list[Effect]:
-        """Take an event of the node.
+        """Process an event of the node.
 
-        :returns: what is to be done, in order
+        :returns: the effects to perform, in order
         """
         self._effects = []
         try:
@@ -131,7 +133,7 @@
                 self._on_replica_message(now_us, event.message)
             else:
                 self._step_node(now_us, event)
-            self._send_waiting(now_us)
+            self._send_pending(now_us)
         except InvariantViolationError as error:
             self._halt(now_us, str(error))
         return self._effects
@@ -139,37 +141,37 @@
     def call(
         self, now_us: int, number: int, client: str, serial: int, data: bytes, deadline_us: int
     ) -> list[Effect]:
-        """Have a command committed and applied.
+        """Submit a command to be committed and applied.
 
         :param number: repeated in the CallCompleted or CallExpired
-        :param client: with serial the same for each attempt of one command, and of no other command
-        :returns: what is to be done, in order
+        :param client: together with serial identifies the command across all its attempts
+        :returns: the effects to perform, in order
         """
         self._effects = []
         answer = self.applied_state.sessions.find(client, serial)
         if answer is not None:
             return [CallCompleted(number, self.last_applied, answer)]
         self._pending.add_call(ClientCall(number, client, serial, data, deadline_us))
-        self._send_waiting(now_us)
+        self._send_pending(now_us)
         return self._effects
 
     def query(self, now_us: int, number: int, deadline_us: int) -> list[Effect]:
-        """Find when the state may be read.
+        """Request a linearizable read of the state.
 
         :param number: repeated in the ReadCompleted or CallExpired
-        :returns: what is to be done, in order
+        :returns: the effects to perform, in order
         """
         self._effects = []
         self._pending.add_read(ClientRead(number, deadline_us))
-        self._send_waiting(now_us)
+        self._send_pending(now_us)
         return self._effects
 
     def _halt(self, now_us: int, reason: str) -> None:
-        """Halt the node after a broken invariant: it answers and writes nothing from now on."""
+        """Halt the node after an invariant violation: it sends and writes nothing from now on."""
         self._step_node(now_us, ev.InvariantViolated(reason))
         self._effects.append(ev.LogLine(LogEvent.BROKEN, self.node.term, reason))
 
-    # --- messages of other replicas -------------------------------------------------------------------
+    # --- messages from other replicas -----------------------------------------------------------------
 
     def _on_replica_message(self, now_us: int, message: ReplicaMessage) -> None:
         node = self.node
@@ -187,24 +189,26 @@
             self._complete_reads()
 
     def _propose(self, now_us: int, client: str, serial: int, data: bytes) -> None:
-        """As leader: append a command, unless it is in the log already or was applied."""
+        """Append a command as leader, unless the command is in the log or was applied."""
         command = (client, serial)
-        is_known = command in self._proposed or self.applied_state.sessions.find(client, serial) is not None
+        is_known = (
+            command in self._proposed_commands or self.applied_state.sessions.find(client, serial) is not None
+        )
         if not self.node.is_leader or is_known:
             return
         next_index = self.node.log.last_index + 1
         self._step_node(now_us, ev.Proposed(client, serial, data))
         if self.node.log.last_index >= next_index:
-            self._proposed.add(command)
+            self._proposed_commands.add(command)
 
     def _next_read_index_number(self) -> int:
         self._last_read_index_number += 1
         return self._last_read_index_number
 
-    # --- what waits here ------------------------------------------------------------------------------
+    # --- pending requests -----------------------------------------------------------------------------
 
-    def _send_waiting(self, now_us: int) -> None:
-        """Send calls and reads to a new leader, and again after a while."""
+    def _send_pending(self, now_us: int) -> None:
+        """Send pending calls and reads to a new leader, and again after the retry interval."""
         for number in self._pending.expire(now_us):
             self._effects.append(CallExpired(number))
         for call in self._pending.start_call_attempts(now_us, self.node.leader):
@@ -224,7 +228,7 @@
         node, leader = self.node, self.node.leader
         if node.is_leader:
             read_index_number = self._next_read_index_number()
-            self._own_reads[read_index_number] = read.number
+            self._local_reads[read_index_number] = read.number
             self._step_node(now_us, ev.ReadRequested(read_index_number))
         elif leader is not None:
             request = ReadIndexRequest(node.cluster, node.me, leader, node.term, read.number)
@@ -237,7 +241,7 @@
     # --- effects of the node --------------------------------------------------------------------------
 
     def _step_node(self, now_us: int, event: ev.Event) -> None:
-        """Have the node take an event; perform its effects that are meant for the state machine."""
+        """Pass an event to the node and perform those of its effects that concern the state machine."""
         effects = deque(self.node.step(now_us, event))
         while effects:
             effect = effects.popleft()
@@ -250,15 +254,15 @@
                     self._on_read_confirmed(effect)
                 case ev.ReadAborted():
                     self._remote_reads.pop(effect.number, None)
-                    self._own_reads.pop(effect.number, None)
+                    self._local_reads.pop(effect.number, None)
                 case _:
                     self._forget_proposals_of_other_terms(effect)
                     self._effects.append(effect)
 
     def _forget_proposals_of_other_terms(self, effect: ev.Effect) -> None:
-        """Forget proposals once the leader changes: what the last one appended may be in no log any more."""
+        """Forget proposals when the leader changes, as the new leader may lack their entries."""
         if isinstance(effect, ev.LogLine) and effect.event in (LogEvent.LEADS, LogEvent.FOLLOWS):
-            self._proposed.clear()
+            self._proposed_commands.clear()
 
     def _on_committed(self, now_us: int, effect: ev.Committed) -> list[ev.Effect]:
         for entry in effect.entries:
@@ -268,7 +272,7 @@
 
     def _apply(self, entry: Entry) -> None:
         answer, fresh = self.applied_state.apply(entry)
-        self._proposed.discard((entry.client, entry.serial))
+        self._proposed_commands.discard((entry.client, entry.serial))
         if entry.kind == "command":
             for number in self._pending.complete_command(entry.client, entry.serial):
                 self._effects.append(CallCompleted(number, entry.index, answer))
@@ -291,12 +295,12 @@
             member, number = remote
             response = ReadIndexResponse(node.cluster, node.me, member, node.term, number, effect.index)
             self._effects.append(ev.SendMessage(response))
-        if effect.number in self._own_reads:
-            self._pending.set_read_index(self._own_reads.pop(effect.number), effect.index)
+        if effect.number in self._local_reads:
+            self._pending.set_read_index(self._local_reads.pop(effect.number), effect.index)
             self._complete_reads()
 
     def _take_snapshot(self, now_us: int) -> list[ev.Effect]:
-        """Dump the state machine once the log is long, unless a member lacks entries that would go."""
+        """Take a snapshot once the log is long, unless a lagging member needs entries that would go."""
         log = self.node.log
         interval = self._snapshot_interval
         log_length = self.last_applied - log.base_index
--- a/harriertide/consensus/replication.py
+++ b/harriertide/consensus/replication.py
@@ -1,7 +1,7 @@
-"""The leader's side of AppendEntries: its own log, what it sends to each member, and what is committed.
+"""The leader side of AppendEntries: appending to its log, replicating to each member and committing.
 
-APPEND     a leader never takes back or changes an entry of its own log
-COMMIT     only entries of the leader's own term are committed by count, of synced copies
+APPEND     A leader never deletes or overwrites an entry of its own log.
+COMMIT     A leader counts synced copies only to commit entries of its own term.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 class Replication:
     """Replicates the leader's log.
 
-    :param on_own_term_committed: called once an entry of the leader's own term is committed
+    :param on_own_term_committed: called when the first entry of the leader's own term is committed
     """
 
     def __init__(
@@ -38,12 +38,12 @@
     # --- the leader's own log -------------------------------------------------------------------------
 
     def start_term(self) -> None:
-        """Append the entry that begins a leader's term: with it all earlier entries are committed."""
+        """Append the no-op entry of a new term: committing it commits all earlier entries too."""
         self._track_members()
         self.append("noop")
 
     def append(self, kind: EntryKind, data: bytes = b"", client: str = "", serial: int = 0) -> None:
-        """Append an entry to the own log and send it to all members whose window is open."""
+        """Append an entry to the leader's log and send it to all members whose send window has room."""
         state = self.state
         entry = Entry(state.log.last_index + 1, state.term, kind, data, client, serial)
         state.log.append(entry)  # APPEND
@@ -54,7 +54,7 @@
             self.replicate(member)
 
     def _track_members(self) -> None:
-        """Keep the progress of all other members, and of nobody else."""
+        """Track the progress of exactly the other members of the latest membership."""
         state = self.state
         progress_of = state.leadership.progress
         for member in state.members.all:
@@ -63,12 +63,12 @@
         for member in [member for member in progress_of if member not in state.members.all]:
             del progress_of[member]
 
-    # --- to a member ----------------------------------------------------------------------------------
+    # --- sending --------------------------------------------------------------------------------------
 
     def replicate(self, member: Member, heartbeat: bool = False) -> None:
-        """Send what a member lacks, as far as its window is open.
+        """Send missing entries to a member as far as its send window has room, or start a snapshot transfer.
 
-        :param heartbeat: send at least an empty append
+        :param heartbeat: send at least an empty append or an empty snapshot chunk
         """
         progress = self.state.leadership.progress[member]
         if progress.snapshot is None and progress.next_index <= self.state.log.base_index:
@@ -80,9 +80,9 @@
             self._send_append(member, progress, ())
 
     def _send_entries(self, member: Member, progress: PeerProgress) -> bool:
-        """Send appends until the window is full.
+        """Send appends until the send window is full.
 
-        :returns: whether any was sent
+        :returns: whether any append was sent
         """
         tuning = self.state.tuning
         sent = False
@@ -121,16 +121,16 @@
         self.outbox.send(request)
         progress.probe_sent = True
 
-    # --- from a member --------------------------------------------------------------------------------
+    # --- responses ------------------------------------------------------------------------------------
 
     def on_append_response(self, message: AppendResponse, progress: PeerProgress) -> bool:
-        """Take a member's response, and send what it lacks.
+        """Process a member's response and send the entries that the member is missing.
 
-        :returns: whether the member accepted the append and takes further ones
+        :returns: whether the member accepted the append and can receive further appends
         """
         progress.sync_us = message.sync_us
         if not message.success:
-            self._on_refusal(message, progress)
+            self._on_rejection(message, progress)
             return False
         if progress.snapshot is not None and message.received_index >= progress.snapshot.index:
             progress.snapshot = None
@@ -139,21 +139,21 @@
         progress.next_index = max(progress.next_index, message.received_index + 1)
         progress.inflight = [index for index in progress.inflight if index > message.received_index]
         self.advance_commit()
-        # The commit may have ended this leadership, or been of a membership without the sender.
+        # The commit may have ended this leadership, or have committed a membership without the sender.
         if progress.snapshot is not None or message.sender not in self.state.leadership.progress:
             return False
         self.replicate(message.sender)
         return True
 
-    def _on_refusal(self, message: AppendResponse, progress: PeerProgress) -> None:
-        """Go back to where the logs may agree."""
+    def _on_rejection(self, message: AppendResponse, progress: PeerProgress) -> None:
+        """Move next_index back to where the logs may match, and probe from there."""
         is_outdated = message.prev_index < progress.match_index or not message.heartbeat_round
         if is_outdated or progress.snapshot is not None:
             return
         next_index = max(progress.match_index + 1, min(message.prev_index, message.received_index + 1))
         if progress.probing and next_index == progress.next_index:
-            # Guards against a storm of messages with a member that refuses the same append again and again:
-            # the next heartbeat asks it.
+            # Prevents a message storm with a member that keeps rejecting the same append: the next heartbeat
+            # sends the probe again.
             return
         progress.next_index = next_index
         progress.probing = True
@@ -164,7 +164,7 @@
     # --- commit ---------------------------------------------------------------------------------------
 
     def advance_commit(self) -> None:
-        """COMMIT: commit up to the highest index of the own term that a majority has synced."""
+        """COMMIT: commit up to the highest index of the leader's own term that a majority has synced."""
         state = self.state
         if not state.is_leader:
             return
@@ -176,10 +176,10 @@
         if is_first_of_term:
             self._on_own_term_committed()
         if not state.is_voter and state.log.membership_index <= index:
-            self._roles.step_down("no member any more")
+            self._roles.step_down("removed from the voters")
 
     def majority_index(self) -> int:
-        """The highest index that a majority of the voters has synced."""
+        """Return the highest index that a majority of the voters has synced."""
         state = self.state
         synced_indexes = [
             state.durable_index if voter == state.me else state.leadership.progress[voter].match_index
--- a/harriertide/consensus/roles.py
+++ b/harriertide/consensus/roles.py
@@ -1,4 +1,4 @@
-"""Changes of role: follower, candidate, leader, halted; what each change clears, and in which order."""
+"""Role transitions between follower, candidate, leader and halted, with the state that each one resets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class InvariantViolationError(Exception):
-    """An invariant of the protocol does not hold on this member: it must not go on."""
+    """A protocol invariant is violated on this member, which must halt."""
 
 
 class Roles:
@@ -21,9 +21,9 @@
         self._outbox = outbox
 
     def become_follower(self, term: int, leader: Member | None) -> None:
-        """Follow in this term, which may be newer than the present one.
+        """Become a follower in a term that is the current one or a newer one.
 
-        :param leader: of that term, None while it is not known
+        :param leader: the leader of that term, None while unknown
         """
         state = self._state
         was_leader = state.is_leader
@@ -44,12 +44,12 @@
         state.leader = leader
 
     def step_down(self, reason: str) -> None:
-        """Stop leading, without having heard of a newer term."""
+        """Give up leadership without having received a newer term."""
         self._outbox.log(LogEvent.STEPPED_DOWN, reason)
         self.become_follower(self._state.term, None)
 
     def accept_leader(self, message: AppendRequest | SnapshotChunk) -> None:
-        """Follow the sender of an append or a chunk of the present term."""
+        """Follow the sender of an append or a snapshot chunk of the current term."""
         state = self._state
         if state.role == Role.LEADER:
             raise InvariantViolationError(f"ELECTION: {message.sender} leads term {state.term} too")
@@ -61,7 +61,7 @@
             state.reset_election_timeout()
 
     def become_candidate(self, phase: CampaignPhase) -> None:
-        """Campaign, without a leader. A vote (not a pre-vote) begins a new term with the own vote."""
+        """Start a pre-vote, or start an election: enter the next term and vote for this member."""
         state = self._state
         state.role = Role.CANDIDATE
         state.leader = None
@@ -73,11 +73,11 @@
         if phase == CampaignPhase.VOTE:
             state.term += 1
             state.voted_for = state.me
-            self._outbox.persist(term_changed=True)  # ELECTION: the own vote counts once this is synced
+            self._outbox.persist(term_changed=True)  # ELECTION: the own vote counts once synced
         self._outbox.log(LogEvent.CAMPAIGNS, phase.value)
 
     def become_leader(self) -> None:
-        """Lead the present term."""
+        """Become the leader of the current term."""
         state = self._state
         state.role = Role.LEADER
         state.leader = state.me
@@ -87,7 +87,7 @@
         self._outbox.log(LogEvent.LEADS)
 
     def halt(self, reason: str) -> None:
-        """Take no part in the protocol until the process is started again."""
+        """Stop taking part in the protocol until the process restarts."""
         self._outbox.log(LogEvent.HALTED, reason)
         self._abort_reads()
         self._state.role = Role.HALTED
--- a/harriertide/consensus/sessions.py
+++ b/harriertide/consensus/sessions.py
@@ -1,6 +1,6 @@
-"""Sessions of clients: each command takes effect once, however often it was proposed (Ongaro 2014, 6.3).
+"""Client sessions: each command takes effect once, however often it is proposed (Ongaro 2014, 6.3).
 
-Answers are kept with the state, so all members have the same by the order of the log.
+Answers are part of the replicated state, so all members hold the same answers at the same log index.
 """
 
 from __future__ import annotations
@@ -9,24 +9,24 @@
 
 from msgspec import msgpack
 
-# Clients that are kept, by their last use, and answers of each: bounds what sessions add to a snapshot. A
-# client repeats its latest calls only, and a fleet has 200 brokers, one client a process.
-CLIENT_COUNT = 1024
-ANSWER_COUNT = 64
-FORGOTTEN_ANSWER = b"\xa9forgotten"  # msgpack of the word: the command is so old that its answer is dropped
+# Most recently used clients and latest answers per client that are kept: bounds the sessions in a snapshot. A
+# client repeats only its latest calls, and a fleet has 200 brokers with one client per process.
+MAX_CLIENT_COUNT = 1024
+MAX_ANSWERS_PER_CLIENT = 64
+FORGOTTEN_ANSWER = b"\xa9forgotten"  # msgpack string: the answer to this old command was dropped
 
 
 class Sessions:
-    """Answers to the latest commands of each client."""
+    """The answers to the latest commands of each client."""
 
     def __init__(self) -> None:
-        self._answers: dict[str, dict[int, bytes]] = {}  # by client, the last used last; by serial
-        self._forgotten_serials: dict[str, int] = {}  # by client: the answers up to this serial are dropped
+        self._answers: dict[str, dict[int, bytes]] = {}  # by client in order of last use, then by serial
+        self._forgotten_serials: dict[str, int] = {}  # by client: the highest serial with a dropped answer
 
     def apply_once(self, client: str, serial: int, apply: Callable[[], bytes]) -> tuple[bytes, bool]:
         """Apply a command unless it was applied before.
 
-        :returns: the answer, and whether the command was applied now
+        :returns: the answer, and whether this call applied the command
         """
         answers = self._answers.pop(client, {})
         self._answers[client] = answers
@@ -41,27 +41,27 @@
 
     def _forget_answers(self, client: str) -> None:
         answers = self._answers[client]
-        while len(answers) > ANSWER_COUNT:
-            oldest = min(answers)
-            self._forgotten_serials[client] = max(self._forgotten_serials.get(client, 0), oldest)
-            del answers[oldest]
+        while len(answers) > MAX_ANSWERS_PER_CLIENT:
+            oldest_serial = min(answers)
+            self._forgotten_serials[client] = max(self._forgotten_serials.get(client, 0), oldest_serial)
+            del answers[oldest_serial]
 
     def _forget_clients(self) -> None:
-        while len(self._answers) > CLIENT_COUNT:
-            longest_unused = next(iter(self._answers))
-            del self._answers[longest_unused]
-            self._forgotten_serials.pop(longest_unused, None)
+        while len(self._answers) > MAX_CLIENT_COUNT:
+            least_recent_client = next(iter(self._answers))
+            del self._answers[least_recent_client]
+            self._forgotten_serials.pop(least_recent_client, None)
 
     def find(self, client: str, serial: int) -> bytes | None:
-        """The answer to a command, None where it was not applied or its answer is dropped."""
+        """Return the answer to a command; None if the command was not applied or its answer was dropped."""
         return self._answers.get(client, {}).get(serial)
 
     def dump(self) -> bytes:
-        """All sessions, as a snapshot carries them."""
+        """Encode all sessions for a snapshot."""
         return msgpack.encode((list(self._answers.items()), self._forgotten_serials))
 
     def load(self, data: bytes) -> None:
-        """Replace all sessions by a dump."""
+        """Replace all sessions with those of a dump."""
         answers, forgotten_serials = msgpack.decode(
             data, type=tuple[list[tuple[str, dict[int, bytes]]], dict[str, int]]
         )
--- a/harriertide/consensus/snapshots.py
+++ b/harriertide/consensus/snapshots.py
@@ -1,5 +1,5 @@
-"""Snapshots: replacing the log by a dump of the state machine, and sending it in chunks to a member whose log
-is too far behind (InstallSnapshot; Ongaro 2014, chapter 5).
+"""Snapshots: compacting the log, and sending the snapshot in chunks to a member that needs compacted entries
+(InstallSnapshot; Ongaro 2014, chapter 5).
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 
 def compact_log(state: RaftState, outbox: Outbox, event: ev.SnapshotTaken) -> None:
-    """Replace the log up to an index by a dump of the state machine.
+    """Replace the log up to an index with a snapshot of the state machine.
 
-    Ignored where the index is not committed, or covered by a snapshot already.
+    Does nothing if the index is not committed or a snapshot covers the index already.
     """
     term = state.log.term_at(event.index)
     if term is None or event.index <= state.log.base_index or event.index > state.commit_index:
@@ -35,14 +35,14 @@
 
 
 class SnapshotSender:
-    """As leader: sends the snapshot, one chunk for each response."""
+    """Sends the leader's snapshot to a member, one chunk per response."""
 
     def __init__(self, state: RaftState, outbox: Outbox) -> None:
         self._state = state
         self._outbox = outbox
 
     def start(self, member: Member, progress: PeerProgress) -> None:
-        """Send the present snapshot to a member, from its first chunk on."""
+        """Start sending the latest snapshot to a member, beginning with the first chunk."""
         progress.snapshot = self._state.snapshot
         progress.offset = 0
         self.send_chunk(member, progress)
@@ -56,18 +56,18 @@
         self._send(member, progress, data)
 
     def send_heartbeat(self, member: Member, progress: PeerProgress) -> None:
-        """Send a chunk without data, so that the member hears its leader."""
+        """Send a chunk without data as a heartbeat."""
         self._send(member, progress, b"")
 
     def resend_if_lost(self, member: Member, progress: PeerProgress) -> None:
-        """Send a chunk again whose response is overdue by two heartbeats."""
+        """Resend the current chunk if its response is missing for two heartbeat intervals."""
         if progress.snapshot is None:
             return
         if self._state.now_us - progress.chunk_sent_us > 2 * self._state.tuning.heartbeat_us:
             self.send_chunk(member, progress)
 
     def on_chunk_response(self, message: SnapshotChunkResponse, progress: PeerProgress) -> None:
-        """Send the chunk that the member asks for: the next one, or an earlier one that was lost."""
+        """Send the chunk at the offset that the member requests: the next chunk, or a lost one again."""
         if progress.snapshot is None or progress.snapshot.index != message.snapshot_index:
             return
         if message.offset != progress.offset:
@@ -96,7 +96,7 @@
 
 
 class SnapshotReceiver:
-    """As follower: puts the chunks together and installs the snapshot."""
+    """Assembles the chunks on a follower and installs the snapshot."""
 
     def __init__(self, state: RaftState, outbox: Outbox, roles: Roles) -> None:
         self._state = state
@@ -104,11 +104,11 @@
         self._roles = roles
 
     def on_chunk(self, message: SnapshotChunk) -> None:
-        """Take a chunk: the response says which one comes next, or that the snapshot is here."""
+        """Process a chunk: the response requests the next chunk or acknowledges the complete snapshot."""
         self._roles.accept_leader(message)
         state = self._state
         if message.snapshot_index <= state.commit_index:
-            # The log reaches at least as far: the leader goes on with appends once it knows.
+            # The log covers the snapshot: this response makes the leader continue with appends.
             match_index = min(message.snapshot_index, state.durable_index)
             self._outbox.send_when_term_durable(self._append_response(message, match_index))
             return
@@ -116,33 +116,33 @@
         if snapshot is None:
             self._outbox.send_when_term_durable(self._chunk_response(message))
             return
-        state.incoming = IncomingSnapshot()
+        state.incoming_snapshot = IncomingSnapshot()
         self._install(snapshot)
-        # A promise that the snapshot is here: not before it is synced.
+        # Acknowledges the snapshot, so the response must wait until the snapshot is synced.
         self._outbox.send_when_durable(self._append_response(message, message.snapshot_index))
 
     def _add_chunk(self, message: SnapshotChunk) -> Snapshot | None:
-        """Add a chunk that comes next.
+        """Add a chunk if it is the next one.
 
-        :returns: the snapshot, once all of it is here and its checksum is right
+        :returns: the snapshot once it is complete and its checksum matches, None otherwise
         """
         key = (message.snapshot_index, message.snapshot_term, message.checksum)
-        if self._state.incoming.key != key:
-            self._state.incoming = IncomingSnapshot(key)
-        incoming = self._state.incoming
-        if not incoming.add_chunk(message.offset, message.data, message.total_bytes):
+        if self._state.incoming_snapshot.key != key:
+            self._state.incoming_snapshot = IncomingSnapshot(key)
+        incoming_snapshot = self._state.incoming_snapshot
+        if not incoming_snapshot.add_chunk(message.offset, message.data, message.total_bytes):
             return None
-        data = incoming.take_data(message.checksum)
+        data = incoming_snapshot.take_data(message.checksum)
         if data is None:
-            # A chunk was damaged on its way, nobody knows which: the response asks for all from the start.
-            self._outbox.log(LogEvent.SNAPSHOT, "damaged on its way")
+            # It is unknown which chunk was corrupted, so the response requests the snapshot from the start.
+            self._outbox.log(LogEvent.SNAPSHOT, "checksum mismatch")
             return None
         return Snapshot(
             message.snapshot_index, message.snapshot_term, message.members, data, message.checksum
         )
 
     def _install(self, snapshot: Snapshot) -> None:
-        """Replace the log up to the leader's snapshot by it; the whole log where that differs."""
+        """Install the leader's snapshot and discard the log it covers, or the whole log on a conflict."""
         state = self._state
         truncate_from = 0
         if state.log.term_at(snapshot.index) == snapshot.term:
@@ -169,6 +169,6 @@
             to=message.sender,
             term=state.term,
             snapshot_index=message.snapshot_index,
-            offset=len(state.incoming.data),
+            offset=len(state.incoming_snapshot.data),
             heartbeat_round=message.heartbeat_round,
         )
--- a/harriertide/consensus/state.py
+++ b/harriertide/consensus/state.py
@@ -1,7 +1,7 @@
-"""All that a Raft node knows, as plain data.
+"""The entire state of a Raft node, as plain data.
 
-The modules of the protocol share one RaftState and own no other state, so a node on a copy of it behaves as
-the original would. The state search of the lab relies on that.
+The protocol modules share one RaftState and hold no other state, so a node on a copy of the RaftState behaves
+like the original. The model checker of the lab relies on this.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 from harriertide.consensus.events import RestoredState, Tuning
 from harriertide.consensus.log import Log
-from harriertide.consensus.messages import NO_MEMBERS, Member, Membership, Message, Snapshot
+from harriertide.consensus.messages import EMPTY_MEMBERSHIP, Member, Membership, Message, Snapshot
 
 
 def moving_average(average: float, sample: float, weight: float) -> float:
-    """The exponentially weighted moving average with a further sample; 0 stands for no sample so far."""
+    """Add a sample to an exponentially weighted moving average; an average of 0 means no sample so far."""
     return (1 - weight) * average + weight * sample if average else float(sample)
 
 
 class Role(StrEnum):
-    """What a node is at present."""
+    """Role of a node in the current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
-    HALTED = "halted"  # after a failed sync or a broken invariant, until the process is started again
+    HALTED = "halted"  # after a failed sync or an invariant violation, until the process restarts
 
 
 class CampaignPhase(StrEnum):
-    """What a candidate asks for."""
+    """Phase of a candidate's campaign."""
 
     NONE = ""
     PRE_VOTE = "pre"
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True)
 class Campaign:
-    """A candidate's election.
+    """A candidate's campaign.
 
-    :param term: that it campaigns for: of a pre-vote the next one, not entered yet
-    :param votes: granted, by voter
-    :param by_transfer: the leader itself asked for this election
+    :param term: the term of the election; a pre-vote is for the next term, which is not entered yet
+    :param votes: whether each voter has granted its vote
+    :param by_transfer: the leader requested this election through a leadership transfer
     """
 
     phase: CampaignPhase = CampaignPhase.NONE
@@ -62,15 +62,15 @@
 
 @dataclass(slots=True)
 class PeerProgress:
-    """What a leader knows of another member.
-
-    :param next_index: of the next entry to send
-    :param match_index: up to where the member's log is known to agree and to be synced
-    :param probing: next_index is a guess: one append at a time, until one is accepted
-    :param probe_sent: the append of this heartbeat interval was sent
-    :param inflight: last indexes of the appends without a response
-    :param snapshot: that the member is being sent, as its log is behind the leader's first entry
-    :param offset: of the next chunk of the snapshot
+    """A leader's view of another member's replication progress.
+
+    :param next_index: index of the next entry to send
+    :param match_index: highest index up to which the member's log is known to match and to be synced
+    :param probing: next_index is unconfirmed, so one append at a time is sent until one is accepted
+    :param probe_sent: an append was sent in this heartbeat interval
+    :param inflight: last entry index of each append that has no response yet
+    :param snapshot: the snapshot being sent to a member that needs entries the leader's log no longer holds
+    :param offset: byte offset of the next snapshot chunk
     """
 
     next_index: int
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that waits until a majority has answered a heartbeat round sent after it was requested."""
+    """A read that waits for a majority to answer a heartbeat round started after the read was requested."""
 
     heartbeat_round: int
     number: int
@@ -98,13 +98,13 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """What a node needs while it leads.
+    """State that a node keeps while it is the leader.
 
-    :param heartbeat_round: number of the latest round of heartbeats
-    :param round_sent_us: when each of the latest rounds was sent
-    :param term_start_index: of the first entry of the leader's own term
-    :param deferred_reads: numbers of reads requested before an entry of the own term was committed
-    :param transfer_target: the member that is to take leadership over; None where no transfer is under way
+    :param heartbeat_round: number of the latest heartbeat round
+    :param round_sent_us: time at which each of the latest rounds was sent
+    :param term_start_index: index of the first entry of the leader's own term
+    :param deferred_reads: numbers of reads requested before an entry of the leader's own term was committed
+    :param transfer_target: the member that leadership is being transferred to, None without a transfer
     """
 
     progress: dict[Member, PeerProgress] = field(default_factory=dict)
@@ -119,7 +119,7 @@
     last_slow_disk_transfer_us: int = 0
 
     def begin(self, term_start_index: int) -> None:
-        """Start a term as leader, with nothing known of the others."""
+        """Start a term as leader, with no progress known for the other members."""
         self.progress = {}
         self.heartbeat_round = 0
         self.round_sent_us = {}
@@ -132,7 +132,7 @@
         self.transfer_target = None
 
     def copy(self) -> Leadership:
-        """An independent copy."""
+        """Return an independent copy."""
         return replace(
             self,
             progress={
@@ -147,7 +147,10 @@
 
 @dataclass(slots=True)
 class PendingPersist:
-    """A Persist whose sync is not done. last_index: of the log, as far as this write makes it durable."""
+    """A Persist that is not synced yet.
+
+    :param last_index: the log is durable up to this index once the Persist is synced
+    """
 
     number: int
     last_index: int
@@ -155,43 +158,46 @@
 
 @dataclass(slots=True)
 class DiskProgress:
-    """What was given to the disk, and what of it is synced.
-
-    :param term_number: number of the Persist that holds the present term and vote
-    :param waiting: messages that promise what is not durable yet, with the Persist that each waits for
-    :param sync_us: how long a sync takes, smoothed; 0 before the first one was measured
+    """Which Persist effects were issued, and which of them are synced.
+
+    :param last_persist_number: number of the latest Persist
+    :param synced_persist_number: number of the latest synced Persist
+    :param term_persist_number: number of the Persist that holds the current term and vote
+    :param waiting_messages: messages that depend on unsynced data, each with the number of the Persist to
+        wait for
+    :param sync_us: moving average of sync times; 0 until a sync time is known
     """
 
-    last_number: int = 0
-    synced_number: int = 0
-    term_number: int = 0
-    pending: deque[PendingPersist] = field(default_factory=deque)
-    waiting: deque[tuple[int, Message]] = field(default_factory=deque)
+    last_persist_number: int = 0
+    synced_persist_number: int = 0
+    term_persist_number: int = 0
+    pending_persists: deque[PendingPersist] = field(default_factory=deque)
+    waiting_messages: deque[tuple[int, Message]] = field(default_factory=deque)
     sync_us: float = 0.0
 
     @property
     def is_term_durable(self) -> bool:
-        """Whether the present term and vote are synced."""
-        return self.synced_number >= self.term_number
+        """Whether the current term and vote are synced."""
+        return self.synced_persist_number >= self.term_persist_number
 
     def copy(self) -> DiskProgress:
-        """An independent copy."""
-        pending = deque(replace(persist) for persist in self.pending)
-        return replace(self, pending=pending, waiting=deque(self.waiting))
+        """Return an independent copy."""
+        pending_persists = deque(replace(persist) for persist in self.pending_persists)
+        return replace(self, pending_persists=pending_persists, waiting_messages=deque(self.waiting_messages))
 
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot that arrives in chunks.
+    """A snapshot that is being received in chunks.
 
-    :param key: index, checksum and the like, which tell it from another one; None where none is coming
+    :param key: index, checksum and further values that identify the snapshot; None before the first chunk
     """
 
     key: tuple[int, ...] | None = None
     data: bytearray = field(default_factory=bytearray)
 
     def add_chunk(self, offset: int, data: bytes, total_bytes: int) -> bool:
-        """Add a chunk if it is the next one.
+        """Add a chunk if it starts where the received data ends.
 
         :returns: whether the snapshot is complete
         """
@@ -200,10 +206,10 @@
         return len(self.data) >= total_bytes
 
     def take_data(self, checksum: int) -> bytes | None:
-        """Take the complete data, so that the next chunk has to be the first one again.
+        """Take the complete data and reset the buffer, so that the next chunk must start at offset 0.
 
-        :param checksum: xxh3 of the snapshot's whole data
-        :returns: None where a chunk was damaged on its way
+        :param checksum: xxh3 checksum of the complete snapshot data
+        :returns: the data, or None on a checksum mismatch
         """
         data = bytes(self.data)
         self.data = bytearray()
@@ -212,14 +218,14 @@
 
 @dataclass(slots=True)
 class RaftState:
-    """The state that the modules of the protocol share.
-
-    :param commit_index: highest index known to be committed
-    :param durable_index: up to where the log is synced on this disk
-    :param leader: from whom appends of this term come; on the leader itself: this member
-    :param leader_contact_us: when a leader was last heard, or this node last voted or campaigned
-    :param election_timeout_us: as the leader measures it; at the start the least that the settings allow
-    :param randomized_election_timeout_us: between one timeout and two: how long until this node campaigns
+    """The state that the protocol modules share.
+
+    :param commit_index: highest log index known to be committed
+    :param durable_index: highest log index synced on this disk
+    :param leader: leader of the current term, this member itself included; None while unknown
+    :param leader_contact_us: time of the last message from a leader, or of the last granted vote or campaign
+    :param election_timeout_us: the timeout announced by the leader; at startup the minimum of the tuning
+    :param randomized_election_timeout_us: delay before this node campaigns, one to two election timeouts
     """
 
     me: Member
@@ -241,18 +247,18 @@
     campaign: Campaign = field(default_factory=Campaign)
     leadership: Leadership = field(default_factory=Leadership)
     disk: DiskProgress = field(default_factory=DiskProgress)
-    incoming: IncomingSnapshot = field(default_factory=IncomingSnapshot)
+    incoming_snapshot: IncomingSnapshot = field(default_factory=IncomingSnapshot)
 
     @classmethod
     def restore(
         cls, me: Member, tuning: Tuning, restored: RestoredState, random: Random, now_us: int
     ) -> RaftState:
-        """The state of a follower that starts on what its disk holds.
+        """Create the state of a follower from what is restored from its disk.
 
-        :param random: for election timeouts
+        :param random: draws the election timeouts
         """
         snapshot = restored.snapshot
-        base_index, base_term, base_members = 0, 0, NO_MEMBERS
+        base_index, base_term, base_members = 0, 0, EMPTY_MEMBERSHIP
         if snapshot is not None:
             base_index, base_term, base_members = snapshot.index, snapshot.term, snapshot.members
         log = Log(base_index, base_term, base_members, restored.entries)
@@ -281,7 +287,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads."""
+        """Whether this member is the leader."""
         return self.role == Role.LEADER
 
     @property
@@ -291,36 +297,37 @@
 
     @property
     def has_committed_own_term(self) -> bool:
-        """As leader: an entry of its own term is committed.
+        """Whether this member is the leader and has committed an entry of its own term.
 
-        Until then a leader does not know what is committed: it confirms no reads and changes no members.
+        Until then a leader does not know which entries are committed, so it confirms no reads and ignores
+        membership changes.
         """
         return self.is_leader and self.commit_index >= self.leadership.term_start_index
 
     @property
     def campaign_at_us(self) -> int:
-        """When this voter campaigns if it hears no leader before."""
+        """Time at which this voter campaigns unless it hears from a leader earlier."""
         return self.leader_contact_us + self.randomized_election_timeout_us
 
     def reset_election_timeout(self) -> None:
-        """Draw the randomized election timeout anew, so that few members campaign at once."""
+        """Draw a new randomized election timeout, so that members rarely campaign at the same time."""
         minimum_us, maximum_us = self.election_timeout_us, 2 * self.election_timeout_us
         self.randomized_election_timeout_us = self.random.randint(minimum_us, maximum_us)
 
     def is_peer_connected(self, member: Member) -> bool:
-        """As leader: another member has answered within two election timeouts."""
+        """Whether another member has answered this leader within two election timeouts."""
         progress = self.leadership.progress.get(member)
         if progress is None:
             return False
         return self.now_us - progress.last_contact_us <= 2 * self.election_timeout_us
 
     def copy(self) -> RaftState:
-        """An independent copy, except that the random generator is shared."""
+        """Return an independent copy that shares only the random generator."""
         return replace(
             self,
             log=self.log.copy(),
             campaign=replace(self.campaign, votes=dict(self.campaign.votes)),
             leadership=self.leadership.copy(),
             disk=self.disk.copy(),
-            incoming=replace(self.incoming, data=bytearray(self.incoming.data)),
+            incoming_snapshot=replace(self.incoming_snapshot, data=bytearray(self.incoming_snapshot.data)),
         )
--- a/harriertide/consensus/transfer.py
+++ b/harriertide/consensus/transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of leadership (Ongaro 2014, 3.10): by request, or by a leader whose disk is slow."""
+"""Leadership transfer (Ongaro 2014, 3.10), on request or because the leader's disk is slow."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 from harriertide.consensus.replication import Replication
 from harriertide.consensus.state import RaftState
 
-SLOW_DISK_TRANSFER_INTERVAL_US = 5_000_000  # between two of them: leadership does not wander among slow disks
-SLOW_DISK_RATIO = 4  # to the median of the others' syncs: where all disks are slow nobody does better
-SYNC_CLASS_US = 50_000  # syncs that differ by less count as alike when a target is chosen
+SLOW_DISK_TRANSFER_INTERVAL_US = 5_000_000  # minimum; keeps leadership from moving among slow disks
+SLOW_DISK_RATIO = 4  # to the median of the other voters: if all disks are slow, a transfer gains nothing
+SYNC_TIME_BUCKET_US = 50_000  # the choice of a target treats sync times in one bucket as equal
 
 
 class LeadershipTransfer:
-    """The leader brings its target up to date and has it campaign; proposals wait meanwhile."""
+    """Brings the target's log up to date and tells the target to campaign.
+
+    The leader ignores proposals and membership changes during a transfer.
+    """
 
     def __init__(self, state: RaftState, outbox: Outbox, replication: Replication) -> None:
         self._state = state
@@ -24,7 +27,10 @@
         self._replication = replication
 
     def start(self, target: Member | None) -> None:
-        """Transfer leadership to a voter; None: to the one with the quickest disk and the longest log."""
+        """Transfer leadership to a voter.
+
+        :param target: None selects the connected voter with the fastest disk, then the longest log
+        """
         state = self._state
         if not state.is_leader:
             return
@@ -48,23 +54,23 @@
 
         def preference(voter: Member) -> tuple[int, int]:
             progress = progress_of[voter]
-            return progress.sync_us // SYNC_CLASS_US, -progress.match_index
+            return progress.sync_us // SYNC_TIME_BUCKET_US, -progress.match_index
 
         return min(connected, key=preference, default=None)
 
     def on_member_accepted(self, member: Member) -> None:
-        """Have the target campaign once its log holds all of the leader's."""
+        """Tell the target to campaign once its log matches the leader's."""
         if member == self._state.leadership.transfer_target and self._is_caught_up(member):
             self._send_timeout_now(member)
 
     def expire(self) -> None:
-        """End a transfer whose target has not taken over in time, and keep leading."""
+        """Abort a transfer whose deadline has passed; this node remains the leader."""
         leadership = self._state.leadership
         if leadership.transfer_target is not None and self._state.now_us >= leadership.transfer_deadline_us:
             leadership.transfer_target = None
 
     def start_if_disk_is_slow(self) -> None:
-        """Leave leadership to a member with a quicker disk: each commit would wait for this one's sync."""
+        """Transfer leadership to a voter with a faster disk, as a slow leader disk delays every commit."""
         state = self._state
         leadership = state.leadership
         since_last_us = state.now_us - leadership.last_slow_disk_transfer_us
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -15,7 +15,12 @@
     SnapshotChunk,
     encode_membership,
 )
-from harriertide.consensus.sessions import ANSWER_COUNT, CLIENT_COUNT, FORGOTTEN_ANSWER, Sessions
+from harriertide.consensus.sessions import (
+    FORGOTTEN_ANSWER,
+    MAX_ANSWERS_PER_CLIENT,
+    MAX_CLIENT_COUNT,
+    Sessions,
+)
 from harriertide.control.wire import decode_message, encode_message
 from harriertide.lab.checkers.linearizability_checker import Operation, is_linearizable
 from harriertide.lab.model_checker.scenarios import SEARCHES, SEEDED_BUG_SEARCHES, search
@@ -350,16 +355,19 @@
 
 def test_sessions_forget_in_order_and_alike() -> None:
     one = Sessions()
-    for serial in range(1, ANSWER_COUNT + 3):
+    for serial in range(1, MAX_ANSWERS_PER_CLIENT + 3):
         assert one.apply_once("c", serial, lambda serial=serial: b"%d" % serial)[1]  # type: ignore[misc]
     assert one.apply_once("c", 1, lambda: b"again") == (FORGOTTEN_ANSWER, False)
-    assert one.apply_once("c", ANSWER_COUNT, lambda: b"again") == (b"%d" % ANSWER_COUNT, False)
+    assert one.apply_once("c", MAX_ANSWERS_PER_CLIENT, lambda: b"again") == (
+        b"%d" % MAX_ANSWERS_PER_CLIENT,
+        False,
+    )
     two = Sessions()
     two.load(one.dump())
     assert two.dump() == one.dump()
-    for number in range(CLIENT_COUNT):
+    for number in range(MAX_CLIENT_COUNT):
         one.apply_once(f"x{number}", 1, lambda: b"")
-    assert one.find("c", ANSWER_COUNT) is None and one.find("x0", 1) is not None
+    assert one.find("c", MAX_ANSWERS_PER_CLIENT) is None and one.find("x0", 1) is not None
 
 
 def test_the_check_of_histories_tells_possible_from_impossible() -> None:
--- a/tests/test_raft_parts.py
+++ b/tests/test_raft_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the Raft node alone, over a state that the test sets up."""
+"""Unit tests of the Raft modules on states that the tests set up."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 from harriertide.consensus.state import RaftState
 
 A, B, C = Member("a", "a1"), Member("b", "b1"), Member("c", "c1")
-ALL = Membership((A, B, C))
-BOOTSTRAP_ENTRY = Entry(1, 1, "members", encode_membership(ALL))
+MEMBERSHIP = Membership((A, B, C))
+BOOTSTRAP_ENTRY = Entry(1, 1, "members", encode_membership(MEMBERSHIP))
 
 
-def restored(*entries: Entry, term: int = 1, voted_for: Member | None = None) -> RaftState:
-    """A follower of three that starts on its disk."""
-    found = ev.RestoredState("c", term, voted_for, None, (BOOTSTRAP_ENTRY, *entries))
-    return RaftState.restore(A, Tuning(), found, Random(0), 0)
+def restored_follower(*entries: Entry, term: int = 1, voted_for: Member | None = None) -> RaftState:
+    """Return the state of a follower in a cluster of three, restored from its disk."""
+    restored = ev.RestoredState("c", term, voted_for, None, (BOOTSTRAP_ENTRY, *entries))
+    return RaftState.restore(A, Tuning(), restored, Random(0), 0)
 
 
 def command(index: int, term: int = 1) -> Entry:
     return Entry(index, term, "command", b"x", "client", index)
 
 
-def sent(effects: list[ev.Effect]) -> list[object]:
+def sent_messages(effects: list[ev.Effect]) -> list[object]:
     return [effect.message for effect in effects if isinstance(effect, ev.SendMessage)]
 
 
-def leading() -> RaftNode:
-    """A leader of three that has committed an entry of its own term."""
-    node = RaftNode(restored())
+def elected_leader() -> RaftNode:
+    """Return a leader in a cluster of three that has not committed an entry of its own term yet."""
+    node = RaftNode(restored_follower())
     node.step(0, ev.ElectionTimedOut())
     node.step(0, ev.MessageReceived(VoteResponse("c", B, A, 2, True, True)))
     node.step(0, ev.Synced(1))
@@ -65,44 +65,44 @@
     return node
 
 
-def test_a_vote_is_sent_only_once_it_is_on_the_disk() -> None:
-    """A voter crashes between its answer and the sync: it would vote a second time in that term."""
-    state = restored()
+def test_vote_is_sent_only_after_it_is_synced() -> None:
+    """A voter that answers before the sync and then crashes would vote a second time in the same term."""
+    state = restored_follower()
     outbox = Outbox(state)
     election = Election(state, outbox, Roles(state, outbox))
     election.on_vote_request(VoteRequest("c", B, A, 2, 1, 1))
     effects = outbox.take_effects()
     persists = [effect for effect in effects if isinstance(effect, ev.Persist)]
-    assert persists[-1].voted_for == B and not sent(effects)
+    assert persists[-1].voted_for == B and not sent_messages(effects)
     assert outbox.on_synced(ev.Synced(persists[-1].number))
-    assert [type(message) for message in sent(outbox.take_effects())] == [VoteResponse]
+    assert [type(message) for message in sent_messages(outbox.take_effects())] == [VoteResponse]
 
 
-def test_a_member_votes_once_a_term() -> None:
-    """Two candidates of one term ask the same voter, before and after its restart."""
-    state = restored(term=2, voted_for=B)
+def test_member_votes_once_per_term() -> None:
+    """A voter restarts after voting for one candidate, then both candidates of the term request its vote."""
+    state = restored_follower(term=2, voted_for=B)
     outbox = Outbox(state)
     election = Election(state, outbox, Roles(state, outbox))
     for candidate, granted in ((C, False), (B, True)):
         election.on_vote_request(VoteRequest("c", candidate, A, 2, 1, 1))
-        (answer,) = sent(outbox.take_effects())
-        assert isinstance(answer, VoteResponse) and answer.granted is granted
+        (response,) = sent_messages(outbox.take_effects())
+        assert isinstance(response, VoteResponse) and response.granted is granted
 
 
-def test_a_voter_that_hears_a_leader_refuses_and_names_it() -> None:
-    """A member that was cut off campaigns; the others still hear their leader."""
-    state = restored()
+def test_voter_with_live_leader_rejects_vote_request_and_names_leader() -> None:
+    """A partitioned member campaigns while the other members still hear from their leader."""
+    state = restored_follower()
     state.leader = C
     outbox = Outbox(state)
     Election(state, outbox, Roles(state, outbox)).on_vote_request(VoteRequest("c", B, A, 9, 9, 9, True))
-    (answer,) = sent(outbox.take_effects())
-    assert isinstance(answer, VoteResponse) and not answer.granted and answer.leader == "c"
+    (response,) = sent_messages(outbox.take_effects())
+    assert isinstance(response, VoteResponse) and not response.granted and response.leader == "c"
     assert state.term == 1
 
 
-def test_a_sync_of_an_entry_that_was_replaced_counts_for_nothing() -> None:
-    """The disk is slow: an entry is truncated and another one takes its index before its sync is reported."""
-    state = restored()
+def test_sync_of_truncated_entry_does_not_make_its_replacement_durable() -> None:
+    """On a slow disk, an entry is truncated and replaced before its sync is reported."""
+    state = restored_follower()
     outbox = Outbox(state)
     state.log.append(command(2))
     outbox.persist(entries=(command(2),))
@@ -116,9 +116,9 @@
     assert state.durable_index == 2
 
 
-def test_a_leader_that_would_change_a_committed_entry_is_a_broken_invariant() -> None:
-    """COMPLETE: better no member than one that takes back what clients were told."""
-    state = restored(command(2))
+def test_append_that_replaces_committed_entry_violates_completeness() -> None:
+    """COMPLETE: a member halts rather than replace an entry whose result clients may have received."""
+    state = restored_follower(command(2))
     state.commit_index = 2
     outbox = Outbox(state)
     receiver = AppendReceiver(state, outbox, Roles(state, outbox))
@@ -126,8 +126,8 @@
         receiver.on_append_request(AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000))
 
 
-class Unchanged:
-    """A state machine without a state."""
+class StatelessMachine:
+    """A state machine without state."""
 
     def apply(self, index: int, data: bytes) -> bytes:
         return b""
@@ -139,65 +139,65 @@
         pass
 
 
-def test_a_member_that_halts_after_a_broken_invariant_names_the_invariant() -> None:
-    """An operator reads why a member is out of the agreement: its disk is not to blame for this."""
+def test_halt_after_invariant_violation_names_the_invariant() -> None:
+    """Operators need to tell an invariant violation from a disk failure when a member halts."""
     disk = ev.RestoredState("c", 1, None, None, (BOOTSTRAP_ENTRY, command(2)))
-    replica = Replica(A, Unchanged(), Tuning(), disk, Random(0), 0)
+    replica = Replica(A, StatelessMachine(), Tuning(), disk, Random(0), 0)
     replica.step(0, ev.MessageReceived(AppendRequest("c", B, A, 1, 2, 1, (), 2, 1, 400_000)))
-    changed = AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000)
-    effects = replica.step(0, ev.MessageReceived(changed))
+    conflicting = AppendRequest("c", B, A, 1, 1, 1, (command(2, term=3),), 2, 1, 400_000)
+    effects = replica.step(0, ev.MessageReceived(conflicting))
     lines = {line.event: line.detail for line in effects if isinstance(line, ev.LogLine)}
     assert set(lines) == {"halted", "broken"}
     assert all(detail.startswith("COMPLETE: entry 2") for detail in lines.values()), lines
     assert replica.node.role == "halted" and not replica.step(0, ev.Tick())
 
 
-def test_a_truncated_membership_falls_back_to_the_one_before() -> None:
-    """A change of membership was in the log of a leader that lost its term before it was committed."""
+def test_truncating_membership_entry_restores_previous_membership() -> None:
+    """A leader loses its leadership before its membership change is committed."""
     smaller = Membership((A, B))
     log = Log(entries=(BOOTSTRAP_ENTRY, Entry(2, 1, "members", encode_membership(smaller)), command(3)))
-    assert log.members == smaller and log.membership_index == 2 and log.members_at(1) == ALL
-    kept = log.copy()
-    kept.compact(2)
-    assert kept.members == smaller and kept.base_index == 2 and kept.term_at(3) == 1
+    assert log.members == smaller and log.membership_index == 2 and log.members_at(1) == MEMBERSHIP
+    compacted = log.copy()
+    compacted.compact(2)
+    assert compacted.members == smaller and compacted.base_index == 2 and compacted.term_at(3) == 1
     log.truncate(2)
-    assert log.members == ALL and log.last_index == 1
+    assert log.members == MEMBERSHIP and log.last_index == 1
 
 
 def commit_own_term(node: RaftNode) -> list[ev.Effect]:
-    """The leader's first entry is synced here and at another member."""
+    """Sync the leader's first entry on the leader and on one other member, which commits it."""
     node.step(0, ev.Synced(9))
     return node.step(0, ev.MessageReceived(AppendResponse("c", B, A, 2, True, 1, 2, 2, 0, 0)))
 
 
-def test_reads_wait_for_the_first_commit_of_a_term_and_for_a_majority() -> None:
-    """A new leader does not know what is committed; an old one does not know that it is none any more."""
-    follower = RaftNode(restored())
+def test_reads_wait_for_first_commit_of_term_and_for_majority() -> None:
+    """A new leader does not know the commit index yet; an old leader does not know that it was replaced."""
+    follower = RaftNode(restored_follower())
     assert follower.step(0, ev.ReadRequested(1)) == [ev.ReadAborted(1)]
-    node = leading()
-    assert not node.step(0, ev.ReadRequested(7))  # deferred
+    node = elected_leader()
+    assert not node.step(0, ev.ReadRequested(7))  # deferred until the first commit
     effects = commit_own_term(node)
     assert node.has_committed_own_term and node.commit_index == 2
     assert not [effect for effect in effects if isinstance(effect, ev.ReadConfirmed)]
-    answer = AppendResponse("c", C, A, 2, True, 2, 2, 2, heartbeat_round=1, sync_us=0)
-    assert ev.ReadConfirmed(7, 2) in node.step(0, ev.MessageReceived(answer))
+    response = AppendResponse("c", C, A, 2, True, 2, 2, 2, heartbeat_round=1, sync_us=0)
+    assert ev.ReadConfirmed(7, 2) in node.step(0, ev.MessageReceived(response))
 
 
-def test_the_next_change_of_membership_waits_for_the_last_one() -> None:
-    """CHANGE: two changes at once could give two majorities without a member in common."""
-    node, newcomer = leading(), Member("d", "d1")
-    node.step(0, ev.ChangeMembership("learn", newcomer))
-    assert node.members == ALL  # no entry of its own term is committed yet
+def test_membership_change_waits_for_previous_change() -> None:
+    """CHANGE: two concurrent changes could lead to disjoint majorities."""
+    node, learner = elected_leader(), Member("d", "d1")
+    node.step(0, ev.ChangeMembership("learn", learner))
+    assert node.members == MEMBERSHIP  # no entry of its own term is committed yet
     commit_own_term(node)
-    node.step(0, ev.ChangeMembership("learn", newcomer))
-    learning = Membership((A, B, C), (newcomer,))
-    assert node.members == learning
+    node.step(0, ev.ChangeMembership("learn", learner))
+    with_learner = Membership((A, B, C), (learner,))
+    assert node.members == with_learner
     node.step(0, ev.ChangeMembership("remove", C))
-    assert node.members == learning  # the last change is not committed yet
+    assert node.members == with_learner  # the previous change is not committed yet
 
 
-def test_a_call_goes_to_a_new_leader_at_once_and_to_the_same_after_a_while() -> None:
-    """A leader dies with a call: the next one is asked as soon as it is known."""
+def test_call_is_sent_to_new_leader_immediately_and_to_same_leader_after_retry_interval() -> None:
+    """A leader crashes with a pending call; the call is sent to the next leader as soon as it is known."""
     pending = PendingRequests()
     pending.add_call(ClientCall(1, "client", 1, b"", deadline_us=10 * RETRY_INTERVAL_US))
     assert not pending.start_call_attempts(0, None)
@@ -208,18 +208,18 @@
     assert pending.expire(10 * RETRY_INTERVAL_US) == [1] and not pending.calls()
 
 
-def test_a_read_is_complete_once_its_index_is_applied() -> None:
-    """The state here is behind the leader's: the read waits for it."""
+def test_read_completes_once_its_index_is_applied() -> None:
+    """The local state lags behind the leader's, so the read waits until it catches up."""
     pending = PendingRequests()
     pending.add_read(ClientRead(1, deadline_us=10))
     pending.set_read_index(1, 5)
-    pending.set_read_index(2, 5)  # not waiting any more
+    pending.set_read_index(2, 5)  # no such read is pending
     assert not pending.complete_reads(4)
     assert pending.complete_reads(5) == [1] and not pending.complete_reads(6)
 
 
-def test_one_record_stands_for_all_that_a_log_file_holds() -> None:
-    """A rewritten log has to give the same state at the next start."""
+def test_single_record_represents_whole_log_file() -> None:
+    """A rewritten log file must restore the same state at the next startup."""
     image = LogImage()
     for record in (
         Record(VERSION, "c", 1, A, 0, tuple(command(index) for index in range(1, 7))),
@@ -227,9 +227,9 @@
         Record(VERSION, "c", 2, B, 0, (), 3),
     ):
         image.apply(record)
-    again = LogImage()
-    again.apply(image.to_record())
-    assert again == image and not image.has_gap()
+    rewritten = LogImage()
+    rewritten.apply(image.to_record())
+    assert rewritten == image and not image.has_gap()
     assert [(entry.index, entry.term) for entry in image.entries] == [(4, 1), (5, 2)]
     image.entries.pop(0)
     assert image.has_gap()
