--- a/harriertide/consensus/events.py
+++ b/harriertide/consensus/events.py
@@ -181,16 +181,16 @@
 class LogEvent(StrEnum):
     """Kinds of log lines. The lab's checkers and the process's counters use the values unchanged."""
 
-    LEADS = "leads"  # this member won an election
-    FOLLOWS = "follows"  # this member is no longer the leader
+    BECAME_LEADER = "leads"  # this member won an election
+    LOST_LEADERSHIP = "follows"  # this member is no longer the leader
     FOLLOWS_LEADER = "hears"  # this member follows another leader; detail: the leader's name
-    CAMPAIGNS = "stands"  # this member requests votes; detail: "pre" or "vote"
+    STARTED_CAMPAIGN = "stands"  # this member requests votes; detail: "pre" or "vote"
     STEPPED_DOWN = "stepped down"  # the leader gave up leadership without a newer term; detail: reason
-    TRANSFERS = "hands over"  # the leader started a transfer by itself; detail: reason
-    MEMBERSHIP = "members"  # the leader changes the membership; detail: the change
-    SNAPSHOT = "snapshot"  # a received snapshot was discarded; detail: reason
+    STARTED_TRANSFER = "hands over"  # the leader started a transfer by itself; detail: reason
+    CHANGED_MEMBERSHIP = "members"  # the leader changes the membership; detail: the change
+    DISCARDED_SNAPSHOT = "snapshot"  # a received snapshot was discarded; detail: reason
     HALTED = "halted"  # this member is halted until its process restarts; detail: reason
-    BROKEN = "broken"  # an invariant is violated; detail: which one
+    INVARIANT_VIOLATED = "broken"  # an invariant is violated; detail: which one
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertide/consensus/membership.py
+++ b/harriertide/consensus/membership.py
@@ -29,7 +29,9 @@
         members = self._changed_members(event)
         if members is None or not members.voters:
             return
-        self.outbox.log(LogEvent.MEMBERSHIP, f"{event.action} {event.member.name}/{event.member.disk}")
+        self.outbox.log(
+            LogEvent.CHANGED_MEMBERSHIP, f"{event.action} {event.member.name}/{event.member.disk}"
+        )
         self.replication.append("members", encode_membership(members))
         self.replication.advance_commit()
 
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -169,7 +169,7 @@
     def _halt(self, now_us: int, reason: str) -> None:
         """Halt the node after an invariant violation: it sends and writes nothing from now on."""
         self._step_node(now_us, ev.InvariantViolated(reason))
-        self._effects.append(ev.LogLine(LogEvent.BROKEN, self.node.term, reason))
+        self._effects.append(ev.LogLine(LogEvent.INVARIANT_VIOLATED, self.node.term, reason))
 
     # --- messages from other replicas -----------------------------------------------------------------
 
@@ -261,7 +261,10 @@
 
     def _forget_proposals_of_other_terms(self, effect: ev.Effect) -> None:
         """Forget proposals when the leader changes, as the new leader may lack their entries."""
-        if isinstance(effect, ev.LogLine) and effect.event in (LogEvent.LEADS, LogEvent.FOLLOWS):
+        if isinstance(effect, ev.LogLine) and effect.event in (
+            LogEvent.BECAME_LEADER,
+            LogEvent.LOST_LEADERSHIP,
+        ):
             self._proposed_commands.clear()
 
     def _on_committed(self, now_us: int, effect: ev.Committed) -> list[ev.Effect]:
--- a/harriertide/consensus/roles.py
+++ b/harriertide/consensus/roles.py
@@ -35,7 +35,7 @@
         state.campaign.end()
         self._abort_reads()
         if was_leader:
-            self._outbox.log(LogEvent.FOLLOWS)
+            self._outbox.log(LogEvent.LOST_LEADERSHIP)
             state.leadership.end()
             state.leader_contact_us = state.now_us
             state.reset_election_timeout()
@@ -74,7 +74,7 @@
             state.term += 1
             state.voted_for = state.me
             self._outbox.persist(term_changed=True)  # ELECTION: the own vote counts once synced
-        self._outbox.log(LogEvent.CAMPAIGNS, phase.value)
+        self._outbox.log(LogEvent.STARTED_CAMPAIGN, phase.value)
 
     def become_leader(self) -> None:
         """Become the leader of the current term."""
@@ -84,7 +84,7 @@
         state.campaign.end()
         state.leadership.begin(term_start_index=state.log.last_index + 1)
         self._abort_reads()
-        self._outbox.log(LogEvent.LEADS)
+        self._outbox.log(LogEvent.BECAME_LEADER)
 
     def halt(self, reason: str) -> None:
         """Stop taking part in the protocol until the process restarts."""
--- a/harriertide/consensus/snapshots.py
+++ b/harriertide/consensus/snapshots.py
@@ -135,7 +135,7 @@
         data = incoming_snapshot.take_data(message.checksum)
         if data is None:
             # It is unknown which chunk was corrupted, so the response requests the snapshot from the start.
-            self._outbox.log(LogEvent.SNAPSHOT, "checksum mismatch")
+            self._outbox.log(LogEvent.DISCARDED_SNAPSHOT, "checksum mismatch")
             return None
         return Snapshot(
             message.snapshot_index, message.snapshot_term, message.members, data, message.checksum
--- a/harriertide/consensus/transfer.py
+++ b/harriertide/consensus/transfer.py
@@ -78,7 +78,7 @@
             return
         if self._is_own_disk_slow():
             leadership.last_slow_disk_transfer_us = state.now_us
-            self._outbox.log(LogEvent.TRANSFERS, "its own disk is slow")
+            self._outbox.log(LogEvent.STARTED_TRANSFER, "its own disk is slow")
             self.start(None)
 
     def _is_own_disk_slow(self) -> bool:
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -43,12 +43,12 @@
 
 # What an operator reads of an event of the agreement, and which ones.
 _LOG_LINES = {
-    LogEvent.LEADS: "elected leader of the agreement",
-    LogEvent.TRANSFERS: "transfers leadership of the agreement",
+    LogEvent.BECAME_LEADER: "elected leader of the agreement",
+    LogEvent.STARTED_TRANSFER: "transfers leadership of the agreement",
     LogEvent.STEPPED_DOWN: "stepped down as leader of the agreement",
-    LogEvent.MEMBERSHIP: "membership of the agreement changes",
+    LogEvent.CHANGED_MEMBERSHIP: "membership of the agreement changes",
     LogEvent.HALTED: "out of the agreement until this broker is started again",
-    LogEvent.BROKEN: "out of the agreement, an invariant does not hold",
+    LogEvent.INVARIANT_VIOLATED: "out of the agreement, an invariant does not hold",
 }
 
 
@@ -255,7 +255,7 @@
         self._link.events.write("noted", what=effect.event, term=effect.term, detail=effect.detail)
         if effect.event in _LOG_LINES:
             log(_LOG_LINES[effect.event], term=effect.term, reason=effect.detail)
-        if effect.event in (LogEvent.HALTED, LogEvent.BROKEN):
+        if effect.event in (LogEvent.HALTED, LogEvent.INVARIANT_VIOLATED):
             self._halted = effect.detail
 
     # --- the disk -------------------------------------------------------------------------------------
--- a/harriertide/lab/raft_simulation/safety_checker.py
+++ b/harriertide/lab/raft_simulation/safety_checker.py
@@ -27,10 +27,10 @@
 
     def on_log_line(self, host: str, line: LogLine) -> None:
         """Election safety: at most one leader a term; and no member finds an invariant broken."""
-        if line.event == LogEvent.LEADS:
+        if line.event == LogEvent.BECAME_LEADER:
             self.election_count += 1
             leader = self.leaders.setdefault(line.term, host)
             if leader != host:
                 self.violations.append(f"term {line.term}: {leader} and {host} lead")
-        elif line.event == LogEvent.BROKEN:
+        elif line.event == LogEvent.INVARIANT_VIOLATED:
             self.violations.append(f"{host}: {line.detail}")
