--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallExpired:
+class RequestExpired:
     """The deadline of a call or read has passed. The command of a call may still be committed later."""
 
     number: int
@@ -69,7 +69,7 @@
     fresh: bool
 
 
-Effect = ev.Effect | CallCompleted | ReadCompleted | CallExpired | EntryApplied
+Effect = ev.Effect | CallCompleted | ReadCompleted | RequestExpired | EntryApplied
 
 
 class Replica:
@@ -143,7 +143,7 @@
     ) -> list[Effect]:
         """Submit a command to be committed and applied.
 
-        :param number: repeated in the CallCompleted or CallExpired
+        :param number: repeated in the CallCompleted or RequestExpired
         :param client: together with serial identifies the command across all its attempts
         :returns: the effects to perform, in order
         """
@@ -158,7 +158,7 @@
     def query(self, now_us: int, number: int, deadline_us: int) -> list[Effect]:
         """Request a linearizable read of the state.
 
-        :param number: repeated in the ReadCompleted or CallExpired
+        :param number: repeated in the ReadCompleted or RequestExpired
         :returns: the effects to perform, in order
         """
         self._effects = []
@@ -210,7 +210,7 @@
     def _send_pending(self, now_us: int) -> None:
         """Send pending calls and reads to a new leader, and again after the retry interval."""
         for number in self._pending.expire(now_us):
-            self._effects.append(CallExpired(number))
+            self._effects.append(RequestExpired(number))
         for call in self._pending.start_call_attempts(now_us, self.node.leader):
             self._send_call(now_us, call)
         for read in self._pending.start_read_attempts(now_us, self.node.leader):
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -24,11 +24,11 @@
 from harriertide.consensus.messages import Entry, Member, Message, Proposal
 from harriertide.consensus.replica import (
     CallCompleted,
-    CallExpired,
     Effect,
     EntryApplied,
     ReadCompleted,
     Replica,
+    RequestExpired,
 )
 from harriertide.consensus.store import StoreError, set_aside
 from harriertide.control.cluster_membership import ClusterMembership
@@ -234,7 +234,7 @@
                 self._link.calls.complete(effect.number, effect.answer)
             case ReadCompleted():
                 self._on_read_completed(effect.number)
-            case CallExpired():
+            case RequestExpired():
                 self._grant_rounds.pop(effect.number, None)
                 self._link.calls.fail(effect.number, NOT_AGREED)
             case ev.LogLine():
--- a/harriertide/lab/raft_simulation/client_workload.py
+++ b/harriertide/lab/raft_simulation/client_workload.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from harriertide.consensus.replica import CallCompleted, CallExpired, ReadCompleted
+from harriertide.consensus.replica import CallCompleted, ReadCompleted, RequestExpired
 from harriertide.lab.checkers.linearizability_checker import NEVER, Operation, OperationKind
 from harriertide.lab.raft_simulation.event_queue import SECOND_US, EventQueue
 from harriertide.lab.raft_simulation.host import ClientEffect, Host
@@ -90,7 +90,7 @@
         operation = self._pending.pop(effect.number, None)
         if operation is None:
             return
-        if isinstance(effect, CallExpired):
+        if isinstance(effect, RequestExpired):
             self._record_unreturned(operation)
         else:
             value, succeeded = operation.value, True
--- a/harriertide/lab/raft_simulation/host.py
+++ b/harriertide/lab/raft_simulation/host.py
@@ -19,7 +19,7 @@
 from harriertide.lab.raft_simulation.simulated_network import Payload, SimulatedNetwork
 
 ROSTER_INTERVAL_US = 100_000
-ClientEffect = rp.CallCompleted | rp.ReadCompleted | rp.CallExpired
+ClientEffect = rp.CallCompleted | rp.ReadCompleted | rp.RequestExpired
 
 
 @dataclass(frozen=True, slots=True)
