--- a/harriertide/consensus/disk_format.py
+++ b/harriertide/consensus/disk_format.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from harriertide.consensus import events as ev
-from harriertide.consensus.messages import VERSION, Entry, Member, Snapshot
+from harriertide.consensus.messages import RECORD_VERSION, Entry, Member, Snapshot
 
 _FRAME_HEAD = struct.Struct("<IQ")
 # Of one frame: far over any batch or snapshot, so that a longer one is a damaged length.
@@ -57,7 +57,7 @@
 def record_of(write: ev.Persist) -> Record:
     """The record for a write."""
     return Record(
-        version=VERSION,
+        version=RECORD_VERSION,
         cluster=write.cluster,
         term=write.term,
         voted_for=write.voted_for,
@@ -81,9 +81,9 @@
         record = _records.decode(payload)
     except msgspec.MsgspecError as error:
         raise UnreadableRecordError(f"a record that this version can't read: {error}") from None
-    if record.version > VERSION:
+    if record.version > RECORD_VERSION:
         raise UnreadableRecordError(
-            f"written by a newer version ({record.version}, this one reads {VERSION})"
+            f"written by a newer version ({record.version}, this one reads {RECORD_VERSION})"
         )
     return record
 
@@ -174,7 +174,7 @@
     def to_record(self) -> Record:
         """One record that gives the same state."""
         return Record(
-            version=VERSION,
+            version=RECORD_VERSION,
             cluster=self.cluster,
             term=self.term,
             voted_for=self.voted_for,
--- a/harriertide/consensus/messages.py
+++ b/harriertide/consensus/messages.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Struct, field
 
-VERSION = 1  # format of records on disk; a member rejects a newer version at startup
+RECORD_VERSION = 1  # format of records on disk; a member rejects a newer version at startup
 
 EntryKind = Literal["noop", "command", "members"]
 
--- a/tests/test_raft_parts.py
+++ b/tests/test_raft_parts.py
@@ -13,7 +13,7 @@
 from harriertide.consensus.events import Tuning
 from harriertide.consensus.log import Log
 from harriertide.consensus.messages import (
-    VERSION,
+    RECORD_VERSION,
     AppendRequest,
     AppendResponse,
     Entry,
@@ -222,9 +222,9 @@
     """A rewritten log file must restore the same state at the next startup."""
     image = LogImage()
     for record in (
-        Record(VERSION, "c", 1, A, 0, tuple(command(index) for index in range(1, 7))),
-        Record(VERSION, "c", 2, None, 5, (command(5, 2),)),
-        Record(VERSION, "c", 2, B, 0, (), 3),
+        Record(RECORD_VERSION, "c", 1, A, 0, tuple(command(index) for index in range(1, 7))),
+        Record(RECORD_VERSION, "c", 2, None, 5, (command(5, 2),)),
+        Record(RECORD_VERSION, "c", 2, B, 0, (), 3),
     ):
         image.apply(record)
     rewritten = LogImage()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -189,9 +189,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An older release is started on the disk of a newer one: it says so instead of guessing."""
-    monkeypatch.setattr(disk_format, "VERSION", 2)
+    monkeypatch.setattr(disk_format, "RECORD_VERSION", 2)
     written(tmp_path / "d", ev.Persist(1, "c", 1, ME))
-    monkeypatch.setattr(disk_format, "VERSION", 1)
+    monkeypatch.setattr(disk_format, "RECORD_VERSION", 1)
     with pytest.raises(StoreError, match="newer version"):
         Store.open(tmp_path / "d")
 
