--- a/harriertide/consensus/heartbeat.py
+++ b/harriertide/consensus/heartbeat.py
@@ -13,9 +13,9 @@
 from harriertide.consensus.snapshots import SnapshotSender
 from harriertide.consensus.state import PeerProgress, RaftState, moving_average
 
-# Rounds whose send times are kept to measure round trips: about six seconds of rounds. Later responses are
-# ignored in the measurement.
-ROUNDS_KEPT_COUNT = 64
+# Rounds whose send times are kept to measure round trips: six seconds of rounds. Responses to older rounds
+# are not measured.
+MAX_KEPT_ROUNDS = 64
 ROUND_TRIP_WEIGHT = 0.2  # weight of the latest sample: the average covers about five samples
 # An election takes two round trips and two syncs, a heartbeat half a round trip. With these factors a
 # candidate wins well within one election timeout, and latency jitter does not start an election.
@@ -52,7 +52,7 @@
         leadership = self._state.leadership
         leadership.heartbeat_round += 1
         leadership.round_sent_us[leadership.heartbeat_round] = self._state.now_us
-        leadership.round_sent_us.pop(leadership.heartbeat_round - ROUNDS_KEPT_COUNT, None)
+        leadership.round_sent_us.pop(leadership.heartbeat_round - MAX_KEPT_ROUNDS, None)
         for member, progress in leadership.progress.items():
             self._send_heartbeat(member, progress)
         self._reads.confirm()
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -98,9 +98,8 @@
         # As leader, by ReadIndex number: the requesting member and its read number, or the local read number.
         self._remote_reads: dict[int, tuple[Member, int]] = {}
         self._local_reads: dict[int, int] = {}
-        self._proposed_commands: set[tuple[str, int]] = (
-            set()
-        )  # as leader: client and serial of the commands in the log
+        # As leader: client and serial of the commands in the log.
+        self._proposed_commands: set[tuple[str, int]] = set()
         self._effects: list[Effect] = []
         if restored.snapshot is not None:
             self.applied_state.load(restored.snapshot.index, restored.snapshot.data)
--- a/harriertide/consensus/snapshots.py
+++ b/harriertide/consensus/snapshots.py
@@ -44,13 +44,13 @@
     def start(self, member: Member, progress: PeerProgress) -> None:
         """Start sending the latest snapshot to a member, beginning with the first chunk."""
         progress.snapshot = self._state.snapshot
-        progress.offset = 0
+        progress.snapshot_offset = 0
         self.send_chunk(member, progress)
 
     def send_chunk(self, member: Member, progress: PeerProgress) -> None:
         """Send the next chunk."""
         assert progress.snapshot is not None
-        first = progress.offset
+        first = progress.snapshot_offset
         data = progress.snapshot.data[first : first + self._state.tuning.snapshot_chunk_bytes]
         progress.chunk_sent_us = self._state.now_us
         self._send(member, progress, data)
@@ -70,8 +70,8 @@
         """Send the chunk at the offset that the member requests: the next chunk, or a lost one again."""
         if progress.snapshot is None or progress.snapshot.index != message.snapshot_index:
             return
-        if message.offset != progress.offset:
-            progress.offset = message.offset
+        if message.offset != progress.snapshot_offset:
+            progress.snapshot_offset = message.offset
             self.send_chunk(message.sender, progress)
 
     def _send(self, member: Member, progress: PeerProgress, data: bytes) -> None:
@@ -87,7 +87,7 @@
             members=snapshot.members,
             total_bytes=len(snapshot.data),
             checksum=snapshot.checksum,
-            offset=progress.offset,
+            offset=progress.snapshot_offset,
             data=data,
             heartbeat_round=state.leadership.heartbeat_round,
             election_timeout_us=state.election_timeout_us,
--- a/harriertide/consensus/state.py
+++ b/harriertide/consensus/state.py
@@ -70,7 +70,7 @@
     :param probe_sent: an append was sent in this heartbeat interval
     :param inflight: last entry index of each append that has no response yet
     :param snapshot: the snapshot being sent to a member that needs entries the leader's log no longer holds
-    :param offset: byte offset of the next snapshot chunk
+    :param snapshot_offset: byte offset of the next snapshot chunk
     """
 
     next_index: int
@@ -83,7 +83,7 @@
     sync_us: int = 0
     inflight: list[int] = field(default_factory=list)
     snapshot: Snapshot | None = None
-    offset: int = 0
+    snapshot_offset: int = 0
     chunk_sent_us: int = 0
 
 
