--- a/harriertide/consensus/applied_state.py
+++ b/harriertide/consensus/applied_state.py
@@ -47,14 +47,14 @@
             without a command
         """
         self.last_applied = entry.index
-        answer, fresh = b"", False
+        answer, took_effect = b"", False
         if entry.kind == "command":
-            answer, fresh = self.sessions.apply_once(
+            answer, took_effect = self.sessions.apply_once(
                 entry.client, entry.serial, lambda: self.machine.apply(entry.index, entry.data)
             )
         link = b"%d %d %d " % (self.digest, entry.index, entry.term) + entry.data
         self.digest = xxhash.xxh3_64_intdigest(link)
-        return answer, fresh
+        return answer, took_effect
 
     def dump(self) -> bytes:
         """Encode the digest, the sessions and the state for a snapshot."""
--- a/harriertide/consensus/observer.py
+++ b/harriertide/consensus/observer.py
@@ -20,13 +20,13 @@
 class AppliedEntry(NamedTuple):
     """An applied entry.
 
-    :param fresh: False for a repeated command, which has no effect
+    :param took_effect: False for a repeated command, which has no effect
     :param digest: the hash chain after the entry
     """
 
     entry: Entry
     answer: bytes
-    fresh: bool
+    took_effect: bool
     digest: int
 
 
@@ -45,9 +45,9 @@
         applied = []
         for entry in update.entries:
             if entry.index == self.applied_state.last_applied + 1:
-                answer, fresh = self.applied_state.apply(entry)
+                answer, took_effect = self.applied_state.apply(entry)
                 self._entries.append(entry)
-                applied.append(AppliedEntry(entry, answer, fresh, self.applied_state.digest))
+                applied.append(AppliedEntry(entry, answer, took_effect, self.applied_state.digest))
         return applied
 
     def _add_chunk(self, update: TreeUpdate) -> None:
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -61,12 +61,12 @@
 class EntryApplied:
     """The hash chain of the applied entries at an index, for the lab's checkers.
 
-    :param fresh: False for a repeated command, which has no effect
+    :param took_effect: False for a repeated command, which has no effect
     """
 
     index: int
     digest: int
-    fresh: bool
+    took_effect: bool
 
 
 Effect = ev.Effect | CallCompleted | ReadCompleted | RequestExpired | EntryApplied
@@ -273,12 +273,12 @@
         return self._take_snapshot(now_us)
 
     def _apply(self, entry: Entry) -> None:
-        answer, fresh = self.applied_state.apply(entry)
+        answer, took_effect = self.applied_state.apply(entry)
         self._proposed_commands.discard((entry.client, entry.serial))
         if entry.kind == "command":
             for number in self._pending.complete_command(entry.client, entry.serial):
                 self._effects.append(CallCompleted(number, entry.index, answer))
-        self._effects.append(EntryApplied(entry.index, self.applied_state.digest, fresh))
+        self._effects.append(EntryApplied(entry.index, self.applied_state.digest, took_effect))
 
     def _on_install_snapshot(self, effect: ev.InstallSnapshot) -> None:
         self.applied_state.load(effect.snapshot.index, effect.snapshot.data)
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -215,7 +215,7 @@
             if isinstance(effect, EntryApplied):
                 has_applied = True
                 self._link.events.write(
-                    "applied", index=effect.index, digest=effect.digest, fresh=effect.fresh
+                    "applied", index=effect.index, digest=effect.digest, fresh=effect.took_effect
                 )
             else:
                 self._carry_out_one(effect)
