--- a/harriertide/consensus/observer.py
+++ b/harriertide/consensus/observer.py
@@ -20,7 +20,7 @@
 class AppliedEntry(NamedTuple):
     """An applied entry.
 
-    :param took_effect: False for a repeated command, which has no effect
+    :param took_effect: False for a repeated command and for an entry without a command
     :param digest: the hash chain after the entry
     """
 
--- a/harriertide/consensus/replica.py
+++ b/harriertide/consensus/replica.py
@@ -61,7 +61,7 @@
 class EntryApplied:
     """The hash chain of the applied entries at an index, for the lab's checkers.
 
-    :param took_effect: False for a repeated command, which has no effect
+    :param took_effect: False for a repeated command, an entry without a command and an installed snapshot
     """
 
     index: int
