--- a/harriertide/consensus/disk_format.py
+++ b/harriertide/consensus/disk_format.py
@@ -1,7 +1,7 @@
-"""The format of a member's disk: frames with a checksum, the records in them, and the state that they give.
+"""On-disk format of a Raft member: checksummed frames, log records, and the state restored from them.
 
-A frame is the length and the xxh3 of its payload, then the payload. A log file is a sequence of frames with
-one record each; the identity and a snapshot are files of one frame.
+A frame is the length and the xxh3 checksum of a payload, followed by the payload. A log file is a sequence of
+frames with one record each. The identity file and each snapshot file hold one frame.
 """
 
 from __future__ import annotations
@@ -16,28 +16,27 @@
 from harriertide.consensus import events as ev
 from harriertide.consensus.messages import RECORD_VERSION, Entry, Member, Snapshot
 
-_FRAME_HEAD = struct.Struct("<IQ")
-# Of one frame: far over any batch or snapshot, so that a longer one is a damaged length.
+_FRAME_HEADER = struct.Struct("<IQ")
+# Far above the size of any batch or snapshot: a larger length field is corrupt.
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 
 class DamagedError(Exception):
-    """What was promised can't be read any more. The text says where and how, in one line.
+    """Acknowledged data is unreadable. The message says where and why in one line.
 
-    The disk can't be used as it is: the folder is set aside, and the broker joins as a new member.
+    The folder cannot be used any more: it is renamed, and the broker joins as a new member.
     """
 
 
 class UnreadableRecordError(Exception):
-    """A record is whole, but of another release: its text says which."""
+    """A record has a valid checksum but was written by an incompatible release."""
 
 
 class Record(Struct, frozen=True, array_like=True):
-    """One write: the hard state, and what changes in the log.
+    """One write: the persistent Raft state and the changes to the log.
 
-    :param truncate_from: entries from this index on are void; 0 for none
-    :param snapshot_index: of a snapshot in a file of its own that takes the place of the log up to it; 0 for
-        none
+    :param truncate_from: index of the first entry that is removed from the log; 0 for none
+    :param snapshot_index: index of a snapshot file that replaces the log up to this index; 0 for none
     """
 
     version: int
@@ -50,12 +49,12 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_records = msgspec.msgpack.Decoder(Record)
-_snapshots = msgspec.msgpack.Decoder(Snapshot)
+_record_decoder = msgspec.msgpack.Decoder(Record)
+_snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
-def record_of(write: ev.Persist) -> Record:
-    """The record for a write."""
+def make_record(write: ev.Persist) -> Record:
+    """Build the record of a write."""
     return Record(
         version=RECORD_VERSION,
         cluster=write.cluster,
@@ -68,79 +67,81 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """A record as a frame."""
-    return frame(_encode(record))
+    """Encode a record as a frame."""
+    return encode_frame(_encode(record))
 
 
 def decode_record(payload: bytes) -> Record:
-    """The record in a frame.
+    """Decode the payload of a record frame.
 
-    :raises UnreadableRecordError: a newer release has written it
+    :raises UnreadableRecordError: the record was written by a newer release
     """
     try:
-        record = _records.decode(payload)
+        record = _record_decoder.decode(payload)
     except msgspec.MsgspecError as error:
-        raise UnreadableRecordError(f"a record that this version can't read: {error}") from None
+        raise UnreadableRecordError(f"this version cannot decode a log record: {error}") from None
     if record.version > RECORD_VERSION:
         raise UnreadableRecordError(
-            f"written by a newer version ({record.version}, this one reads {RECORD_VERSION})"
+            f"record has the newer version {record.version}; this release reads up to {RECORD_VERSION}"
         )
     return record
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """A snapshot as a frame."""
-    return frame(_encode(snapshot))
+    """Encode a snapshot as a frame."""
+    return encode_frame(_encode(snapshot))
 
 
 def decode_snapshot(payload: bytes) -> Snapshot:
-    """The snapshot in a frame."""
-    return _snapshots.decode(payload)
+    """Decode the payload of a snapshot frame."""
+    return _snapshot_decoder.decode(payload)
 
 
-def frame(payload: bytes) -> bytes:
-    """A payload with its length and checksum."""
-    return _FRAME_HEAD.pack(len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
+def encode_frame(payload: bytes) -> bytes:
+    """Prefix a payload with its length and checksum."""
+    return _FRAME_HEADER.pack(len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
 
 
 def split_frames(data: bytes, name: str) -> tuple[list[bytes], int]:
-    """Split a file into payloads.
+    """Split the content of a file into payloads.
 
-    A last frame that is short, or nothing but zeros, is a write that a crash tore. It was never synced, so
-    nobody was promised it. Anything else that is wrong is damage of what may have been promised.
+    An incomplete last frame, or a tail of zeros, is a torn write: it was never synced, hence never
+    acknowledged. Any other invalid frame may have held acknowledged data, so the file is damaged.
 
-    :param name: of the file, for errors
-    :returns: the payloads, and how many bytes of the file they take
-    :raises DamagedError: the file holds what no torn write explains
+    :param name: name of the file, for error messages
+    :returns: the payloads, and the size in bytes of the valid frames
+    :raises DamagedError: the file has an error that a torn write does not explain
     """
     payloads: list[bytes] = []
-    start = 0
-    while start < len(data):
-        if not any(data[start:]):
-            break  # space that the file system has allocated and nobody has written
-        if len(data) - start < _FRAME_HEAD.size:
+    offset = 0
+    while offset < len(data):
+        if not any(data[offset:]):
+            break  # allocated by the file system but never written
+        if len(data) - offset < _FRAME_HEADER.size:
             break
-        size, checksum = _FRAME_HEAD.unpack_from(data, start)
-        end = start + _FRAME_HEAD.size + size
+        size, checksum = _FRAME_HEADER.unpack_from(data, offset)
+        end = offset + _FRAME_HEADER.size + size
         if size > MAX_FRAME_BYTES:
-            raise DamagedError(f"{name}: byte {start}: a frame of {size} bytes")
+            raise DamagedError(f"{name}: byte {offset}: frame length of {size} bytes exceeds the limit")
         if end > len(data):
-            if _has_frame_after(data, start + 1):
-                raise DamagedError(f"{name}: byte {start}: a length that runs over what follows")
+            if _has_frame_after(data, offset + 1):
+                raise DamagedError(
+                    f"{name}: byte {offset}: frame length exceeds the file, but a valid frame follows"
+                )
             break
-        payload = data[start + _FRAME_HEAD.size : end]
+        payload = data[offset + _FRAME_HEADER.size : end]
         if xxhash.xxh3_64_intdigest(payload) != checksum:
-            raise DamagedError(f"{name}: byte {start}: wrong checksum")
+            raise DamagedError(f"{name}: byte {offset}: frame checksum does not match")
         payloads.append(payload)
-        start = end
-    return payloads, start
+        offset = end
+    return payloads, offset
 
 
-def _has_frame_after(data: bytes, first: int) -> bool:
-    """Whether a whole frame begins at this byte or behind: then what is before it was synced."""
-    for start in range(first, len(data) - _FRAME_HEAD.size):
-        size, checksum = _FRAME_HEAD.unpack_from(data, start)
-        payload_start = start + _FRAME_HEAD.size
+def _has_frame_after(data: bytes, first_offset: int) -> bool:
+    """Whether a valid frame starts at this offset or later, so that the data before it was synced."""
+    for offset in range(first_offset, len(data) - _FRAME_HEADER.size):
+        size, checksum = _FRAME_HEADER.unpack_from(data, offset)
+        payload_start = offset + _FRAME_HEADER.size
         end = payload_start + size
         if size == 0 or end > len(data):
             continue
@@ -151,7 +152,7 @@
 
 @dataclass(slots=True)
 class LogImage:
-    """The state that the records of a log file give together."""
+    """The state that results from applying the records of a log file in order."""
 
     cluster: str = ""
     term: int = 0
@@ -160,7 +161,7 @@
     snapshot_index: int = 0
 
     def apply(self, record: Record) -> None:
-        """Add a record: its truncation, its entries, then its snapshot."""
+        """Apply a record: first its truncation, then its entries, then its snapshot."""
         self.cluster = record.cluster
         self.term = record.term
         self.voted_for = record.voted_for
@@ -172,7 +173,7 @@
             self.entries = [entry for entry in self.entries if entry.index > record.snapshot_index]
 
     def to_record(self) -> Record:
-        """One record that gives the same state."""
+        """Build a single record that produces the same state."""
         return Record(
             version=RECORD_VERSION,
             cluster=self.cluster,
@@ -183,6 +184,8 @@
         )
 
     def has_gap(self) -> bool:
-        """Whether an entry between the snapshot and the last entry is missing."""
-        first = self.snapshot_index + 1
-        return [entry.index for entry in self.entries] != list(range(first, first + len(self.entries)))
+        """Whether the entries are not contiguous from the snapshot to the last entry."""
+        first_index = self.snapshot_index + 1
+        return [entry.index for entry in self.entries] != list(
+            range(first_index, first_index + len(self.entries))
+        )
--- a/harriertide/consensus/fanout.py
+++ b/harriertide/consensus/fanout.py
@@ -1,16 +1,17 @@
-"""A tree of all brokers of a fleet behind a few voters: committed entries and lease grants go down it,
-reports come up it.
-
-A report goes to the parent each REPORT_INTERVAL_US. It carries the totals of the sender's subtree, so the
-leader receives as many messages as it has children, whatever the fleet's size. A parent passes on entries and
-grants. Pure: the caller sends what `build_report`, `take_pending_grants` and the observer's entries give.
-
-LEASE  A broker's lease runs from when it sent a report, by its own clock, until lease_us later. It is
-granted only by a leader that a majority has confirmed after the report arrived (ReadIndex), and holds only
-once the index of that moment is applied here. So who holds a lease knows all that was committed before it
-sent the report. The leader, and any later one, counts a broker's lease as over only lease_us and the drift
-of clocks after the last grant that it gave, or after it was elected: older leaders confirmed theirs before
-that.
+"""Fan-out tree of all brokers of a fleet, with the few voters at its top.
+
+Committed entries and lease grants go down the tree, and reports go up. Each broker reports to its parent
+every REPORT_INTERVAL_US. A report holds the totals of the sender's subtree, so the number of messages that
+the leader receives depends on the number of its children and not on the size of the fleet. A parent forwards
+entries and grants. This module does no I/O: the caller sends the results of `build_report` and
+`take_pending_grants` and the entries of the observer.
+
+LEASE  A broker's lease starts when the broker sends a report and lasts lease_us by the broker's own clock. A
+leader grants the lease only after a majority has confirmed its leadership since the report arrived
+(ReadIndex). The lease becomes active once the broker has applied the log up to the read index, so a lease
+holder has applied everything that was committed before it sent the report. The leader, and any later leader,
+considers a lease expired only when lease_us plus the clock drift have passed since the last grant that it
+gave or since its election, because earlier leaders confirmed their grants before that.
 """
 
 from __future__ import annotations
@@ -27,26 +28,26 @@
 )
 
 REPORT_INTERVAL_US = 200_000
-# Four reports in a row without an answer: a parent that is silent so long is passed over for a while.
-PEER_LOST_AFTER_US = 900_000
-# Children of a broker that is no voter, or of a voter beside the other voters: 200 brokers are three levels.
+# Four consecutive reports without an answer: the broker then selects another parent.
+PEER_TIMEOUT_US = 900_000
+# Children of an observer, or observers that report to one voter: 200 brokers form three levels.
 TREE_WIDTH = 4
-# Of two monotonic clocks against each other: 1% each. Leases rest on this, nothing that is committed does.
+# Relative drift of two monotonic clocks: 1% each. Leases depend on this bound; committed state does not.
 CLOCK_DRIFT_RATIO = 0.02
-# Of one update: a quarter of what the transport takes as a frame.
+# Limits of one update: a quarter of the transport's maximum frame size.
 UPDATE_ENTRY_COUNT = 256
 UPDATE_BYTES = 256 * 1024
-# Own reports that are kept until they are granted: twelve seconds of them.
-UNGRANTED_REPORT_COUNT = 64
+# Limit of the broker's own reports that are kept until they are granted: 12 seconds of reports.
+MAX_UNGRANTED_REPORTS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class GrantRound:
-    """What the leader grants once a majority has confirmed it: the reports that it had as it asked.
+    """Reports that the leader had when it requested a read index; they are granted once it is confirmed.
 
-    :param report_numbers: of the latest report of each child
-    :param alive_brokers: those that may hold a lease by this round. Not as seen at the confirmation: a
-        broker that fell silent in between has its grant all the same.
+    :param report_numbers: number of the latest report of each child
+    :param alive_brokers: brokers that may hold a lease from this round. The set is taken when the round
+        starts: a broker that falls silent before the confirmation still gets its grant.
     """
 
     started_us: int
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentReport:
-    """A report of this broker that may still be granted, and the reports of its children that it covers."""
+    """A sent report that may still be granted, with the numbers of the child reports that it includes."""
 
     sent_us: int
     child_report_numbers: dict[str, int]
@@ -64,13 +65,13 @@
 
 @dataclass(slots=True)
 class Child:
-    """A broker that reports to this one.
+    """A broker that reports to this broker.
 
-    :param granted_report: number of its latest report that is granted
-    :param grant_index: must be applied before that grant holds
-    :param sent_granted_report: number of the latest report whose grant was passed on
-    :param sent_index: of the last entry that was sent to it
-    :param sent_us: when that was
+    :param granted_report: number of the child's latest report that was granted
+    :param grant_index: log index that the child must apply before that grant is active
+    :param sent_granted_report: number of the latest report whose grant was forwarded to the child
+    :param sent_index: index of the last log entry that was sent to the child
+    :param sent_us: time at which that entry was sent
     """
 
     report: SubtreeReport
@@ -84,14 +85,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A grant to this broker: its lease runs until end_us, once the index is applied."""
+    """A grant to this broker: its lease lasts until end_us, once the log is applied up to `index`."""
 
     end_us: int
     index: int
 
 
 class ChildGrant(NamedTuple):
-    """A grant to pass on to a child, for one of its reports; grant_index: must be applied before it holds."""
+    """A grant for a report of a child; active once the child has applied the log up to grant_index."""
 
     child: str
     report_number: int
@@ -99,13 +100,13 @@
 
 
 class FanoutTree:
-    """One broker's place in the tree.
+    """The position of one broker in the fan-out tree, with its parent, children and lease.
 
     :param brokers: names of all brokers in the order of the deploy file
-    :param voters: those of them that vote
-    :param first_number: of the reports: one that no other process of this broker is likely to use. Guards
-        against a grant for a report of the previous process, still on its way, being taken for a grant of a
-        report of this process.
+    :param voters: names of the brokers that vote
+    :param initial_report_number: number before the first report, chosen so that no other process of this
+        broker is likely to use the same numbers. Otherwise a delayed grant for a report of the previous
+        process could be taken for a grant of a report of this process.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
         voters: tuple[str, ...],
         lease_us: int,
         now_us: int,
-        first_number: int = 0,
+        initial_report_number: int = 0,
     ) -> None:
         self.me = me
         self.brokers = brokers
@@ -124,48 +125,48 @@
         self.broker_indexes = {name: index for index, name in enumerate(brokers)}
         self.leader = ""
         self.children: dict[str, Child] = {}
-        self.lease_end_us = 0  # 0: never had one
+        self.lease_end_us = 0  # 0: no lease was ever granted
         self._observers = [name for name in brokers if name not in voters]
         self._observer_indexes = {name: index for index, name in enumerate(self._observers)}
         self._grant = Grant(0, 0)
-        self._report_number = first_number
+        self._report_number = initial_report_number
         self._sent_reports: dict[int, SentReport] = {}
         self._next_report_us = now_us
         self._parent_contact_us = now_us
-        self._skipped_parent_count = 0  # silent parents: each moves this broker to the next possible parent
+        self._skipped_parent_count = 0  # each silent parent advances to the next candidate
 
     # --- the tree -------------------------------------------------------------------------------------
 
     def parent(self) -> str:
-        """Name of the broker to report to; "" where it is not known.
+        """Return the name of the broker to report to; "" if there is none.
 
-        A voter reports to the leader. The observers form a heap of TREE_WIDTH: the first of them report to
-        the voters, each other one to its parent in the heap.
+        A voter reports to the leader. The observers form a heap with TREE_WIDTH children per node: the first
+        observers report to the voters, and each other observer reports to its parent in the heap.
         """
         if self.me in self.voters:
             return self.leader if self.leader != self.me else ""
-        position = self._observer_indexes[self.me]
-        voters_children_count = len(self.voters) * TREE_WIDTH
-        # Every third try goes to a voter: guards against a parent and its neighbour that are both gone.
-        if position < voters_children_count or self._skipped_parent_count % 3 == 2:
-            return self.voters[(position + self._skipped_parent_count) % len(self.voters)]
-        parent_position = (position - voters_children_count) // TREE_WIDTH
-        # Only observers before this one are candidates: reports in a cycle would never reach the leader.
-        candidates_count = max(1, min(position, len(self._observers)))
-        return self._observers[(parent_position + self._skipped_parent_count) % candidates_count]
+        observer_index = self._observer_indexes[self.me]
+        voter_child_count = len(self.voters) * TREE_WIDTH
+        # Every third attempt selects a voter, in case a parent and its neighbour have both failed.
+        if observer_index < voter_child_count or self._skipped_parent_count % 3 == 2:
+            return self.voters[(observer_index + self._skipped_parent_count) % len(self.voters)]
+        parent_index = (observer_index - voter_child_count) // TREE_WIDTH
+        # Only earlier observers are candidates: in a cycle, reports would never reach the leader.
+        candidate_count = max(1, min(observer_index, len(self._observers)))
+        return self._observers[(parent_index + self._skipped_parent_count) % candidate_count]
 
     # --- reports --------------------------------------------------------------------------------------
 
     def on_report(self, now_us: int, report: SubtreeReport) -> None:
-        """A child has reported."""
+        """Record a report from a child."""
         if report.sender not in self.broker_indexes:
             return
         child = self.children.get(report.sender)
         if child is None:
             child = self.children[report.sender] = Child(report, now_us)
-        elif report.number <= child.report.number and now_us - child.reported_us < PEER_LOST_AFTER_US:
-            return  # late, or doubled
-        elif report.number < child.report.number:  # its process has started anew
+        elif report.number <= child.report.number and now_us - child.reported_us < PEER_TIMEOUT_US:
+            return  # delayed or duplicate report
+        elif report.number < child.report.number:  # the child process has restarted
             child.granted_report = 0
             child.sent_granted_report = 0
         informed, drained = report.informed_brokers, report.drained_brokers
@@ -174,56 +175,56 @@
         child.report = report
         child.reported_us = now_us
         if report.last_applied < child.sent_index and now_us - child.sent_us > 2 * REPORT_INTERVAL_US:
-            child.sent_index = report.last_applied  # what was sent since is lost
+            child.sent_index = report.last_applied  # later entries were lost; send them again
 
     def _live_children(self, now_us: int) -> dict[str, Child]:
-        """The children, after those were dropped that have been silent for long."""
+        """Remove children that have not reported within the timeout, and return the others."""
         for name, child in list(self.children.items()):
-            if now_us - child.reported_us > PEER_LOST_AFTER_US:
+            if now_us - child.reported_us > PEER_TIMEOUT_US:
                 del self.children[name]
         return self.children
 
-    def totals(self, now_us: int, own: SubtreeReport) -> SubtreeTotals:
-        """Totals of this broker's subtree by now.
+    def totals(self, now_us: int, own_report: SubtreeReport) -> SubtreeTotals:
+        """Return the current totals of this broker's subtree.
 
-        :param own: what this broker reports of itself
+        :param own: report of this broker alone
         """
         totals = SubtreeTotals()
-        totals.add(own)
+        totals.add(own_report)
         for child in self._live_children(now_us).values():
             totals.add(child.report)
         return totals
 
     def is_report_due(self, now_us: int) -> bool:
-        """Whether it is time for a report, or for the leader's own round; the next one is due later."""
+        """Whether a report, or a grant round of the leader, is due; if so, schedule the next one."""
         if now_us < self._next_report_us:
             return False
         self._next_report_us = now_us + REPORT_INTERVAL_US
         return True
 
     def report_soon(self) -> None:
-        """Have the next report due at once: something has changed that others wait for."""
+        """Make the next report due at once, after a change that other brokers wait for."""
         self._next_report_us = 0
 
-    def build_report(self, now_us: int, own: SubtreeReport) -> tuple[str, SubtreeReport] | None:
-        """The report of this subtree, and the parent to send it to; None where there is no parent.
+    def build_report(self, now_us: int, own_report: SubtreeReport) -> tuple[str, SubtreeReport] | None:
+        """Build the report of this subtree and return it with its parent; None if there is no parent.
 
-        :param own: what this broker reports of itself
+        :param own: report of this broker alone
         """
-        if now_us - self._parent_contact_us > PEER_LOST_AFTER_US and self.me not in self.voters:
+        if now_us - self._parent_contact_us > PEER_TIMEOUT_US and self.me not in self.voters:
             self._skipped_parent_count += 1
             self._parent_contact_us = now_us
         parent = self.parent()
         if not parent:
             return None
-        totals = self.totals(now_us, own)
+        totals = self.totals(now_us, own_report)
         self._report_number += 1
         self._sent_reports[self._report_number] = SentReport(now_us, self._child_report_numbers())
-        self._sent_reports.pop(self._report_number - UNGRANTED_REPORT_COUNT, None)
+        self._sent_reports.pop(self._report_number - MAX_UNGRANTED_REPORTS, None)
         report = SubtreeReport(
             sender=self.me,
             number=self._report_number,
-            last_applied=own.last_applied,
+            last_applied=own_report.last_applied,
             alive_brokers=encode_broker_set(totals.alive_brokers),
             incarnations=totals.incarnations,
             informed_brokers=_encode_broker_sets(totals.informed_brokers),
@@ -240,22 +241,22 @@
     # --- grants ---------------------------------------------------------------------------------------
 
     def start_grant_round(self, now_us: int) -> GrantRound:
-        """As leader: what the read index that is asked for now will grant."""
+        """On the leader: capture the reports that the read index requested now will grant."""
         alive = {self.broker_indexes[self.me]}
         for child in self._live_children(now_us).values():
             alive |= decode_broker_set(child.report.alive_brokers)
         return GrantRound(now_us, self._child_report_numbers(), alive)
 
     def confirm_round(self, grant_round: GrantRound, index: int) -> None:
-        """As leader: a majority has confirmed it after this round was started.
+        """On the leader: grant a round after a majority has confirmed the leadership since its start.
 
-        :param index: applied by then
+        :param index: log index that the leader had applied at the confirmation
         """
         self._take_grant(grant_round.started_us, index)
         self._grant_children(grant_round.report_numbers, index)
 
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
-        """Take the grant of an update of the parent."""
+        """Apply the lease grant in an update from the parent."""
         if update.sender != self.parent():
             return
         self._parent_contact_us = now_us
@@ -278,13 +279,13 @@
                 child.granted_report = number
                 child.grant_index = index
 
-    def activate_lease(self, applied: int) -> None:
-        """LEASE: the latest grant holds once its index is applied."""
-        if self._grant.end_us and applied >= self._grant.index:
+    def activate_lease(self, applied_index: int) -> None:
+        """Activate the latest grant once its index is applied (LEASE)."""
+        if self._grant.end_us and applied_index >= self._grant.index:
             self.lease_end_us = max(self.lease_end_us, self._grant.end_us)
 
     def take_pending_grants(self, now_us: int) -> list[ChildGrant]:
-        """Grants that children do not know of yet; they count as passed on with this."""
+        """Return the grants that were not yet forwarded to children, and mark them as forwarded."""
         pending = []
         for name, child in self._live_children(now_us).items():
             if child.granted_report > child.sent_granted_report:
@@ -298,5 +299,5 @@
 
 
 def lease_lapse_us(lease_us: int) -> int:
-    """How long after its grant, by the leader's clock, a lease is over by any clock."""
+    """Return the time after a grant, by the leader's clock, at which the lease has expired by any clock."""
     return int(lease_us * (1 + CLOCK_DRIFT_RATIO)) + 1
--- a/harriertide/consensus/fanout_messages.py
+++ b/harriertide/consensus/fanout_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the tree of brokers, sets of brokers in them, and the totals of a subtree.
+"""Messages of the fan-out tree, the encoding of broker sets, and the totals of a subtree.
 
-Tags and names of fields on the wire are fixed, as those of `messages` are: see `rename`.
+Tags and field names on the wire must not change, as in `messages`; `rename` maps attributes to them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from harriertide.consensus.messages import Entry
 
-# Of an encoded set of brokers: one bit for each of 256, more than the largest fleet that is supported.
+# Size of an encoded broker set: 256 bits, more than the largest supported fleet has brokers.
 BROKER_SET_BYTES = 32
 
 
@@ -30,19 +30,19 @@
         "unreachable_counts": "failed",
     },
 ):
-    """Up the tree: the totals of the sender's subtree.
+    """Report with the totals of the sender's subtree, sent up the tree.
 
-    Sets of brokers are bits by their index in the deploy file.
+    A broker set is a bitmap over the indexes of the brokers in the deploy file.
 
-    :param number: of the report; a grant names it
+    :param number: number of the report, to which a grant refers
     :param last_applied: index up to which the sender has applied the log
-    :param alive_brokers: of the subtree: those that report
-    :param incarnations: of brokers that have started lately, by name
-    :param informed_brokers: by fence of a machine's step: those that know of the step
-    :param drained_brokers: by fence: those that have no attempt open at the machine, and begin none
-    :param load_units: units a second that are offered to the brokers
-    :param learned_units: units a second that each machine is known to serve, by its name
-    :param unreachable_counts: by machine: how many brokers can't reach it
+    :param alive_brokers: brokers of the subtree that report
+    :param incarnations: incarnations of recently started brokers, by broker name
+    :param informed_brokers: brokers that know of a maintenance step, by the step's fence
+    :param drained_brokers: brokers that have no open attempt at the step's machine and start none, by fence
+    :param load_units: units per second that are offered to the brokers
+    :param learned_units: learned capacity of each machine in units per second, by machine name
+    :param unreachable_counts: number of brokers that cannot reach a machine, by machine name
     """
 
     sender: str
@@ -71,14 +71,14 @@
         "wait_reasons": "waits",
     },
 ):
-    """Down the tree: a lease grant, entries that the child lacks, or a chunk of a snapshot.
-
-    :param granted_report: number of the report that is granted, 0 for none
-    :param grant_index: must be applied before that grant holds
-    :param prev_index: index before the first of the entries
-    :param snapshot_index: of the snapshot that data is a chunk of, 0 for none
-    :param checksum: xxh3 of the snapshot's whole data
-    :param wait_reasons: for people: what each machine waits for, as the leader sees it
+    """Lease grant, log entries that the child lacks, or a chunk of a snapshot, sent down the tree.
+
+    :param granted_report: number of the report that is granted; 0 for none
+    :param grant_index: log index that the child must apply before the grant is active
+    :param prev_index: index of the log entry before the first of `entries`
+    :param snapshot_index: index of the snapshot that `data` is a chunk of; 0 for none
+    :param checksum: xxh3 checksum of the complete snapshot data
+    :param wait_reasons: for operators: what each machine waits for, as seen by the leader
     """
 
     sender: str
@@ -96,19 +96,19 @@
 
 
 def encode_broker_set(indexes: set[int]) -> bytes:
-    """Encode a set of brokers, given by their indexes in the deploy file, as it is sent."""
+    """Encode a set of broker indexes of the deploy file as a bitmap."""
     return sum(1 << index for index in indexes).to_bytes(BROKER_SET_BYTES, "little")
 
 
 def decode_broker_set(data: bytes) -> set[int]:
-    """Decode a set of brokers."""
+    """Decode a bitmap to a set of broker indexes."""
     bits = int.from_bytes(data, "little")
     return {index for index in range(8 * BROKER_SET_BYTES) if bits >> index & 1}
 
 
 @dataclass(slots=True)
 class SubtreeTotals:
-    """Totals of a subtree; the fields mean what those of a SubtreeReport do."""
+    """Totals of a subtree; the fields have the same meaning as in SubtreeReport."""
 
     alive_brokers: set[int] = field(default_factory=set)
     incarnations: dict[str, int] = field(default_factory=dict)
@@ -119,7 +119,7 @@
     unreachable_counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, report: SubtreeReport) -> None:
-        """Add what a child or this broker itself reports."""
+        """Add the report of a child or of this broker itself."""
         self.alive_brokers |= decode_broker_set(report.alive_brokers)
         self.incarnations.update(report.incarnations)
         _add_broker_sets(self.informed_brokers, report.informed_brokers)
--- a/harriertide/consensus/store.py
+++ b/harriertide/consensus/store.py
@@ -1,15 +1,15 @@
-"""A member's disk: its identity, and a log file of frames that are promised only after a sync.
-
-    identity        the disk's name, made on its first use
-    log-N           the records; N grows as the file is rewritten
-    snapshot-I      a snapshot at index I
-    lock            held while a process uses the folder
-
-A frame is synced before anybody hears of it. A torn write at the end of the log was promised to nobody, and
-is cut off. Any other frame whose checksum is wrong is damage: the member stops, its folder is kept aside
-under another name, and the broker comes back as a new member which the others catch up. A sync that fails is
-final for the process: what the system still has in memory may be lost (fsync tells a failure once, and later
-calls may say all is well).
+"""Durable storage of a Raft member: the identity of its disk, a write-ahead log and snapshots.
+
+    identity        the disk's ID, generated on first use
+    log-N           the log records; N increases each time the file is rewritten
+    snapshot-I      the snapshot at log index I
+    lock            locked while a process uses the folder
+
+A record is synced before the member acknowledges it. A torn write at the end of the log was therefore never
+acknowledged and is truncated. Any other frame with a wrong checksum means that the disk is damaged: the
+folder is renamed and kept, and the broker joins as a new member that the others bring up to date. After a
+failed sync the process writes nothing more, because the kernel may have discarded the unsynced pages: fsync
+reports a failure only once, and later calls may succeed.
 """
 
 from __future__ import annotations
@@ -28,42 +28,43 @@
     UnreadableRecordError,
     decode_record,
     decode_snapshot,
+    encode_frame,
     encode_record,
     encode_snapshot,
-    frame,
-    record_of,
+    make_record,
     split_frames,
 )
 from harriertide.consensus.messages import Snapshot
 from harriertide.decide.settings import SettingsError
 
-# A log file of this size is rewritten after a snapshot: bounds the disk and what a start has to read.
-REWRITE_BYTES = 8 * 1024 * 1024
-IDENTITY_BYTES = 6  # of randomness: two disks of one name never have the same
+# A larger log file is rewritten after a snapshot, which bounds disk usage and the time to read it at start.
+LOG_REWRITE_BYTES = 8 * 1024 * 1024
+IDENTITY_BYTES = 6  # random, so that two disks of one broker never get the same ID
 
 
 class StoreError(SettingsError):
-    """The disk can't be used: the folder, its rights, another process, or another release's files.
+    """The storage folder cannot be used.
 
-    The text says what failed, in one line. Remove the cause and start again.
+    Its path or permissions are wrong, another process uses it, or its files are from an incompatible release.
+    The message names the cause in one line. Remove the cause and restart the broker.
     """
 
 
 class StoreFailedError(StoreError):
-    """A write or a sync has failed. Final: this process writes nothing any more."""
+    """A write or a sync has failed; this process refuses every later write."""
 
 
 def sync_data(descriptor: int) -> None:
-    """Make a file's data durable."""
+    """Flush the data of a file to the disk."""
     os.fdatasync(descriptor)
 
 
 class Store:
-    """One folder, used by one process at a time.
+    """The storage folder of a member, used by one process at a time.
 
-    :ivar disk: the disk's name
-    :ivar restored: what was there when it was opened
-    :ivar path: of the log file
+    :ivar disk: ID of the disk
+    :ivar restored: the state that was read when the folder was opened
+    :ivar path: path of the current log file
     """
 
     def __init__(
@@ -89,11 +90,11 @@
 
     @classmethod
     def open(cls, folder: Path, sync: Callable[[int], None] = sync_data) -> Store:
-        """Read what is there, or make an identity on an empty folder.
+        """Restore the state from the folder, or generate an identity in an empty folder.
 
-        :param sync: in place of the system's, for tests
-        :raises DamagedError: what was promised can't be read any more
-        :raises StoreError: the folder can't be used
+        :param sync: syncs a file descriptor; tests replace it
+        :raises DamagedError: acknowledged data is unreadable
+        :raises StoreError: the folder cannot be used
         """
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -102,14 +103,16 @@
             raise StoreError(f"{folder}: {error.strerror}") from None
         try:
             disk = _read_identity(folder) or _make_identity(folder, sync)
-            path = _latest_log(folder)
+            path = _current_log(folder)
             image = _read_log(path)
             snapshot = _read_snapshot(folder, image.snapshot_index)
             if image.has_gap():
-                raise DamagedError(f"{path}: entries are missing")
+                raise DamagedError(f"{path}: log entries are missing")
             log_descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         except BaseException as error:
-            os.close(lock_descriptor)  # a damaged folder is set aside, and its place used again
+            os.close(
+                lock_descriptor
+            )  # the caller may rename a damaged folder and open a new one in its place
             if isinstance(error, OSError):
                 raise StoreError(f"{folder}: {error.strerror}") from None
             raise
@@ -119,13 +122,13 @@
         return cls(folder, disk, restored, image, path, log_descriptor, lock_descriptor, sync)
 
     def write(self, writes: list[ev.Persist]) -> None:
-        """Make these durable with one sync. Nobody may hear of them before this returns.
+        """Append the writes to the log with one sync. None may be acknowledged before this returns.
 
-        :raises StoreFailedError: now and each time from then on
+        :raises StoreFailedError: this write or an earlier one has failed
         """
         if self._failure:
             raise StoreFailedError(self._failure)
-        records = [record_of(write) for write in writes]
+        records = [make_record(write) for write in writes]
         snapshots = [write.snapshot for write in writes if write.snapshot is not None]
         with self._failures_are_final(self.path):
             for snapshot in snapshots:
@@ -134,30 +137,32 @@
             self._sync(self._log_descriptor)
         for record in records:
             self._image.apply(record)
-        if snapshots and os.fstat(self._log_descriptor).st_size > REWRITE_BYTES:
-            self._rewrite()
+        if snapshots and os.fstat(self._log_descriptor).st_size > LOG_REWRITE_BYTES:
+            self._rewrite_log()
 
     @contextmanager
     def _failures_are_final(self, path: Path) -> Iterator[None]:
         try:
             yield
         except OSError as error:
-            self._failure = f"{path}: write failed: {error.strerror}; final until the process starts again"
+            self._failure = (
+                f"{path}: write failed: {error.strerror}; no further writes until the process restarts"
+            )
             raise StoreFailedError(self._failure) from None
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
-        """Write a snapshot's file, and remove those that no record names any more.
+        """Write a snapshot file and delete older files that the log does not refer to.
 
-        The one that the log names stays until the record of the new one is synced: a crash in between finds
-        the log as it was, and needs it.
+        The snapshot that the log refers to is kept until the record of the new one is synced: after a crash
+        in between, recovery needs it.
         """
         _replace_file(self._folder / f"snapshot-{snapshot.index}", encode_snapshot(snapshot), self._sync)
-        for index in _numbers(self._folder, "snapshot"):
+        for index in _file_numbers(self._folder, "snapshot"):
             if index < snapshot.index and index != self._image.snapshot_index:
                 (self._folder / f"snapshot-{index}").unlink()
 
-    def _rewrite(self) -> None:
-        """Write the log without what is void, beside the old file, which goes once the new one is synced."""
+    def _rewrite_log(self) -> None:
+        """Write the live records to a new log file, sync it, then delete the old file."""
         path = self._folder / f"log-{_log_number(self.path) + 1}"
         with self._failures_are_final(path):
             _replace_file(path, encode_record(self._image.to_record()), self._sync)
@@ -167,7 +172,7 @@
         self.path = path
 
     def close(self) -> None:
-        """Close the files, and let another process use the folder."""
+        """Close the files and release the lock on the folder."""
         if self._log_descriptor >= 0:
             os.close(self._log_descriptor)
             os.close(self._lock_descriptor)
@@ -175,22 +180,22 @@
 
 
 def set_aside(folder: Path) -> Path:
-    """Keep a damaged folder under another name; the broker begins on an empty one, as a new member.
+    """Rename a damaged folder, so that the broker can start with an empty one as a new member.
 
-    :returns: that other name
+    :returns: the new path of the damaged folder
     """
     number = 1
-    while (aside := folder.with_name(f"{folder.name}-damaged-{number}")).exists():
+    while (damaged_folder := folder.with_name(f"{folder.name}-damaged-{number}")).exists():
         number += 1
-    os.replace(folder, aside)
-    return aside
+    os.replace(folder, damaged_folder)
+    return damaged_folder
 
 
-# --- the files ----------------------------------------------------------------------------------------
+# --- files --------------------------------------------------------------------------------------------
 
 
 def _lock(folder: Path) -> int:
-    """Lock the folder for as long as the process lives: guards against a second one that promises on it."""
+    """Lock the folder until the process ends: two processes must not acknowledge writes on one disk."""
     descriptor = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -200,37 +205,37 @@
     return descriptor
 
 
-def _numbers(folder: Path, kind: str) -> list[int]:
-    """The numbers in names of files "KIND-NUMBER", in ascending order."""
+def _file_numbers(folder: Path, kind: str) -> list[int]:
+    """Return the numbers of the files named "KIND-NUMBER", in ascending order."""
     suffixes = [path.name.partition("-")[2] for path in folder.glob(f"{kind}-*")]
     return sorted(int(suffix) for suffix in suffixes if suffix.isdigit())
 
 
 def _read_identity(folder: Path) -> str:
-    """The disk's name; "" on an empty folder."""
+    """Return the ID of the disk, or "" for an empty folder."""
     path = folder / "identity"
     if path.exists():
         payloads, _ = split_frames(path.read_bytes(), str(path))
         if not payloads:
-            raise DamagedError(f"{path}: empty")
+            raise DamagedError(f"{path}: identity file is empty")
         return payloads[0].decode()
     if any(folder.glob("log-*")) or any(folder.glob("snapshot-*")):
-        # Guards against a disk that votes a second time under a new name of its own.
-        raise DamagedError(f"{path}: missing beside a log")
+        # With a new ID the member could vote a second time in the same term.
+        raise DamagedError(f"{path}: identity file is missing, but log or snapshot files exist")
     return ""
 
 
 def _make_identity(folder: Path, sync: Callable[[int], None]) -> str:
     disk = token_hex(IDENTITY_BYTES)
-    _replace_file(folder / "identity", frame(disk.encode()), sync)
+    _replace_file(folder / "identity", encode_frame(disk.encode()), sync)
     return disk
 
 
-def _latest_log(folder: Path) -> Path:
-    """The log file in use; older ones are removed, which a rewrite left that ended just behind its sync."""
-    numbers = _numbers(folder, "log") or [1]
-    for old in numbers[:-1]:
-        (folder / f"log-{old}").unlink()
+def _current_log(folder: Path) -> Path:
+    """Return the current log file; delete older ones, left by a crash after the sync of a rewrite."""
+    numbers = _file_numbers(folder, "log") or [1]
+    for old_number in numbers[:-1]:
+        (folder / f"log-{old_number}").unlink()
     return folder / f"log-{numbers[-1]}"
 
 
@@ -239,32 +244,32 @@
 
 
 def _read_log(path: Path) -> LogImage:
-    """Read a log file, and cut a torn write off."""
+    """Read a log file and truncate a torn write at its end."""
     image = LogImage()
     if not path.exists():
         return image
     data = path.read_bytes()
-    payloads, whole_bytes = split_frames(data, str(path))
+    payloads, valid_bytes = split_frames(data, str(path))
     for payload in payloads:
         try:
             image.apply(decode_record(payload))
         except UnreadableRecordError as error:
             raise StoreError(f"{path}: {error}") from None
-    if whole_bytes < len(data):
-        os.truncate(path, whole_bytes)
+    if valid_bytes < len(data):
+        os.truncate(path, valid_bytes)
     return image
 
 
 def _read_snapshot(folder: Path, index: int) -> Snapshot | None:
-    """The snapshot that the log names, None for index 0."""
+    """Read the snapshot that the log refers to; return None for index 0."""
     if not index:
         return None
     path = folder / f"snapshot-{index}"
     if not path.exists():
-        raise DamagedError(f"{path}: missing, and the log begins behind it")
+        raise DamagedError(f"{path}: snapshot file is missing, and the log starts after it")
     payloads, _ = split_frames(path.read_bytes(), str(path))
     if not payloads:
-        raise DamagedError(f"{path}: cut short")
+        raise DamagedError(f"{path}: snapshot file is truncated")
     return decode_snapshot(payloads[0])
 
 
@@ -274,17 +279,17 @@
 
 
 def _replace_file(path: Path, data: bytes, sync: Callable[[int], None]) -> None:
-    """Write a whole file or none: under another name, synced, renamed, and the folder's entry synced."""
-    draft = path.with_name(path.name + ".new")
-    descriptor = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    """Replace a file atomically: write and sync a temporary file, rename it, then sync the folder."""
+    temporary_path = path.with_name(path.name + ".new")
+    descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         _write_all(descriptor, data)
         sync(descriptor)
     finally:
         os.close(descriptor)
-    os.replace(draft, path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    os.replace(temporary_path, path)
+    folder_descriptor = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(folder_descriptor)
     finally:
-        os.close(folder)
+        os.close(folder_descriptor)
--- a/harriertide/consensus/transport.py
+++ b/harriertide/consensus/transport.py
@@ -1,10 +1,9 @@
-"""Frames between members over TCP: a length, a checksum, one message. Bounded in size and memory; it decides
-nothing.
+"""Message transport between Raft members over TCP, with bounded frame sizes and queues.
 
-Each member dials each other one and sends on that connection; what it receives comes on connections that
-others made. A frame that is too long, or whose checksum or message is wrong, ends its connection and is
-counted. What can't be sent in time is dropped, oldest first: the protocol repeats what it needs, and a slow
-member costs the others nothing.
+A frame holds a length, a checksum and one message. Each member connects to every other member, sends only on
+the connections that it opened, and receives only on those that it accepted. A frame that is too long or has a
+wrong checksum or an invalid message is counted and closes its connection. When the queue of a member is full,
+its oldest frames are dropped: Raft retransmits what it needs, and a slow member does not delay the others.
 """
 
 from __future__ import annotations
@@ -19,25 +18,25 @@
 
 from harriertide.engine.clock import sleep_until
 
-_FRAME_HEAD = struct.Struct("<II")
-# Of one payload: four batches of entries, or sixteen chunks of a snapshot.
+_FRAME_HEADER = struct.Struct("<II")
+# Limit of one payload: four batches of entries, or sixteen chunks of a snapshot.
 MAX_FRAME_BYTES = 1024 * 1024
-# Queued for one member: it may lag by two of the longest frames, and costs no more than that.
+# Queue limit for one member: two frames of the maximum size.
 MAX_QUEUED_BYTES = 2 * 1024 * 1024
-# In the system's hands for one member before more is queued here, where it can still be dropped.
+# Limit of the write buffer of one connection; further frames wait in the queue, where they can be dropped.
 WRITE_BUFFER_BYTES = 256 * 1024
-# Of connections that others made: five times the largest fleet, so only strangers can fill it.
+# Limit of accepted connections: five times the largest fleet, so that only foreign clients can reach it.
 MAX_CONNECTION_COUNT = 1024
 CONNECT_TIMEOUT_S = 1.0
-# Backoff between attempts to connect: it doubles from the first to the last of these.
-FIRST_BACKOFF_S = 0.05
+# The backoff between connection attempts doubles from the first of these values to the second.
+MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 
 
 class IncomingConnection(asyncio.Protocol):
-    """A connection that another member made: bytes to frames.
+    """An accepted connection; splits the received bytes into frames.
 
-    :param on_frame: takes a payload; whether it was a message
+    :param on_frame: handles a payload and returns whether it was a valid message
     """
 
     def __init__(self, transport: Transport, on_frame: Callable[[bytes], bool]) -> None:
@@ -47,7 +46,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep it, unless there are too many."""
+        """Register the connection, or abort it when the limit of connections is reached."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if len(self._owner.connections) >= MAX_CONNECTION_COUNT:
@@ -57,17 +56,17 @@
         self._owner.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take the frames that are complete by now."""
+        """Handle all frames that have been received completely."""
         self._received += data
-        while len(self._received) >= _FRAME_HEAD.size:
-            size, checksum = _FRAME_HEAD.unpack_from(self._received)
-            end = _FRAME_HEAD.size + size
+        while len(self._received) >= _FRAME_HEADER.size:
+            size, checksum = _FRAME_HEADER.unpack_from(self._received)
+            end = _FRAME_HEADER.size + size
             if size > MAX_FRAME_BYTES:
                 self._reject("too_long")
                 return
             if len(self._received) < end:
                 return
-            payload = bytes(self._received[_FRAME_HEAD.size : end])
+            payload = bytes(self._received[_FRAME_HEADER.size : end])
             del self._received[:end]
             if xxhash.xxh32_intdigest(payload) != checksum:
                 self._reject("wrong_checksum")
@@ -77,25 +76,25 @@
                 return
 
     def _reject(self, counter: str) -> None:
-        """Close it: nothing that comes later can be trusted to begin where a frame begins."""
+        """Close the connection, because the start of the next frame is unknown."""
         self._owner.counts[counter] += 1
         self._received.clear()
         self.close()
 
     def close(self) -> None:
-        """Close it at once."""
+        """Abort the connection without sending buffered data."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget it; a frame of which only a part has come is counted."""
+        """Unregister the connection and count a partially received frame."""
         if self._received:
             self._owner.counts["half"] += 1
         self._owner.connections.discard(self)
 
 
-class Route:
-    """To one member: a bounded queue, and a task that keeps a connection up while there is work for it."""
+class PeerSender:
+    """Sends frames to one member: a bounded queue, and a task that connects when frames are queued."""
 
     def __init__(self, address: tuple[str, int], counts: Counter[str]) -> None:
         self.address = address
@@ -103,31 +102,31 @@
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
         self._has_frames = asyncio.Event()
-        # The connection while its task has nothing to write: then a frame may be written beside the task.
+        # Set while the task has nothing to write; `send` may then write to the connection directly.
         self._idle_connection: asyncio.WriteTransport | None = None
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes that wait here to be written."""
+        """Size of the queued frames that are not yet written to a connection."""
         return self._queued_bytes
 
     @property
     def is_connected(self) -> bool:
-        """Whether a connection is up that has been idle since its start at least once."""
+        """Whether a connection is open and has written its whole queue at least once."""
         return self._idle_connection is not None
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that were written and are not sent yet; 0 without a connection."""
+        """Bytes in the write buffer of the connection; 0 without a connection."""
         return self._idle_connection.get_write_buffer_size() if self._idle_connection is not None else 0
 
     def send(self, payload: bytes) -> None:
-        """Send a frame at once where the connection is up and takes it; else later, or never."""
-        frame = _FRAME_HEAD.pack(len(payload), xxhash.xxh32_intdigest(payload)) + payload
+        """Write a frame directly if the connection has room; otherwise queue it, where it may be dropped."""
+        frame = _FRAME_HEADER.pack(len(payload), xxhash.xxh32_intdigest(payload)) + payload
         connection = self._idle_connection
         if connection is not None and self._can_write_now(connection):
-            self._write(connection, frame)  # no task has to wake for it: a commit passes here four times
+            self._write(connection, frame)  # avoids waking the task, which each commit would do four times
             return
         self._queue.append(frame)
         self._queued_bytes += len(frame)
@@ -142,8 +141,8 @@
         return connection.get_write_buffer_size() < WRITE_BUFFER_BYTES
 
     async def _run(self) -> None:
-        """Connect when there is something to send, and again after a backoff."""
-        backoff_s = FIRST_BACKOFF_S
+        """Connect when a frame is queued; retry a failed connection after a backoff."""
+        backoff_s = MIN_BACKOFF_S
         while True:
             await self._has_frames.wait()
             try:
@@ -154,7 +153,7 @@
                 await sleep_until(asyncio.get_running_loop().time() + backoff_s)
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
                 continue
-            backoff_s = FIRST_BACKOFF_S
+            backoff_s = MIN_BACKOFF_S
             try:
                 await self._send_queue(reader, writer)
             except OSError:
@@ -164,7 +163,7 @@
                 writer.transport.abort()
 
     def _drop_queue(self) -> None:
-        """The member can't be reached: what it missed is of no use to it later."""
+        """Discard the queue of an unreachable member: stale frames are of no use to it later."""
         self._counts["unreached"] += 1
         self._queue.clear()
         self._queued_bytes = 0
@@ -176,7 +175,7 @@
         connection.write(frame)
 
     async def _send_queue(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send until the other end closes: it never sends anything, so whatever can be read is its end."""
+        """Send until the peer closes the connection; it sends no data, so any read result means a close."""
         writer.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         closed = asyncio.ensure_future(reader.read(1))
         has_frames = asyncio.ensure_future(self._has_frames.wait())
@@ -198,11 +197,11 @@
             await asyncio.gather(closed, has_frames, return_exceptions=True)
 
     def stop(self) -> None:
-        """Send no more."""
+        """Cancel the sending task."""
         self._task.cancel()
 
     async def close(self) -> None:
-        """Send no more, and wait until the task has ended."""
+        """Cancel the sending task and wait until it has ended."""
         self.stop()
         with suppress(asyncio.CancelledError):
             await self._task
@@ -211,41 +210,43 @@
 class Transport:
     """All connections of one member.
 
-    :param on_frame: takes a payload that has come; whether it was a message
+    :param on_frame: handles a received payload and returns whether it was a valid message
     """
 
     def __init__(self, on_frame: Callable[[bytes], bool]) -> None:
         self.counts: Counter[str] = Counter()
         self.connections: set[IncomingConnection] = set()
-        self.routes: dict[str, Route] = {}
+        self.peer_senders: dict[str, PeerSender] = {}
         self._on_frame = on_frame
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: tuple[str, int]) -> int:
-        """Take connections of others here.
+        """Accept connections from other members at this address.
 
-        :returns: the port, where the system chose it
+        :returns: the port, which the system chooses if the address has port 0
         """
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: IncomingConnection(self, self._take_frame), *address)
+        self._server = await loop.create_server(
+            lambda: IncomingConnection(self, self._receive_frame), *address
+        )
         return int(self._server.sockets[0].getsockname()[1])
 
-    def _take_frame(self, payload: bytes) -> bool:
+    def _receive_frame(self, payload: bytes) -> bool:
         self.counts["frames_in"] += 1
         self.counts["bytes_in"] += len(payload)
         return self._on_frame(payload)
 
     def send(self, name: str, address: tuple[str, int], payload: bytes) -> None:
-        """Send a frame to a member by its name, at the address of the deploy file."""
+        """Send a frame to the named member at its address from the deploy file."""
         if len(payload) > MAX_FRAME_BYTES:
             self.counts["unsent"] += 1
             return
-        route = self.routes.get(name)
-        if route is None or route.address != address:
-            if route is not None:
-                route.stop()
-            route = self.routes[name] = Route(address, self.counts)
-        route.send(payload)
+        peer_sender = self.peer_senders.get(name)
+        if peer_sender is None or peer_sender.address != address:
+            if peer_sender is not None:
+                peer_sender.stop()
+            peer_sender = self.peer_senders[name] = PeerSender(address, self.counts)
+        peer_sender.send(payload)
 
     async def close(self) -> None:
         """Close the listener and all connections."""
@@ -253,5 +254,5 @@
             self._server.close()
         for connection in list(self.connections):
             connection.close()
-        for route in self.routes.values():
-            await route.close()
+        for peer_sender in self.peer_senders.values():
+            await peer_sender.close()
--- a/tests/test_maintenance_snapshots.py
+++ b/tests/test_maintenance_snapshots.py
@@ -1,4 +1,4 @@
-"""Members that come back with a snapshot have the same agreed state as those that stayed."""
+"""A member restored from a snapshot has the same replicated state as a member that kept running."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 NEXT_PHASE = {"permitted": "draining", "draining": "out", "out": "returning", "returning": "back"}
 
 
-def draw_command(random: Random, agreed: MaintenanceStateMachine, number: int) -> Command:
-    """A command as a leader or an operator may propose it now."""
-    at_s = 1_000.0 + number - random.choice([0.0, 0.0, 50.0])  # proposers' wall clocks differ
-    state = agreed.state
+def draw_command(random: Random, state_machine: MaintenanceStateMachine, number: int) -> Command:
+    """Draw a random command that a leader or an operator could propose in the current state."""
+    at_s = 1_000.0 + number - random.choice([0.0, 0.0, 50.0])  # the wall clocks of proposers differ
+    state = state_machine.state
     active = state.active_steps()
     if active and random.random() < 0.4:
         step: Step = random.choice(active)
@@ -57,20 +57,20 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_member_that_restarts_at_any_time_keeps_the_state_of_the_others(seed: int) -> None:
-    """Guards against an order of entries that a snapshot changes and that a command's effect depends on."""
+def test_a_member_restored_from_a_snapshot_keeps_the_same_state(seed: int) -> None:
+    """A snapshot may change the order of entries; the effect of a command must not depend on it."""
     random = Random(seed)
-    stayed, restarting = MaintenanceStateMachine(), MaintenanceStateMachine()
+    running, restarting = MaintenanceStateMachine(), MaintenanceStateMachine()
     declared = DeclareMachines(NODES + BROKERS, tuple(broker.name for broker in BROKERS), 1.0)
     commands: list[Command] = [declared]
     for number in range(1_500):
         for command in commands:
             data = encode_command(command)
-            assert stayed.apply(number, data) == restarting.apply(number, data)
+            assert running.apply(number, data) == restarting.apply(number, data)
         if random.random() < 0.02:
             restored = MaintenanceStateMachine()
             restored.load(restarting.dump())
             restarting = restored
-        assert stayed.dump() == restarting.dump()
-        commands = [draw_command(random, stayed, number)]
-    assert len(stayed.state.orders) > KEPT_ORDER_COUNT
+        assert running.dump() == restarting.dump()
+        commands = [draw_command(random, running, number)]
+    assert len(running.state.orders) > KEPT_ORDER_COUNT
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Frames between members on real sockets: in order, within bounds, and over again when one comes back."""
+"""Transport on real sockets: frame order, queue limits, and reconnection to a restarted member."""
 
 from __future__ import annotations
 
@@ -8,99 +8,100 @@
 from harriertide.consensus.transport import MAX_FRAME_BYTES, MAX_QUEUED_BYTES, WRITE_BUFFER_BYTES, Transport
 
 HOST = "127.0.0.1"
-WITHIN_S = 10.0
+TIMEOUT_S = 10.0
 
 
-async def eventually(look: Callable[[], bool]) -> None:
-    async with asyncio.timeout(WITHIN_S):
-        while not look():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
-def test_frames_come_in_order_whether_they_were_held_or_written_at_once() -> None:
-    """Frames are queued or written beside the task, and must not overtake each other."""
+def test_queued_and_directly_written_frames_arrive_in_order() -> None:
+    """Some frames are queued and others are written directly; none may overtake another."""
 
     async def main() -> None:
-        heard: list[bytes] = []
-        near, far = (
+        received: list[bytes] = []
+        sender, receiver = (
             Transport(lambda payload: True),
-            Transport(lambda payload: bool(heard.append(payload)) or True),
+            Transport(lambda payload: bool(received.append(payload)) or True),
         )
-        port = await far.listen((HOST, 0))
+        port = await receiver.listen((HOST, 0))
         sent = [b"%d" % number * (1 + number % 7 * 500) for number in range(600)]
         for number, payload in enumerate(sent):
-            near.send("b", (HOST, port), payload)
+            sender.send("b", (HOST, port), payload)
             if number % 50 == 0:
-                await asyncio.sleep(0)  # in one turn and over many
+                await asyncio.sleep(0)  # sends within one turn of the event loop and across several
             if number == 300:
-                await eventually(lambda: len(heard) == 301)  # and on a connection that is up and idle
-        await eventually(lambda: len(heard) == len(sent))
-        assert heard == sent and near.counts["frames_out"] == len(sent) and not near.counts["dropped"]
-        near.send("b", (HOST, port), b"x" * (MAX_FRAME_BYTES + 1))
-        assert near.counts["unsent"] == 1
-        await near.close()
-        await far.close()
+                await wait_until(lambda: len(received) == 301)  # then sends on an idle connection
+        await wait_until(lambda: len(received) == len(sent))
+        assert received == sent and sender.counts["frames_out"] == len(sent) and not sender.counts["dropped"]
+        sender.send("b", (HOST, port), b"x" * (MAX_FRAME_BYTES + 1))
+        assert sender.counts["unsent"] == 1
+        await sender.close()
+        await receiver.close()
 
     asyncio.run(main())
 
 
-def test_a_member_that_takes_nothing_costs_the_others_nothing_and_holds_no_more_than_it_may() -> None:
-    """A member accepts a connection and never reads. Its queue keeps its bound, and the others get all."""
+def test_a_member_that_does_not_read_has_a_bounded_queue_and_delays_no_other_member() -> None:
+    """A member accepts a connection and never reads. Its queue stays bounded; the others get all frames."""
 
     async def main() -> None:
-        stuck = asyncio.Event()
+        finished = asyncio.Event()
 
-        async def deaf(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def accept_without_reading(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await stuck.wait()
+            await finished.wait()
 
-        server = await asyncio.start_server(deaf, HOST, 0, limit=1024)
-        heard: list[bytes] = []
-        near, far = (
+        server = await asyncio.start_server(accept_without_reading, HOST, 0, limit=1024)
+        received: list[bytes] = []
+        sender, receiver = (
             Transport(lambda payload: True),
-            Transport(lambda payload: bool(heard.append(payload)) or True),
+            Transport(lambda payload: bool(received.append(payload)) or True),
         )
-        port, silent = await far.listen((HOST, 0)), int(server.sockets[0].getsockname()[1])
+        port, stalled_port = await receiver.listen((HOST, 0)), int(server.sockets[0].getsockname()[1])
         for number in range(200):
-            near.send("deaf", (HOST, silent), b"x" * 100_000)  # twenty megabytes
-            near.send("b", (HOST, port), b"%d" % number)
+            sender.send("deaf", (HOST, stalled_port), b"x" * 100_000)  # 20 MB in total
+            sender.send("b", (HOST, port), b"%d" % number)
             await asyncio.sleep(0)
-        await eventually(lambda: len(heard) == 200)
-        route = near.routes["deaf"]
-        assert near.counts["dropped"] > 0 and route.queued_bytes <= MAX_QUEUED_BYTES
-        assert route.is_connected and route.buffered_bytes <= WRITE_BUFFER_BYTES + MAX_FRAME_BYTES
-        stuck.set()
+        await wait_until(lambda: len(received) == 200)
+        peer_sender = sender.peer_senders["deaf"]
+        assert sender.counts["dropped"] > 0 and peer_sender.queued_bytes <= MAX_QUEUED_BYTES
+        assert peer_sender.is_connected and peer_sender.buffered_bytes <= WRITE_BUFFER_BYTES + MAX_FRAME_BYTES
+        finished.set()
         server.close()
-        await near.close()
-        await far.close()
+        await sender.close()
+        await receiver.close()
 
     asyncio.run(main())
 
 
-def test_one_that_comes_back_hears_again_and_what_it_missed_is_gone() -> None:
-    """A member restarts. What was sent meanwhile is dropped, not delivered late, and new frames reach it."""
+def test_a_restarted_member_receives_new_frames_and_no_stale_ones() -> None:
+    """A member restarts. Frames sent while it was down are dropped; new frames reach it."""
 
     async def main() -> None:
-        heard: list[bytes] = []
+        received: list[bytes] = []
 
-        def take(payload: bytes) -> bool:
-            heard.append(payload)
+        def receive(payload: bytes) -> bool:
+            received.append(payload)
             return True
 
-        near, far = Transport(lambda payload: True), Transport(take)
-        port = await far.listen((HOST, 0))
-        near.send("b", (HOST, port), b"1")
-        await eventually(lambda: heard == [b"1"])
-        await far.close()
-        await eventually(lambda: not near.routes["b"].is_connected)  # seen at once, not by the next loss
-        near.send("b", (HOST, port), b"2")
-        await eventually(lambda: near.counts["unreached"] > 0)
-        again = Transport(take)
-        await again.listen((HOST, port))
-        near.send("b", (HOST, port), b"3")
-        await eventually(lambda: heard[-1] == b"3")
-        assert b"2" not in heard
-        await near.close()
-        await again.close()
+        sender, receiver = Transport(lambda payload: True), Transport(receive)
+        port = await receiver.listen((HOST, 0))
+        sender.send("b", (HOST, port), b"1")
+        await wait_until(lambda: received == [b"1"])
+        await receiver.close()
+        # The loss is detected before the next send.
+        await wait_until(lambda: not sender.peer_senders["b"].is_connected)
+        sender.send("b", (HOST, port), b"2")
+        await wait_until(lambda: sender.counts["unreached"] > 0)
+        restarted_receiver = Transport(receive)
+        await restarted_receiver.listen((HOST, port))
+        sender.send("b", (HOST, port), b"3")
+        await wait_until(lambda: received[-1] == b"3")
+        assert b"2" not in received
+        await sender.close()
+        await restarted_receiver.close()
 
     asyncio.run(main())
