--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -247,4 +247,4 @@
         _, acknowledged_index = run_until_killed(folder, max_calls)
         found = reopen(folder)
         last = found.entries[-1].index if found.entries else (found.snapshot.index if found.snapshot else 0)
-        assert last >= acknowledged_index, f"killed after {max_calls} system calls"
+        assert last >= acknowledged_index, f"killed at system call {max_calls}"
