--- a/harriertide/maintenance/__init__.py
+++ b/harriertide/maintenance/__init__.py
@@ -1,20 +1,20 @@
-"""Maintenance: machines are taken out of service for work in an order that the brokers agree on. Pure.
+"""Maintenance: the brokers agree on when each machine is taken out of service. The package does no I/O.
 
 =================  =============================================================================
-orders             an operator's order, and what is checked of it
-phases             the phases of a machine under an order, and which may follow which
-commands           the commands that members agree on, as the log carries them
-state              the agreed state, as a snapshot holds it
-agreed_limits      may a machine be taken out, by what is agreed on alone
+orders             an operator's order and its validation
+phases             the phases of a machine in an order, and the allowed transitions
+commands           the replicated commands, as encoded in the log
+state              the replicated state, as stored in a snapshot
+agreed_limits      checks of a permit against the replicated state alone
 state_machine      applies commands to the state
-facts              what the leader has heard from brokers, and the planner's settings
-confirmations      which brokers have yet to confirm a permit or a drain
-capacity           what the nodes can serve, and what they have to
-failures           which machines are out of service that nobody planned to take out
-permits            which machine is taken out next, and why one is not
-phase_changes      when a machine goes on to its next phase
+facts              the leader's view of the brokers, and the planner's settings
+confirmations      brokers that have not yet confirmed a permit or a drain
+capacity           the available and the required capacity of the nodes
+failures           detection of machines that failed without an order
+permits            selection of the next machine, and the reasons for a refusal
+phase_changes      conditions of the next phase of a step
 planner            the commands that the leader proposes
-forecast           what would come of an order
-send_gate          which machines a broker may send to, by its own lease
+forecast           simulation of an order
+send_gate          the machines that a broker may send to under its lease
 =================  =============================================================================
 """
--- a/harriertide/maintenance/agreed_limits.py
+++ b/harriertide/maintenance/agreed_limits.py
@@ -1,11 +1,11 @@
-"""May a machine be taken out of service, by what is agreed on alone?
+"""Checks whether a machine may be taken out of service, based on the replicated state alone.
 
-Each member asks this where a permit takes effect, so that what the leader that proposed it knew may have been
-overtaken. The limits that have a name are invariants: `harriertide/lab` tests each.
+Each member checks a permit when it applies the command, because the state may have changed since the leader
+proposed it. The named limits are invariants, and `harriertide/lab` tests each of them.
 
-ONCE       of an order never more than at_once machines are out of service
-GROUP      of one declared group never two are
-QUORUM     voters that are in service are a majority plus the order's spare
+ONCE       at most at_once machines of an order are out of service
+GROUP      at most one machine of a declared group is out of service
+QUORUM     the voters in service are at least a majority plus the order's spare
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 def find_open_prerequisite(state: MaintenanceState, order: Order) -> str:
-    """Return an order that has to be over first, or ""."""
+    """Return an order that has to finish first, or ""."""
     return next((name for name in order.after if name not in state.orders or state.is_open(name)), "")
 
 
 def find_refusal(state: MaintenanceState, machine: str, order: Order) -> str:
-    """Return why a machine may not be permitted now, in one plain line for operators; "" if it may."""
+    """Return why a machine may not be permitted now, in one line for operators; "" if it may."""
     step = state.steps.get(order.id, {}).get(machine)
     if step is None or step.phase != "waiting":
         return f"{machine} does not wait in {order.id}"
@@ -48,14 +48,14 @@
 
 
 def _check_concurrency(state: MaintenanceState, order: Order) -> str:
-    """ONCE."""
+    """Check ONCE."""
     if state.active_step_count(order.id) >= order.at_once:
         return f"{order.at_once} of {order.id} are under way"
     return ""
 
 
 def _check_group(state: MaintenanceState, machine: str) -> str:
-    """GROUP: a machine that failed counts as out of service, unless it is the one in question."""
+    """Check GROUP. A failed machine counts as out of service, unless it is the machine to be taken out."""
     group = state.machines[machine].group
     out_of_service = {step.machine for step in state.active_steps()}
     out_of_service |= set(state.failed_since_s) - {machine}
@@ -66,13 +66,13 @@
 
 
 def _check_quorum(state: MaintenanceState, machine: str, order: Order) -> str:
-    """QUORUM: voters that failed or are gone are out of service as well."""
+    """Check QUORUM. Voters that failed or are gone count as out of service."""
     if not state.machines[machine].voter:
         return ""
-    voters = {each.name for each in state.machines.values() if each.voter}
+    voters = {voter.name for voter in state.machines.values() if voter.voter}
     active = {step.machine for step in state.active_steps()}
-    left = voters - active - set(state.failed_since_s) - state.gone_brokers - {machine}
+    remaining_voters = voters - active - set(state.failed_since_s) - state.gone_brokers - {machine}
     majority = len(voters) // 2 + 1
-    if len(left) < majority + order.spare:
-        return f"{len(left)} voters would be left of {len(voters)}"
+    if len(remaining_voters) < majority + order.spare:
+        return f"{len(remaining_voters)} voters would be left of {len(voters)}"
     return ""
--- a/harriertide/maintenance/capacity.py
+++ b/harriertide/maintenance/capacity.py
@@ -1,4 +1,4 @@
-"""What the nodes that are in service can serve, and how much must be left while one is taken out."""
+"""Capacity of the nodes in service, and the capacity that must remain while a node is taken out."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from harriertide.maintenance.facts import PlanningContext
 from harriertide.maintenance.orders import HOUR_S, Machine
 
-HEADROOM_RATIO = 1.1  # of what is required: a load that rises a little is still served
+HEADROOM_RATIO = 1.1  # times the required capacity, so that a small rise in load is still served
 WARM_UP_START_RATIO = (
-    0.3  # of its rate that a node serves as it returns; it grows to all of it while it warms up
+    0.3  # share of its full rate that a returning node serves; grows to 1 during the warm-up
 )
-MIN_WARM_UP_S = 0.1  # where the operator's file says 0
-LOAD_RISE_RATIO = 1.1  # above the recorded peak, and
-LOAD_RISE_UNITS = 1.0  # so many units a second more: a smaller rise does not justify an entry of the log
+MIN_WARM_UP_S = 0.1  # used if the operator's file has a smaller value
+LOAD_RISE_RATIO = 1.1  # relative to the recorded peak, plus LOAD_RISE_UNITS
+LOAD_RISE_UNITS = 1.0  # units per second; a smaller rise does not justify a log entry
 
 
 def node_units(context: PlanningContext, machine: Machine) -> float:
-    """Return what a node serves a second: as stated, as learned, or as the others; 0 where none is known.
+    """Return the rate of a node in units per second: configured, learned, or the median of the others.
 
-    Brokers report what they learn while a node is overloaded, and only then: older rates say how much load
-    came, not how much the node can serve, and would hold up orders for ever.
+    Returns 0 if no rate is known. Brokers report learned rates only while a node is overloaded: rates from
+    other times measure the offered load and not the capacity, and would block orders forever.
     """
     if machine.units:
         return machine.units
@@ -33,17 +33,17 @@
 
 
 def available_units(context: PlanningContext, without: str = "") -> float:
-    """Return what all nodes in service serve a second, a returning one as far as it is warm.
+    """Return the total rate of all nodes in service; a returning node counts in proportion to its warm-up.
 
-    :param without: a node that is to be left out
+    :param without: name of a node to exclude
     """
     state = context.state
-    step_of = {step.machine: step for step in state.active_steps()}
+    steps_by_machine = {step.machine: step for step in state.active_steps()}
     total = 0.0
     for machine in state.machines.values():
         if machine.is_broker or machine.name == without or machine.name in state.failed_since_s:
             continue
-        step = step_of.get(machine.name)
+        step = steps_by_machine.get(machine.name)
         if step is None:
             total += node_units(context, machine)
         elif step.phase == "returning":
@@ -55,7 +55,7 @@
 
 
 def required_units(context: PlanningContext, duration_s: float) -> float:
-    """Return what must be left: for reserves, the load now, and the peaks of the hours of the work."""
+    """Return the required capacity: the maximum of reserves, current load and peaks during the work."""
     first = int(context.now_s // HOUR_S)
     last = int((context.now_s + duration_s) // HOUR_S)
     hours = range(first, min(last, first + HOURS_PER_DAY) + 1)
@@ -64,7 +64,7 @@
 
 
 def propose_peak_load(context: PlanningContext) -> list[RecordPeakLoad]:
-    """Return the load to record for this hour of the day, where it is well above the recorded peak."""
+    """Return the peak load to record for this hour of the day, if it is well above the recorded peak."""
     hour = int(context.now_s // HOUR_S) % HOURS_PER_DAY
     load_units = context.facts.load_units
     peak = context.state.peak_load_by_hour.get(hour, 0.0)
--- a/harriertide/maintenance/commands.py
+++ b/harriertide/maintenance/commands.py
@@ -1,8 +1,8 @@
-"""The commands that members agree on, as the log carries them, and the result of each.
+"""Replicated commands as encoded in the log, and their results.
 
-Tags and the names of encoded fields are those of the log, which releases before this one wrote: where a field
-has another name here, `rename` holds the encoded one. at_s is always the wall clock of the member that
-proposed the command, in Unix seconds.
+Tags and encoded field names must stay compatible with logs of earlier releases: where an attribute has
+another name, `rename` holds the encoded one. at_s is always the wall clock of the member that proposed the
+command, in Unix seconds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class DeclareMachines(Struct, frozen=True, tag="declare"):
-    """The inventory, as the leader's file has it. brokers: those that may send, in the order of the file."""
+    """Sets the inventory from the leader's file. brokers: those that may send, in the order of the file."""
 
     machines: tuple[Machine, ...]
     brokers: tuple[str, ...]
@@ -25,28 +25,28 @@
 
 
 class SubmitOrder(Struct, frozen=True, tag="request"):
-    """An operator's order."""
+    """Submits an operator's order."""
 
     order: Order
     at_s: float
 
 
 class CancelOrder(Struct, frozen=True, tag="cancel"):
-    """Nothing more of an order begins; what is out comes back."""
+    """Cancels an order: no further machines are taken out, and machines that are out return."""
 
     order: str
     at_s: float
 
 
 class PausePermits(Struct, frozen=True, tag="hold", rename={"paused": "on"}):
-    """No new permits are granted, or they are again."""
+    """Pauses or resumes the granting of permits."""
 
     paused: bool
     at_s: float
 
 
 class GrantPermit(Struct, frozen=True, tag="permit"):
-    """A machine may be taken out of service."""
+    """Permits a machine to be taken out of service."""
 
     machine: str
     order: str
@@ -56,9 +56,9 @@
 class ChangePhase(
     Struct, frozen=True, tag="move", rename={"phase": "to", "reason": "why", "incarnation": "life"}
 ):
-    """A machine under a fence goes on to a phase; under any other fence nothing changes.
+    """Moves the active step of a machine to a phase; refused if the fence is not the step's fence.
 
-    incarnation: of a broker that goes out, the process that does.
+    incarnation: of a broker that goes out, the incarnation of its process.
     """
 
     machine: str
@@ -70,7 +70,7 @@
 
 
 class ReportFailure(Struct, frozen=True, tag="failed", rename={"failed": "away"}):
-    """A machine that nobody planned to take out is out of service, or is in service again."""
+    """Records that a machine failed without a maintenance order, or that it recovered."""
 
     machine: str
     failed: bool
@@ -78,7 +78,7 @@
 
 
 class MarkBrokerGone(Struct, frozen=True, tag="gone"):
-    """By an operator's word a broker's process has ended for good and sends nothing; or it is back."""
+    """Records an operator's statement that a broker's process has ended for good, or its return."""
 
     broker: str
     gone: bool
@@ -86,7 +86,7 @@
 
 
 class RecordPeakLoad(Struct, frozen=True, tag="pattern"):
-    """The highest load of an hour of the day, in units a second."""
+    """Records the peak load of an hour of the day, in units per second."""
 
     hour: int
     units: float
@@ -107,7 +107,7 @@
 
 
 class CommandResult(Struct, frozen=True, rename={"refusal": "refused"}):
-    """The result, for the proposer. refusal: why nothing changed, in one plain line; "" if it did."""
+    """The result for the proposer. refusal: why the command was refused, in one line; "" if applied."""
 
     refusal: str = ""
     fence: int = 0
@@ -118,19 +118,19 @@
 
 
 def command_name(command: Command) -> str:
-    """Return the name of a command for logs: its tag in the log of commands, with a capital."""
+    """Return the name of a command for log lines: its capitalized tag."""
     return str(command.__struct_config__.tag).capitalize()
 
 
 def encode_command(command: Command) -> bytes:
-    """Encode a command as the log carries it."""
+    """Encode a command for the log."""
     return msgspec.msgpack.encode(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """Decode a command of the log.
+    """Decode a command from the log.
 
-    :raises msgspec.MsgspecError: it is none
+    :raises msgspec.MsgspecError: the data is not a valid command
     """
     return _command_decoder.decode(data)
 
@@ -141,7 +141,7 @@
 
 
 def decode_result(data: bytes) -> CommandResult:
-    """Decode a result as a call returns it. One that is not kept any more counts as refused."""
+    """Decode the result of a proposal. A result that is no longer stored counts as refused."""
     try:
         return _result_decoder.decode(data)
     except msgspec.MsgspecError:
--- a/harriertide/maintenance/facts.py
+++ b/harriertide/maintenance/facts.py
@@ -1,4 +1,4 @@
-"""What the leader has heard from brokers, and the settings that the planner goes by."""
+"""The leader's view of the brokers from their reports, and the settings of the planner."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """Settings of the operator's file, and of the requests that brokers serve.
+    """Settings from the operator's file and from the requests that brokers serve.
 
     lease_us: how long a broker may send after a report. longest_attempt_us: the longest deadline of an
-    attempt. isolation_limit_us: a broker that was cut off so long after its lease sends nothing at all any
-    more; 0: it goes on. warm_up_s: a node that returns is warm after so long.
+    attempt. isolation_limit_us: time after the end of its lease at which an isolated broker stops sending
+    altogether; 0 if it never does. warm_up_s: duration of the warm-up of a returning node.
     """
 
     lease_us: int = 3_000_000
@@ -24,20 +24,26 @@
 
 @dataclass(slots=True)
 class LeaderFacts:
-    """What the present leader has heard. Times are on its own clock; brokers by their index in the file."""
+    """Data that the current leader has received. Times are on its clock; brokers are indexes in the file."""
 
     leading_since_us: int = 0
-    last_grant_us: dict[int, int] = field(default_factory=dict)  # of a lease, by broker
-    informed_brokers: dict[int, set[int]] = field(default_factory=dict)  # by fence: who knows of the permit
-    drained_brokers: dict[int, set[int]] = field(default_factory=dict)  # by fence: who has nothing open there
-    incarnations: dict[str, int] = field(default_factory=dict)  # by broker: the process that is there
-    learned_units: dict[str, float] = field(default_factory=dict)  # by node: units a second
-    load_units: float = 0.0  # of all brokers, a second
-    reserved_units: float = 0.0  # of all grades, a second
+    last_grant_us: dict[int, int] = field(default_factory=dict)  # time of the latest lease grant, by broker
+    informed_brokers: dict[int, set[int]] = field(
+        default_factory=dict
+    )  # by fence: brokers that know of the permit
+    drained_brokers: dict[int, set[int]] = field(
+        default_factory=dict
+    )  # by fence: brokers without open attempts
+    incarnations: dict[str, int] = field(default_factory=dict)  # by broker: its current process
+    learned_units: dict[str, float] = field(default_factory=dict)  # by node, in units per second
+    load_units: float = 0.0  # units per second, all brokers together
+    reserved_units: float = 0.0  # units per second, all grades together
     unreachable_counts: dict[str, int] = field(
         default_factory=dict
-    )  # by machine: brokers that can't reach it
-    unreachable_since_us: dict[str, int] = field(default_factory=dict)  # by machine: for most of the brokers
+    )  # by machine: number of brokers that cannot reach it
+    unreachable_since_us: dict[str, int] = field(
+        default_factory=dict
+    )  # by machine: since when most brokers cannot reach it
     alive_brokers: set[int] = field(default_factory=set)
     seen_since_us: dict[tuple[int, str], int] = field(default_factory=dict)  # by fence and phase
 
@@ -47,7 +53,7 @@
         return (now_us - since_us) / 1_000_000
 
     def forget_fences(self, active: set[int]) -> None:
-        """Drop what was heard of permits that are over.
+        """Drop the data of permits that have ended.
 
         :param active: fences of the active steps
         """
@@ -60,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanningContext:
-    """All that one planning round goes by. now_us: the leader's clock; now_s: its wall clock."""
+    """Inputs of one planning round. now_us: the leader's monotonic clock; now_s: its wall clock."""
 
     state: MaintenanceState
     settings: PlannerSettings
--- a/harriertide/maintenance/failures.py
+++ b/harriertide/maintenance/failures.py
@@ -1,4 +1,4 @@
-"""Which machines are out of service that nobody planned to take out, and which are in service again."""
+"""Detection of machines that failed without a maintenance order, and of their recovery."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from harriertide.maintenance.facts import PlanningContext
 from harriertide.maintenance.orders import Machine
 
-UNREACHABLE_BROKER_RATIO = 0.5  # of the brokers: fewer see a fault of their own path
-UNREACHABLE_CONFIRM_US = 1_000_000  # for so long: a connection that was reset is no failure
+UNREACHABLE_BROKER_RATIO = 0.5  # if fewer brokers cannot reach a node, the fault is in their network path
+UNREACHABLE_CONFIRM_US = 1_000_000  # a shorter interruption, such as a reset connection, is no failure
 
 
 def propose_failures(context: PlanningContext) -> list[Command]:
-    """Return the failures and recoveries to agree on."""
+    """Return the failures and recoveries to propose."""
     commands: list[Command] = []
     active = {step.machine for step in context.state.active_steps()}
     for name, machine in context.state.machines.items():
@@ -40,7 +40,7 @@
 
 
 def _returned_brokers(context: PlanningContext) -> list[MarkBrokerGone]:
-    """Brokers that an operator stated to be gone, and that report again."""
+    """Return commands for brokers that an operator marked as gone and that report again."""
     brokers = context.state.brokers
     return [
         MarkBrokerGone(name, False, context.now_s)
--- a/harriertide/maintenance/orders.py
+++ b/harriertide/maintenance/orders.py
@@ -1,6 +1,6 @@
-"""An operator's order: which machines, what work, for how long, until when, after what, how many at once.
+"""An operator's order: its machines, work, duration, deadline, prerequisites and concurrency.
 
-The fields of an order are named like the keys of the order file, which refusals name too.
+The fields of an order have the names of the keys in the order file; refusals refer to these keys.
 """
 
 from __future__ import annotations
@@ -11,28 +11,27 @@
 
 from harriertide.decide.settings import SettingsError
 
-MachineKind = Literal["box", "broker"]  # "box" is a storage node: the word is stored, and sent
+MachineKind = Literal["box", "broker"]  # "box" is a storage node; the value is stored and sent
 Work = Literal["restart", "keep", "replace"]
 LABEL_KEYS = ("zone", "rack", "release")
 HOUR_S = 3600.0
-MIN_WORK_S = 0.1  # the planner's rounds are not closer together
-MAX_WORK_S = 7 * 24 * HOUR_S  # what takes longer is no maintenance: the machine leaves the file
-MAX_UNIX_S = 1e11  # far beyond any date, and a number that is no date is refused
+MIN_WORK_S = 0.1  # the planner's rounds are at least this far apart
+MAX_WORK_S = 7 * 24 * HOUR_S  # for longer work, remove the machine from the file
+MAX_UNIX_S = 1e11  # rejects numbers that cannot be a date
 MAX_AT_ONCE_COUNT = 1000
-MAX_SPARE_COUNT = 3  # of seven voters, the most there are, four are a majority
+MAX_SPARE_COUNT = 3  # seven voters are the maximum, and four are a majority
 MAX_NAME_LENGTH = 64
 
 
 class OrderError(SettingsError):
-    """An order can't be used. The text is one plain line that names the key."""
+    """An order is invalid. The message is one line that names the key."""
 
 
 class Machine(Struct, frozen=True):
     """A storage node or a broker that orders may name.
 
-    group: two machines of one group are never out of service together. units: how many units a second a node
-    serves, as the operator states it; 0 where the rate that brokers learned counts. voter: of a broker,
-    whether it has a vote.
+    group: two machines of one group are never out of service together. units: the configured rate of a node
+    in units per second; 0 to use the rate that brokers learned. voter: whether a broker has a vote.
     """
 
     name: str
@@ -46,7 +45,7 @@
 
     @property
     def is_broker(self) -> bool:
-        """Whether it is a broker; any other machine is a node."""
+        """Whether the machine is a broker; any other machine is a node."""
         return self.kind == "broker"
 
     def get_label(self, key: str) -> str:
@@ -58,11 +57,12 @@
 
 
 class Order(Struct, frozen=True):
-    """A checked order, with its machines by name.
+    """A validated order, with the names of its machines.
 
-    takes_s: how long one machine's work takes. until_s: Unix seconds by which all work has ended; 0 for no
-    end. after: orders that must be over first. at_once: how many machines may be out of service together.
-    spare: how many voters beyond a majority must stay. first: machines that are near failing, and go first.
+    takes_s: duration of the work on one machine. until_s: deadline of all work in Unix seconds; 0 for none.
+    after: orders that must finish first. at_once: how many machines may be out of service at the same time.
+    spare: how many voters beyond a majority must stay in service. first: machines that are near failure and
+    are taken out first.
     """
 
     id: str
@@ -80,28 +80,28 @@
 
 
 def parse_order(raw: dict[str, Any], machines: dict[str, Machine], now_s: float) -> Order:
-    """Check an order file against the machines that there are.
+    """Validate an order file against the inventory.
 
-    :param raw: the file as parsed
-    :param machines: the agreed inventory, by name
-    :param now_s: the time now, in Unix seconds
-    :raises OrderError: it can't be used; the text names the key
+    :param raw: the parsed file
+    :param machines: the replicated inventory, by name
+    :param now_s: current time in Unix seconds
+    :raises OrderError: the order is invalid; the message names the key
     """
     for key in raw:
         if key not in _ORDER_KEYS:
             raise OrderError(f"{key}: unknown key")
     order_id = _parse_order_id(raw)
-    named = _parse_machines(raw, machines)
+    machine_names = _parse_machines(raw, machines)
     work: Any = raw.get("work")
     if work not in get_args(Work):
         raise OrderError(f"work: must be one of {', '.join(get_args(Work))}")
     first = _parse_names(raw, "first")
     for machine in first:
-        if machine not in named:
+        if machine not in machine_names:
             raise OrderError(f"first: {machine} is not one of the order's machines")
     order = Order(
         id=order_id,
-        machines=named,
+        machines=machine_names,
         work=work,
         takes_s=_parse_number(raw, "takes_s", MIN_WORK_S, MAX_WORK_S, None),
         until_s=_parse_number(raw, "until_s", 0, MAX_UNIX_S, 0.0),
@@ -126,22 +126,22 @@
 
 
 def _parse_machines(raw: dict[str, Any], machines: dict[str, Machine]) -> tuple[str, ...]:
-    """The machines that are named, then those that a label names, by name."""
-    named = list(_parse_names(raw, "machines"))
+    """Return the listed machines, then those that match a label, sorted by name."""
+    machine_names = list(_parse_names(raw, "machines"))
     for label in LABEL_KEYS:
         if label in raw:
-            labelled = [
+            matching_names = [
                 machine.name for machine in machines.values() if machine.get_label(label) == raw[label]
             ]
-            if not labelled:
+            if not matching_names:
                 raise OrderError(f"{label}: no machine has {raw[label]}")
-            named += [name for name in sorted(labelled) if name not in named]
-    if not named:
+            machine_names += [name for name in sorted(matching_names) if name not in machine_names]
+    if not machine_names:
         raise OrderError("machines: names none, and no label does")
-    for name in named:
+    for name in machine_names:
         if name not in machines:
             raise OrderError(f"machines: there is no {name}")
-    return tuple(named)
+    return tuple(machine_names)
 
 
 def _parse_number(
@@ -167,20 +167,20 @@
 
 
 def minimum_duration_s(order: Order, machines: dict[str, Machine]) -> float:
-    """Return the shortest time that an order can take: as many turns as at_once and groups make of it."""
+    """Return the shortest duration of an order: the rounds that at_once and groups require, in sequence."""
     group_sizes: dict[str, int] = {}
     for name in order.machines:
         group = machines[name].group
         if group:
             group_sizes[group] = group_sizes.get(group, 0) + 1
-    turns_at_once = -(-len(order.machines) // order.at_once)
-    return max([turns_at_once, *group_sizes.values()]) * order.takes_s
+    concurrent_rounds = -(-len(order.machines) // order.at_once)
+    return max([concurrent_rounds, *group_sizes.values()]) * order.takes_s
 
 
 def find_cycle(order: Order, others: dict[str, Order]) -> list[str]:
     """Return a cycle of `after` that this order would close, or an empty list.
 
-    :param others: the orders that there are, by id
+    :param others: the existing orders, by ID
     """
     paths = [(name, [order.id, name]) for name in order.after]
     while paths:
@@ -189,6 +189,8 @@
             return path
         if name in others:
             paths += [
-                (further, [*path, further]) for further in others[name].after if further not in path[1:]
+                (prerequisite, [*path, prerequisite])
+                for prerequisite in others[name].after
+                if prerequisite not in path[1:]
             ]
     return []
--- a/harriertide/maintenance/permits.py
+++ b/harriertide/maintenance/permits.py
@@ -1,4 +1,4 @@
-"""Which machine is taken out next, and why one is not."""
+"""Selection of the next machine to take out of service, and the checks that may refuse it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def explain_refusal(context: PlanningContext, name: str, order: Order) -> str:
-    """Return why a machine may not go now, in one plain line for operators; "" if it may."""
+    """Return why a machine may not be taken out now, in one line for operators; "" if it may."""
     if refusal := find_refusal(context.state, name, order):
         return refusal
     machine = context.state.machines[name]
@@ -18,7 +18,7 @@
 
 
 def _check_failed_of_kind(context: PlanningContext, machine: Machine, order: Order) -> str:
-    """What failed elsewhere uses up what may be out of service together."""
+    """Count failed machines of the same kind against the order's limit of machines out at once."""
     state = context.state
     failed_of_kind = [
         name
@@ -31,7 +31,7 @@
 
 
 def _check_capacity(context: PlanningContext, machine: Machine, order: Order) -> str:
-    """The other nodes have to serve what is required; without any known rate nobody can tell."""
+    """Check that the other nodes can serve the required load; passes if no node rate is known."""
     if machine.is_broker or machine.name in context.state.failed_since_s or not node_units(context, machine):
         return ""
     available = available_units(context, without=machine.name)
@@ -42,14 +42,14 @@
 
 
 class PermitQueue:
-    """Chooses the next machine; orders take turns. What it keeps is the present leader's, and may be lost."""
+    """Selects the next machine, alternating between orders. Its state is the leader's own and may be lost."""
 
     def __init__(self) -> None:
         self._permit_count = 0
-        self._last_turn: dict[str, int] = {}  # by order: which of the permits was its last
+        self._last_turn: dict[str, int] = {}  # by order ID: sequence number of its latest permit
 
     def next_permit(self, context: PlanningContext) -> GrantPermit | None:
-        """Return the next permit to agree on; None where no machine may go now."""
+        """Return the next permit to propose; None if no machine may be taken out now."""
         for order in self._sort_orders(context):
             for name in _sort_machines(context, order):
                 if not explain_refusal(context, name, order):
@@ -59,7 +59,7 @@
         return None
 
     def _sort_orders(self, context: PlanningContext) -> list[Order]:
-        """Fair: fewest machines out of service first, then least lately served, then as submitted."""
+        """Sort open orders: fewest machines out of service, then least recently permitted, then oldest."""
         state = context.state
 
         def rank(order: Order) -> tuple[int, int, float, str]:
@@ -71,7 +71,7 @@
 
 
 def _sort_machines(context: PlanningContext, order: Order) -> list[str]:
-    """Those near failing first, then those that failed anyhow, then nodes, then brokers."""
+    """Sort machines: those near failure first, then failed ones, then nodes, then brokers."""
     machines = context.state.machines
 
     def rank(name: str) -> tuple[bool, bool, bool, int]:
--- a/harriertide/maintenance/phase_changes.py
+++ b/harriertide/maintenance/phase_changes.py
@@ -1,4 +1,4 @@
-"""When a machine that is being taken out, is out, or returns goes on to its next phase."""
+"""Conditions under which an active step of a machine enters its next phase."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from harriertide.maintenance.phases import Phase
 from harriertide.maintenance.state import Step
 
-# Where a machine goes that the operator's file does not have any more.
-_REMOVED: dict[Phase, Phase] = {
+# Next phase of a machine that was removed from the operator's file.
+_PHASE_AFTER_REMOVAL: dict[Phase, Phase] = {
     "permitted": "waiting",
     "draining": "cancelled",
     "out": "returning",
@@ -19,9 +19,9 @@
 
 
 def propose_phase_change(context: PlanningContext, step: Step) -> ChangePhase | None:
-    """Return the next phase of an active step to agree on; None while it has to wait."""
+    """Return the phase change to propose for an active step; None while the step has to wait."""
     if step.machine not in context.state.machines:
-        return _change(context, step, _REMOVED[step.phase], "no longer in the file")
+        return _change(context, step, _PHASE_AFTER_REMOVAL[step.phase], "no longer in the file")
     match step.phase:
         case "permitted":
             return _leave_permitted(context, step)
@@ -58,7 +58,7 @@
 
 
 def _leave_out(context: PlanningContext, step: Step) -> ChangePhase | None:
-    """A node returns by the operator's word, a broker by its new process."""
+    """A node returns when an operator reports its work as done, a broker when its new process reports."""
     if context.state.machines[step.machine].is_broker and _has_restarted(context, step):
         return _change(context, step, "returning")
     takes_s = context.state.orders[step.order].takes_s
@@ -75,6 +75,6 @@
 
 
 def _has_restarted(context: PlanningContext, step: Step) -> bool:
-    """A broker that was out holds a lease again, in another process than the one that went out."""
+    """Whether a broker that was out holds a lease again in a new process."""
     incarnation = context.facts.incarnations.get(step.machine, 0)
     return bool(incarnation) and incarnation != step.incarnation
--- a/harriertide/maintenance/phases.py
+++ b/harriertide/maintenance/phases.py
@@ -1,13 +1,13 @@
-"""The phases of a machine under an order, and which may follow which.
+"""The phases of a machine in an order, and the allowed transitions.
 
 =========  =====================================================================================
-waiting    it has not had its turn
-permitted  it may go, under a fence of its own; brokers are being notified, and still send to it
-draining   every broker knows; nothing new is sent to it, open attempts end
-out        nothing is sent to it, and nothing is open there: the work may be done
-returning  the work is done; it is warming up and gets requests again
-back       it is over
-cancelled  its order was cancelled before it was out
+waiting    the machine has no permit yet
+permitted  has a permit with a fence; brokers are being notified and still send requests to it
+draining   every broker knows of the permit; no new attempts start, and open attempts end
+out        no requests are sent and no attempts are open; the work may be done
+returning  the work is done; the machine warms up and receives requests again
+back       the step is finished
+cancelled  the step was cancelled before the machine was out
 =========  =====================================================================================
 """
 
@@ -19,17 +19,17 @@
 
 ACTIVE_PHASES = ("permitted", "draining", "out", "returning")  # these count as out of service
 CLOSED_PHASES = ("draining", "out")  # no new attempt may go there
-OPEN_PHASES = ("waiting", *ACTIVE_PHASES)  # something is left to do
+OPEN_PHASES = ("waiting", *ACTIVE_PHASES)  # the step is not finished
 
-# What a ChangePhase command may do. Beside these, a permit makes a waiting machine permitted, and cancelling
-# an order makes its waiting and permitted machines cancelled.
+# Transitions of ChangePhase commands. In addition, GrantPermit changes waiting to permitted, and CancelOrder
+# changes waiting and permitted to cancelled.
 TRANSITIONS: dict[Phase, tuple[Phase, ...]] = {
-    # all brokers know of the permit; or the machine has left the operator's file
+    # all brokers know of the permit; or the machine was removed from the operator's file
     "permitted": ("draining", "waiting"),
-    # nothing is open there; or it is needed back for what failed elsewhere; or the order was cancelled
+    # no attempts are open; or the machine is needed because others failed; or the order was cancelled
     "draining": ("out", "waiting", "cancelled"),
-    # it is overdue and stays out; or the work is done
+    # the work is overdue and the machine stays out; or the work is done
     "out": ("out", "returning"),
-    # it is warm
+    # the machine is warm
     "returning": ("back",),
 }
--- a/harriertide/maintenance/planner.py
+++ b/harriertide/maintenance/planner.py
@@ -1,10 +1,10 @@
-"""What the leader proposes next, and what each machine waits for.
+"""Planner of the leader: the commands to propose, and what each machine waits for.
 
-Liveness: for each machine that is not done `describe_waits` names what it waits for. That is an event that
-comes by itself (work that takes its time, a lease that expires, load that falls, attempts that end) or one
-that needs a person (`done`, `gone`, `resume`, an order that is overdue). A machine for which it names nothing
-is proposed in the same round. So as long as any phase change is possible, each round of any leader proposes
-one; a proposal that is lost is made again in the next round.
+Liveness: for each unfinished machine `describe_waits` names the event that the machine waits for. The event
+either occurs without intervention (work finishes, a lease expires, load falls, attempts end) or needs an
+operator (`done`, `gone`, `resume`, an overdue order). If there is nothing to wait for, a command for the
+machine is proposed in the same round. While any phase change is possible, each round of any leader therefore
+proposes one; the next round repeats a lost proposal.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Planner:
-    """Plans by the agreed state and by what brokers report. It keeps nothing that a new leader needs."""
+    """Plans from the replicated state and broker reports; holds no state that a new leader needs."""
 
     def __init__(self, machine: MaintenanceStateMachine, settings: PlannerSettings) -> None:
         self._machine = machine
@@ -29,17 +29,18 @@
         self._permits = PermitQueue()
 
     def context(self, facts: LeaderFacts, now_us: int, now_s: float) -> PlanningContext:
-        """Return what a planning round at this moment goes by.
+        """Return the inputs of a planning round.
 
-        :param now_us: the leader's clock
-        :param now_s: its wall clock, in Unix seconds
+        :param now_us: time on the leader's monotonic clock
+        :param now_s: the leader's wall clock, in Unix seconds
         """
         return PlanningContext(self._machine.state, self._settings, facts, now_us, now_s)
 
     def propose(self, facts: LeaderFacts, now_us: int, now_s: float) -> list[Command]:
         """Return the commands to propose now.
 
-        At most one permit a round, as what it changes is not in the state yet; and none beside a failure.
+        A round proposes at most one permit, because its effect is not yet in the state, and none together
+        with a failure.
         """
         context = self.context(facts, now_us, now_s)
         commands: list[Command] = [*propose_failures(context), *propose_peak_load(context)]
@@ -54,7 +55,7 @@
         return commands
 
     def describe_waits(self, step: Step, facts: LeaderFacts, now_us: int, now_s: float) -> list[str]:
-        """Return what a machine waits for, each in one plain line for operators."""
+        """Return the events that a machine waits for, one line each, for operators."""
         context = self.context(facts, now_us, now_s)
         match step.phase:
             case "waiting":
--- a/harriertide/maintenance/send_gate.py
+++ b/harriertide/maintenance/send_gate.py
@@ -1,10 +1,10 @@
-"""Which machines a broker may send to, by what it knows and by its own lease.
+"""The machines that a broker may send to, based on its applied state and its own lease.
 
-A broker that holds a lease knows all that was agreed on before it asked for the lease. One whose lease is
-over does not know what was agreed on since; of the machines it knows to be permitted it must assume that they
-drain by now, as the others take it for one that sends nothing there. To all others it goes on sending: nobody
-is taken out without its knowledge. A broker that has held no lease since its start knows nothing, and sends
-nothing.
+A broker that holds a lease has applied everything that was committed before it requested the lease. A broker
+with an expired lease does not know later commands. It must assume that the machines it knows to be permitted
+are draining by now, because the other brokers assume that it sends nothing to them. It continues to send to
+all other machines, because no machine is taken out before the broker knows of the permit. A broker that has
+held no lease since its start knows nothing and sends nothing.
 """
 
 from __future__ import annotations
@@ -16,11 +16,10 @@
 def closed_machines(
     state: MaintenanceState, now_us: int, lease_end_us: int, isolation_limit_us: int
 ) -> frozenset[str] | None:
-    """Return the machines that this broker may not send to now; None: it may send to none.
+    """Return the machines that this broker may not send to now; None if it may send to none.
 
-    :param lease_end_us: when its last lease ends; 0 where it had none since its start
-    :param isolation_limit_us: for how long after its lease a broker that is cut off goes on; 0: without an
-        end
+    :param lease_end_us: end of the broker's last lease; 0 if it has held none since its start
+    :param isolation_limit_us: how long an isolated broker continues to send after its lease; 0 for no limit
     """
     if not lease_end_us:
         return None
@@ -32,7 +31,7 @@
 
 
 def next_change_us(now_us: int, lease_end_us: int, isolation_limit_us: int) -> int:
-    """Return when the answer of closed_machines changes by time alone; 0: it does not."""
+    """Return when the result of closed_machines changes by time alone; 0 if it does not."""
     if not lease_end_us:
         return 0
     if now_us < lease_end_us:
--- a/harriertide/maintenance/state.py
+++ b/harriertide/maintenance/state.py
@@ -1,6 +1,6 @@
-"""The agreed state: the inventory, the orders, and the phase of each machine of each order.
+"""The replicated state: the inventory, the orders, and the phase of each machine of each order.
 
-Names of encoded fields are those of snapshots that releases before this one wrote: see `rename`.
+Encoded field names must stay compatible with snapshots of earlier releases: see `rename`.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class Step(Struct, rename={"reason": "why", "incarnation": "life"}):
-    """Where a machine of an order is.
+    """The progress of one machine in an order.
 
-    fence: of its permit. since_s: the wall clock at its last change of phase, which may jump. reason: of that
-    change. incarnation: of a broker, its process as it went out.
+    fence: fence of the permit. since_s: wall clock at the last phase change, which may jump. reason: the
+    reason of that change. incarnation: for a broker, the incarnation of the process that went out.
     """
 
     machine: str
@@ -41,20 +41,20 @@
         "peak_load_by_hour": "pattern",
     },
 ):
-    """All that is agreed on, as a snapshot holds it."""
+    """The replicated state, as stored in a snapshot."""
 
     machines: dict[str, Machine] = {}
     brokers: tuple[str, ...] = ()
     orders: dict[str, Order] = {}
     submitted_at_s: dict[str, float] = {}  # by order
     cancelled: set[str] = set()  # orders
-    steps: dict[str, dict[str, Step]] = {}  # by order, by machine
-    failed_since_s: dict[str, float] = {}  # by machine that is out of service and nobody planned it
-    gone_brokers: set[str] = set()  # as operators stated
+    steps: dict[str, dict[str, Step]] = {}  # by order, then by machine
+    failed_since_s: dict[str, float] = {}  # by machine that failed without an order
+    gone_brokers: set[str] = set()  # brokers that operators marked as gone
     permits_paused: bool = False
     last_fence: int = 0
-    command_time_s: float = 0.0  # the wall clock of the last command's proposer: it may jump
-    peak_load_by_hour: dict[int, float] = {}  # units a second
+    command_time_s: float = 0.0  # the proposer's wall clock in the last command; may jump
+    peak_load_by_hour: dict[int, float] = {}  # by hour of the day, in units per second
 
     def active_steps(self) -> list[Step]:
         """Return the steps of machines that are permitted, draining, out or returning."""
@@ -71,7 +71,7 @@
         return sum(step.phase in ACTIVE_PHASES for step in self.steps.get(order, {}).values())
 
     def is_open(self, order: str) -> bool:
-        """Whether something of an order is left to do."""
+        """Whether a step of an order is unfinished."""
         return any(step.phase in OPEN_PHASES for step in self.steps.get(order, {}).values())
 
 
@@ -82,10 +82,10 @@
 def encode_state(state: MaintenanceState) -> bytes:
     """Encode a state for a snapshot; equal states give equal bytes.
 
-    msgspec sorts dicts whose keys are strings and raises TypeError for any other, so the hours of the day are
-    sorted here and put in as they are. Guards against a member that can take no snapshot once the load of one
-    hour was agreed on: `maintenance plan` refuses every order, and when the log is to be compacted the
-    member's tasks end one by one.
+    msgspec sorts dicts with string keys only and raises TypeError for other keys, so the peak loads by hour
+    are sorted here and inserted in encoded form. Otherwise a member could take no snapshot after the first
+    recorded peak load: `maintenance plan` would refuse every order, and at log compaction the member's tasks
+    would end one by one.
     """
     hours = dict(sorted(state.peak_load_by_hour.items()))
     encoded_hours = msgspec.Raw(msgspec.msgpack.encode(hours))
@@ -93,8 +93,8 @@
 
 
 def decode_state(data: bytes) -> MaintenanceState:
-    """Decode the state of a snapshot.
+    """Decode the state from a snapshot.
 
-    :raises msgspec.MsgspecError: it is none
+    :raises msgspec.MsgspecError: the data is not a valid state
     """
     return _state_decoder.decode(data)
--- a/harriertide/maintenance/state_machine.py
+++ b/harriertide/maintenance/state_machine.py
@@ -1,14 +1,14 @@
-"""The state machine behind the agreed log: commands in, results out, and nothing else.
+"""The replicated state machine: applies commands from the log and returns their results.
 
-Every command is checked again here, where it takes effect: what the leader that proposed it knew may have
-been overtaken. Invariants, each tested by harriertide/lab and kept where it is named:
+Every command is checked again when it is applied, because the state may have changed since the leader
+proposed it. Invariants, each tested by harriertide/lab and enforced where its name appears:
 
-FENCE      a permit's fence is larger than all before
-GROUP      of one declared group never two are out of service (agreed_limits)
-ONCE       of an order never more than at_once are (agreed_limits)
-QUORUM     voters that are in service are a majority plus the order's spare (agreed_limits)
-KNOWN      draining only after each broker that could send knew of the permit (confirmations)
-CLEAR      out only after each broker that could send had no attempt open there (confirmations)
+FENCE      the fence of a permit is larger than all earlier fences
+GROUP      at most one machine of a declared group is out of service (agreed_limits)
+ONCE       at most at_once machines of an order are out of service (agreed_limits)
+QUORUM     the voters in service are at least a majority plus the order's spare (agreed_limits)
+KNOWN      a machine drains only after each broker that could send knew of the permit (confirmations)
+CLEAR      a machine is out only after each broker that could send had no open attempt (confirmations)
 """
 
 from __future__ import annotations
@@ -34,33 +34,33 @@
 from harriertide.maintenance.phases import TRANSITIONS, Phase
 from harriertide.maintenance.state import MaintenanceState, Step, decode_state, encode_state
 
-KEPT_ORDER_COUNT = 100  # orders that are over: enough for `status` to look back, and a bound for the snapshot
+KEPT_ORDER_COUNT = 100  # finished orders that `status` still shows; bounds the snapshot
 PEAK_DECAY_RATIO = (
-    0.75  # of an hour's peak that is left when a lower one is recorded: quiet days count in a week
+    0.75  # share of an hour's peak kept when a lower load is recorded; quiet days count within a week
 )
 
 _DONE = CommandResult()
 
 
 class MaintenanceStateMachine:
-    """Applies commands to a state. Members that apply the same commands have the same state."""
+    """Applies commands to the state. Members that apply the same commands have the same state."""
 
     def __init__(self) -> None:
         self.state = MaintenanceState()
 
     def apply(self, index: int, data: bytes) -> bytes:
-        """Apply a command of the log.
+        """Apply a command from the log.
 
-        :param index: its index in the log
+        :param index: index of the command in the log
         :returns: the encoded CommandResult
         """
         command = decode_command(data)
-        # Not the latest time of all commands: a clock that jumped ahead once would bind all others.
+        # Not the maximum of all commands: a clock that jumped ahead once would affect all later commands.
         self.state.command_time_s = command.at_s
         return encode_result(self.execute(command))
 
     def execute(self, command: Command) -> CommandResult:
-        """Carry out a command, at the time that the state has."""
+        """Execute a command at the time command_time_s of the state."""
         match command:
             case SubmitOrder():
                 return self._submit_order(command.order)
@@ -86,7 +86,7 @@
         return encode_state(self.state)
 
     def load(self, data: bytes) -> None:
-        """Take the state of a snapshot in place of the present one."""
+        """Replace the current state by the state of a snapshot."""
         self.state = decode_state(data)
 
     # --- inventory and failures -----------------------------------------------------------------------
@@ -130,10 +130,10 @@
 
     def _submit_order(self, order: Order) -> CommandResult:
         state = self.state
-        known = state.orders.get(order.id)
-        if known is not None:
-            if known == order:
-                return _DONE  # the same once more counts once
+        existing = state.orders.get(order.id)
+        if existing is not None:
+            if existing == order:
+                return _DONE  # a repeated submission of the same order has no effect
             return CommandResult(f"{order.id}: there is another order of this name")
         if refusal := self._find_order_refusal(order):
             return CommandResult(refusal)
@@ -146,7 +146,7 @@
         return _DONE
 
     def _find_order_refusal(self, order: Order) -> str:
-        """Why an order can never be done, in one plain line; "" if it may be."""
+        """Return why an order can never be carried out, in one line; "" if it can."""
         state = self.state
         for machine in order.machines:
             if machine not in state.machines:
@@ -159,9 +159,9 @@
         if order.until_s and order.until_s < state.command_time_s + minimum_duration_s(order, state.machines):
             return "until_s: is too soon"
         voter_count = sum(machine.voter for machine in state.machines.values())
-        names_voter = any(state.machines[machine].voter for machine in order.machines)
+        includes_voter = any(state.machines[machine].voter for machine in order.machines)
         majority = voter_count // 2 + 1
-        if names_voter and voter_count - 1 < majority + order.spare:
+        if includes_voter and voter_count - 1 < majority + order.spare:
             return f"spare: {voter_count} voters can't spare one with {order.spare} to spare"
         return ""
 
@@ -180,17 +180,17 @@
         return _DONE
 
     def _forget_old_orders(self) -> None:
-        """Keep the last KEPT_ORDER_COUNT orders that are over, and those that open ones come after.
+        """Keep the latest KEPT_ORDER_COUNT finished orders, and the prerequisites of open orders.
 
-        The last are those that were submitted last, by the agreed time: the dict's order is another one after
-        a snapshot, and members that forget by it would no longer have the same state.
+        Finished orders are sorted by their replicated submission time. A snapshot changes the order of the
+        dict, so members that relied on the dict's order would diverge.
         """
         state = self.state
         open_orders = [order for order in state.orders.values() if state.is_open(order.id)]
         needed = {prerequisite for order in open_orders for prerequisite in order.after}
-        over = [name for name in state.orders if not state.is_open(name) and name not in needed]
-        over.sort(key=lambda name: (state.submitted_at_s[name], name))
-        for name in over[:-KEPT_ORDER_COUNT]:
+        finished = [name for name in state.orders if not state.is_open(name) and name not in needed]
+        finished.sort(key=lambda name: (state.submitted_at_s[name], name))
+        for name in finished[:-KEPT_ORDER_COUNT]:
             del state.orders[name]
             del state.steps[name]
             del state.submitted_at_s[name]
