--- a/harriertide/consensus/fanout.py
+++ b/harriertide/consensus/fanout.py
@@ -187,7 +187,7 @@
     def totals(self, now_us: int, own_report: SubtreeReport) -> SubtreeTotals:
         """Return the current totals of this broker's subtree.
 
-        :param own: report of this broker alone
+        :param own_report: report of this broker alone
         """
         totals = SubtreeTotals()
         totals.add(own_report)
@@ -209,7 +209,7 @@
     def build_report(self, now_us: int, own_report: SubtreeReport) -> tuple[str, SubtreeReport] | None:
         """Build the report of this subtree and return it with its parent; None if there is no parent.
 
-        :param own: report of this broker alone
+        :param own_report: report of this broker alone
         """
         if now_us - self._parent_contact_us > PEER_TIMEOUT_US and self.me not in self.voters:
             self._skipped_parent_count += 1
--- a/harriertide/consensus/store.py
+++ b/harriertide/consensus/store.py
@@ -110,9 +110,8 @@
                 raise DamagedError(f"{path}: log entries are missing")
             log_descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         except BaseException as error:
-            os.close(
-                lock_descriptor
-            )  # the caller may rename a damaged folder and open a new one in its place
+            # the caller may rename a damaged folder and open a new one in its place
+            os.close(lock_descriptor)
             if isinstance(error, OSError):
                 raise StoreError(f"{folder}: {error.strerror}") from None
             raise
--- a/harriertide/maintenance/capacity.py
+++ b/harriertide/maintenance/capacity.py
@@ -9,9 +9,8 @@
 from harriertide.maintenance.orders import HOUR_S, Machine
 
 HEADROOM_RATIO = 1.1  # times the required capacity, so that a small rise in load is still served
-WARM_UP_START_RATIO = (
-    0.3  # share of its full rate that a returning node serves; grows to 1 during the warm-up
-)
+# share of its full rate that a returning node serves; grows to 1 during the warm-up
+WARM_UP_START_RATIO = 0.3
 MIN_WARM_UP_S = 0.1  # used if the operator's file has a smaller value
 LOAD_RISE_RATIO = 1.1  # relative to the recorded peak, plus LOAD_RISE_UNITS
 LOAD_RISE_UNITS = 1.0  # units per second; a smaller rise does not justify a log entry
@@ -55,7 +54,7 @@
 
 
 def required_units(context: PlanningContext, duration_s: float) -> float:
-    """Return the required capacity: the maximum of reserves, current load and peaks during the work."""
+    """Return the required capacity: the maximum of reserves, load and peaks in the hours of the work."""
     first = int(context.now_s // HOUR_S)
     last = int((context.now_s + duration_s) // HOUR_S)
     hours = range(first, min(last, first + HOURS_PER_DAY) + 1)
--- a/harriertide/maintenance/confirmations.py
+++ b/harriertide/maintenance/confirmations.py
@@ -10,9 +10,8 @@
 from harriertide.maintenance.facts import PlanningContext
 from harriertide.maintenance.state import Step
 
-IN_FLIGHT_WRITE_US = (
-    1_000_000  # added to the longest attempt: a write that was in flight when a lease expired
-)
+# added to the longest attempt: a write that was in flight when a lease expired
+IN_FLIGHT_WRITE_US = 1_000_000
 
 
 def brokers_not_informed(context: PlanningContext, step: Step) -> list[str]:
--- a/harriertide/maintenance/facts.py
+++ b/harriertide/maintenance/facts.py
@@ -28,22 +28,18 @@
 
     leading_since_us: int = 0
     last_grant_us: dict[int, int] = field(default_factory=dict)  # time of the latest lease grant, by broker
-    informed_brokers: dict[int, set[int]] = field(
-        default_factory=dict
-    )  # by fence: brokers that know of the permit
-    drained_brokers: dict[int, set[int]] = field(
-        default_factory=dict
-    )  # by fence: brokers without open attempts
+    # by fence: brokers that know of the permit
+    informed_brokers: dict[int, set[int]] = field(default_factory=dict)
+    # by fence: brokers without open attempts
+    drained_brokers: dict[int, set[int]] = field(default_factory=dict)
     incarnations: dict[str, int] = field(default_factory=dict)  # by broker: its current process
     learned_units: dict[str, float] = field(default_factory=dict)  # by node, in units per second
     load_units: float = 0.0  # units per second, all brokers together
     reserved_units: float = 0.0  # units per second, all grades together
-    unreachable_counts: dict[str, int] = field(
-        default_factory=dict
-    )  # by machine: number of brokers that cannot reach it
-    unreachable_since_us: dict[str, int] = field(
-        default_factory=dict
-    )  # by machine: since when most brokers cannot reach it
+    # by machine: number of brokers that cannot reach it
+    unreachable_counts: dict[str, int] = field(default_factory=dict)
+    # by machine: since when most brokers cannot reach it
+    unreachable_since_us: dict[str, int] = field(default_factory=dict)
     alive_brokers: set[int] = field(default_factory=set)
     seen_since_us: dict[tuple[int, str], int] = field(default_factory=dict)  # by fence and phase
 
--- a/harriertide/maintenance/state_machine.py
+++ b/harriertide/maintenance/state_machine.py
@@ -35,9 +35,8 @@
 from harriertide.maintenance.state import MaintenanceState, Step, decode_state, encode_state
 
 KEPT_ORDER_COUNT = 100  # finished orders that `status` still shows; bounds the snapshot
-PEAK_DECAY_RATIO = (
-    0.75  # share of an hour's peak kept when a lower load is recorded; quiet days count within a week
-)
+# share of an hour's peak kept when a lower load is recorded; quiet days count within a week
+PEAK_DECAY_RATIO = 0.75
 
 _DONE = CommandResult()
 
