--- a/harriertide/consensus/disk_format.py
+++ b/harriertide/consensus/disk_format.py
@@ -82,7 +82,8 @@
         raise UnreadableRecordError(f"this version cannot decode a log record: {error}") from None
     if record.version > RECORD_VERSION:
         raise UnreadableRecordError(
-            f"record was written by a newer version ({record.version}; this release reads up to {RECORD_VERSION})"
+            f"record was written by a newer version ({record.version}; "
+            f"this release reads up to {RECORD_VERSION})"
         )
     return record
 
