--- a/harriertide/control/__init__.py
+++ b/harriertide/control/__init__.py
@@ -1,25 +1,25 @@
-"""Agreement and maintenance in a running broker: the pure packages on an event loop, a disk and a network.
+"""Raft and maintenance in a running broker: connects the I/O-free packages to event loop, disk and network.
 
 ===================  ===========================================================================
-event_log            a log for the laboratory's checkers
+event_log            event log for the laboratory's checkers
 environment          the disk, the network and the random numbers that a member runs on
 wire                 the messages between members, as bytes
-pending_calls        calls that wait for their result
+pending_calls        calls that await a result
 disk_writer          group commit to the member's store
-tree_updates         what a member sends to its children in the tree
-cluster_membership   bootstrap of the cluster, and changes of its membership
+tree_updates         updates from a member to its children in the fan-out tree
+cluster_membership   cluster bootstrap and membership changes
 member_link          what a member's role shares with the member
-voter                the role of a broker with a vote and a disk
-observer_member      the role of a broker without a vote or a disk
-member               one broker among those that agree
-ports                what maintenance asks of the reducer and the object front
-node_barrier         which nodes this broker may not send to
-broker_report        what this broker reports to the leader
-leader_facts         what the leader gathers from reports
-proposals            commands on their way to the agreed log
-step_observer        what this broker has seen of each step
-maintenance_service  maintenance in one broker: ties the parts together
-order_preview        what would come of an order, as a plan shows it
-operator_api         the operators' calls over HTTP
+voter                the voter role: a broker that votes and has a store
+observer_member      the observer role: a broker without a vote or a store
+member               one member of the Raft cluster
+ports                interfaces of the reducer and the object front used by maintenance
+node_barrier         the nodes to which this broker may not send
+broker_report        the report of this broker to the leader
+leader_facts         the facts that the leader gathers from reports
+proposals            commands that are being committed to the replicated log
+step_observer        phase changes as this broker observes them
+maintenance_service  maintenance in one broker: connects the other modules
+order_preview        the forecast of an order, as a plan shows it
+operator_api         the operators' HTTP API
 ===================  ===========================================================================
 """
--- a/harriertide/control/broker_report.py
+++ b/harriertide/control/broker_report.py
@@ -1,4 +1,4 @@
-"""What this broker reports to the leader: what it knows and has drained, its load, unreachable nodes."""
+"""The report of this broker to the leader: known permits, finished drains, load and unreachable nodes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from harriertide.maintenance.state import Step
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 
-LOAD_WINDOW_US = 2_000_000  # over which the load is taken: ten reports
-INCARNATION_ANNOUNCEMENT_US = 60_000_000  # from a start on: until any leader has heard of this process
-UNRESPONSIVE_EXPIRY_US = 10_000_000  # a node to which nothing was sent for so long may be back
-MIN_UNRESPONSIVE_COUNT = 2  # attempts in a row without a sign of life, or one failed connection
+LOAD_WINDOW_US = 2_000_000  # averaging window of the load; spans ten reports
+INCARNATION_ANNOUNCEMENT_US = 60_000_000  # after a start; long enough to reach any leader
+UNRESPONSIVE_EXPIRY_US = 10_000_000  # a node without new attempts for this long may have recovered
+MIN_UNRESPONSIVE_COUNT = 2  # consecutive attempts without a response; a failed connection counts as two
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,13 +26,13 @@
 
 
 class LoadWindow:
-    """The load that was offered to this broker, seen at each report."""
+    """The rate of units offered to this broker, sampled at each report."""
 
     def __init__(self) -> None:
-        self._samples: deque[tuple[int, float]] = deque()  # when, and units offered until then
+        self._samples: deque[tuple[int, float]] = deque()  # (time, total units offered until then)
 
     def add(self, now_us: int, offered_units: float) -> float:
-        """Add a sample, and return the units a second of the window."""
+        """Add a sample, and return the mean units per second over the window."""
         self._samples.append((now_us, offered_units))
         while now_us - self._samples[0][0] > LOAD_WINDOW_US:
             self._samples.popleft()
@@ -41,16 +41,16 @@
 
 
 class BrokerReporter:
-    """Builds this broker's reports."""
+    """Builds the reports of this broker."""
 
     def __init__(
         self,
-        machine: MaintenanceStateMachine,
+        state_machine: MaintenanceStateMachine,
         member: AgreementMember,
         core: RequestCore,
         barrier: NodeBarrier,
     ) -> None:
-        self._machine = machine
+        self._state_machine = state_machine
         self._member = member
         self._core = core
         self._barrier = barrier
@@ -59,29 +59,29 @@
         self._unresponsive: dict[str, _Unresponsive] = {}
 
     def build(self) -> SubtreeReport:
-        """Return what this broker reports of itself now."""
+        """Return the current report of this broker."""
         now_us = self._member.now_us()
-        me = encode_broker_set({self._member.broker_index})
+        own_broker_set = encode_broker_set({self._member.broker_index})
         closed = self._barrier.closed_now(now_us)
-        steps = self._machine.state.active_steps()
-        learned = self._core.learned_capacity_by_node()
+        steps = self._state_machine.state.active_steps()
+        learned_capacity = self._core.learned_capacity_by_node()
         return SubtreeReport(
             sender=self._member.name,
             number=0,
             last_applied=self._member.applied_index,
-            alive_brokers=me,
+            alive_brokers=own_broker_set,
             incarnations=self._announced_incarnation(now_us),
-            informed_brokers={step.fence: me for step in steps},
-            drained_brokers={step.fence: me for step in steps if self._has_drained(step, closed)},
+            informed_brokers={step.fence: own_broker_set for step in steps},
+            drained_brokers={step.fence: own_broker_set for step in steps if self._has_drained(step, closed)},
             load_units=self._load.add(now_us, self._core.offered_units),
-            learned_units={name: round(units, 2) for name, units in learned.items() if units},
+            learned_units={name: round(units, 2) for name, units in learned_capacity.items() if units},
             unreachable_counts=self._unreachable_nodes(now_us),
         )
 
     def _has_drained(self, step: Step, closed: frozenset[str] | None) -> bool:
-        """CLEAR: this broker begins no attempt there, and has none open.
+        """CLEAR: return whether this broker starts no attempts at the step's machine and has none open there.
 
-        Where the machine is this broker itself, no request may be without its answer either.
+        If the machine is this broker itself, every request must have its final answer as well.
         """
         if step.phase not in CLOSED_PHASES:
             return False
@@ -92,13 +92,13 @@
         return self._core.open_attempt_count_at(step.machine) == 0
 
     def _announced_incarnation(self, now_us: int) -> dict[str, int]:
-        is_young = now_us - self._started_us < INCARNATION_ANNOUNCEMENT_US
-        if is_young or self._machine.state.find_active_step(self._member.name) is not None:
+        has_just_started = now_us - self._started_us < INCARNATION_ANNOUNCEMENT_US
+        if has_just_started or self._state_machine.state.find_active_step(self._member.name) is not None:
             return {self._member.name: self._member.incarnation}
         return {}
 
     def _unreachable_nodes(self, now_us: int) -> dict[str, int]:
-        """Nodes that are out of service, as seen from here; 1 for each, to be summed up over brokers."""
+        """Return 1 for each node that is unreachable from here; the values are summed over all brokers."""
         unreachable = {}
         for name, count in self._core.consecutive_unresponsive.items():
             known = self._unresponsive.get(name)
--- a/harriertide/control/cluster_membership.py
+++ b/harriertide/control/cluster_membership.py
@@ -1,4 +1,4 @@
-"""Bootstrap of the cluster and changes of its membership, as a voter carries them out."""
+"""Cluster bootstrap and membership changes, as executed by a voter."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from harriertide.consensus.state import Role
 from harriertide.control.member_link import MemberLink
 
-BOOTSTRAP_RETRY_INTERVAL_US = 300_000  # between two sendings to voters that may have missed it
+BOOTSTRAP_RETRY_INTERVAL_US = 300_000  # a voter may have missed the previous message
 
 
 class ClusterMembership:
-    """Says hello to other voters, and carries out what the reconciler decides.
+    """Sends hello messages to the other voters, and executes the decisions of the reconciler.
 
-    :param carry_out: carries out effects of the replica
+    :param execute_effects: executes effects of the replica
     """
 
     def __init__(
@@ -24,17 +24,17 @@
         link: MemberLink,
         me: Member,
         replica: Replica,
-        carry_out: Callable[[Sequence[Effect]], None],
+        execute_effects: Callable[[Sequence[Effect]], None],
     ) -> None:
         self._link = link
         self._replica = replica
-        self._carry_out = carry_out
+        self._execute_effects = execute_effects
         self._reconciler = MembershipReconciler(me, link.voters)
-        self._bootstrap: BootstrapCluster | None = None  # of the cluster that this process bootstrapped
+        self._bootstrap: BootstrapCluster | None = None  # set if this process bootstrapped the cluster
         self._bootstrap_sent_us = 0
 
     def tick(self, now_us: int) -> None:
-        """Say hello, bootstrap the cluster or send that again, and make the next change of membership."""
+        """Send a due hello, bootstrap the cluster or resend the bootstrap, and start a membership change."""
         node = self._replica.node
         hello = self._reconciler.next_hello(now_us, node)
         if hello is not None:
@@ -45,20 +45,20 @@
             self._resend_bootstrap(now_us, self._bootstrap)
         change = self._reconciler.next_change(now_us, node)
         if change is not None:
-            self._carry_out(self._replica.step(now_us, change))
+            self._execute_effects(self._replica.step(now_us, change))
 
     def on_hello(self, now_us: int, hello: Hello) -> None:
-        """Take the hello of a voter; one that is to be a member and has missed the bootstrap is sent it."""
+        """Handle the hello of a voter; resend the bootstrap to an initial member that has missed it."""
         self._reconciler.on_hello(now_us, hello)
         bootstrap = self._bootstrap
         if bootstrap is not None and not hello.cluster and hello.sender in bootstrap.members.voters:
             self._link.send(hello.sender.name, bootstrap)
 
     def on_bootstrap(self, now_us: int, bootstrap: BootstrapCluster) -> None:
-        """Join the cluster that the first voter of the file has bootstrapped."""
+        """Join the cluster that the first voter of the operator's file has bootstrapped."""
         node = self._replica.node
         if self._reconciler.accepts_bootstrap(bootstrap, node):
-            self._carry_out(node.bootstrap_cluster(now_us, bootstrap.cluster, bootstrap.members))
+            self._execute_effects(node.bootstrap_cluster(now_us, bootstrap.cluster, bootstrap.members))
 
     def _try_bootstrap(self, now_us: int) -> None:
         node = self._replica.node
@@ -66,10 +66,10 @@
         bootstrap = self._reconciler.propose_bootstrap(now_us, cluster)
         if bootstrap is not None and self._reconciler.accepts_bootstrap(bootstrap, node):
             self._bootstrap = bootstrap
-            self._carry_out(node.bootstrap_cluster(now_us, bootstrap.cluster, bootstrap.members))
+            self._execute_effects(node.bootstrap_cluster(now_us, bootstrap.cluster, bootstrap.members))
 
     def _resend_bootstrap(self, now_us: int, bootstrap: BootstrapCluster) -> None:
-        """Send the bootstrap again: no leader is known, so a voter may have missed it."""
+        """Resend the bootstrap: no leader is known, so a voter may have missed it."""
         if now_us - self._bootstrap_sent_us > BOOTSTRAP_RETRY_INTERVAL_US:
             self._bootstrap_sent_us = now_us
             self._send_to_voters(bootstrap)
--- a/harriertide/control/disk_writer.py
+++ b/harriertide/control/disk_writer.py
@@ -1,4 +1,4 @@
-"""Group commit: what has to be written while the disk is busy goes with the next sync."""
+"""Group commit: writes that are submitted during a sync share the next sync."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class DiskWriter:
-    """Writes to a store, one batch after the other.
+    """Writes to a store, one batch at a time.
 
-    :param write_to_disk: carries out a write, off the event loop
-    :param on_synced: called with the number of the last write of a batch, and how many microseconds it took
-    :param on_failed: called once; nothing is written after that
+    :param write_to_disk: runs a blocking write outside the event loop
+    :param on_synced: called with the number of a batch's last write and the batch's duration in microseconds
+    :param on_failed: called once with the error of the first failed batch; nothing is written after it
     """
 
     def __init__(
@@ -32,15 +32,15 @@
         self._on_failed = on_failed
         self._queue: list[ev.Persist] = []
         self._has_writes = asyncio.Event()
-        self.busy = asyncio.Lock()  # held during a write: guards against a file that is closed under it
+        self.busy = asyncio.Lock()  # held during a write, so that the files are not closed meanwhile
 
     def submit(self, write: ev.Persist) -> None:
-        """Write this with the next batch."""
+        """Add a write to the next batch."""
         self._queue.append(write)
         self._has_writes.set()
 
     async def run(self) -> None:
-        """Write batches until the disk refuses one, or the task is cancelled."""
+        """Write batches until one fails, or until the task is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await self._has_writes.wait()
--- a/harriertide/control/environment.py
+++ b/harriertide/control/environment.py
@@ -1,4 +1,4 @@
-"""What a member runs on: disk, network, random numbers and log of events, or a laboratory's stand-ins."""
+"""The environment of a member: disk, network, random numbers and event log, or stand-ins for simulations."""
 
 from __future__ import annotations
 
@@ -17,19 +17,22 @@
 
 
 class Disk(Protocol):
-    """A store or a stand-in. disk: its identity; restored: what a start found on it."""
+    """A store or a stand-in.
+
+    disk: identity of the disk. restored: state that was read from the disk at the start.
+    """
 
     disk: str
     restored: ev.RestoredState
 
     def write(self, writes: list[ev.Persist]) -> None:
-        """Write and sync all of these, with one sync.
+        """Write all of the writes, and sync them with a single sync.
 
-        :raises StoreError: it is final for this process
+        :raises StoreError: a write or the sync failed; the store is unusable until the process restarts
         """
 
     def close(self) -> None:
-        """Close its files."""
+        """Close the files of the store."""
 
 
 class MemberTransport(Protocol):
@@ -38,10 +41,10 @@
     counts: Counter[str]
 
     async def listen(self, address: tuple[str, int]) -> int:
-        """Take connections of other members, and return the port."""
+        """Accept connections from other members; return the listening port."""
 
     def send(self, name: str, address: tuple[str, int], payload: bytes) -> None:
-        """Send a payload to a member; it may be lost."""
+        """Send a payload to a member; delivery is not guaranteed."""
 
     async def close(self) -> None:
         """Close all connections."""
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a member runs on. write_to_disk: carries out a store's write, off the event loop."""
+    """The environment of a member. write_to_disk: runs a blocking store write outside the event loop."""
 
     disk: Callable[[Path], Disk] = Store.open
     transport: Callable[[Callable[[bytes], bool]], MemberTransport] = Transport
--- a/harriertide/control/event_log.py
+++ b/harriertide/control/event_log.py
@@ -1,6 +1,6 @@
-"""A log for the laboratory's checkers: one JSON object a line, each written whole, as it happens.
+"""An event log for the laboratory's checkers: one JSON object per line, written when the event happens.
 
-The names of events and fields are read by `harriertide/lab`, and by operators who set `events` in their file.
+`harriertide/lab` reads the event and field names, as do operators who set `events` in their file.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 class EventSink(Protocol):
-    """Where events go: a file or a stand-in."""
+    """A destination for events: a file or a stand-in."""
 
     def write(self, event: str, **fields: Any) -> None:
         """Write one event."""
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the sink; no event is written after this."""
 
 
 class EventLog:
-    """A file of events that only grows.
+    """An append-only file of events.
 
-    :param path: the file; "" where nothing is to be written
-    :param now_s: the clock of the events' times
+    :param path: the file; "" to write nothing
+    :param now_s: the clock for the timestamps of events
     """
 
     def __init__(self, path: str, now_s: Callable[[], float] = time.monotonic) -> None:
@@ -34,7 +34,7 @@
         self._now_s = now_s
 
     def write(self, event: str, **fields: Any) -> None:
-        """Write one event, with one system call: a process that is killed leaves whole lines before it."""
+        """Write one event with a single system call, so that a killed process leaves only complete lines."""
         if self._descriptor >= 0:
             row = {"event": event, "at": round(self._now_s(), 6), **fields}
             os.write(self._descriptor, (json.dumps(row) + "\n").encode())
--- a/harriertide/control/leader_facts.py
+++ b/harriertide/control/leader_facts.py
@@ -1,4 +1,4 @@
-"""What the leader gathers from the reports of all brokers, for the planner."""
+"""Facts for the planner that the leader gathers from the reports of all brokers."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 def update_facts(
     facts: LeaderFacts,
     now_us: int,
-    granted: GrantRound,
+    grant_round: GrantRound,
     totals: SubtreeTotals,
     active_fences: set[int],
     operator_state: State,
 ) -> None:
-    """Take in what was reported until a round of leases was granted.
+    """Update the facts with the reports received until a grant round was confirmed.
 
-    :param granted: the round: who was in it holds a lease from its own report on
-    :param totals: the sums of all reports
-    :param active_fences: fences of the active steps
-    :param operator_state: grades, volumes and nodes, as in force here
+    :param grant_round: the confirmed round; each broker in it holds a lease that starts at its own report
+    :param totals: the merged reports of all brokers
+    :param active_fences: fencing tokens of the active steps
+    :param operator_state: grades, volumes and nodes that are in force on this broker
     """
-    for broker_index in granted.alive_brokers:
+    for broker_index in grant_round.alive_brokers:
         facts.last_grant_us[broker_index] = now_us
     facts.alive_brokers = totals.alive_brokers
     facts.load_units = totals.load_units
@@ -39,7 +39,7 @@
 
 
 def total_reserved_units(operator_state: State) -> float:
-    """Return the units a second that all volumes have reserved."""
+    """Return the units per second reserved by all volumes."""
     total = 0.0
     for volume in operator_state["volumes"].values():
         total += operator_state["grades"][volume["grade"]]["reserve"]
@@ -47,7 +47,7 @@
 
 
 def reserved_units_by_grade(operator_state: State) -> dict[str, float]:
-    """Return the units a second that volumes have reserved, by grade."""
+    """Return the units per second reserved by volumes, by grade."""
     reserved = dict.fromkeys(operator_state["grades"], 0.0)
     for volume in operator_state["volumes"].values():
         grade = volume["grade"]
--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -1,7 +1,7 @@
-"""Maintenance in one broker: what is agreed on becomes what it may send, and the leader plans what comes
-next.
+"""Maintenance in one broker: enforces the committed permits, and plans the next steps while it is the leader.
 
-The pure packages decide; this hands them facts and carries out what they say.
+The decisions are made in `harriertide.consensus` and `harriertide.maintenance`, which do no I/O. This module
+supplies them with facts and executes their decisions.
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
 from harriertide.maintenance.state_machine import MaintenanceStateMachine
 from harriertide.platform.peers import parse_address
 
-TICK_S = 0.025  # a lease that ends is seen this late by the object front; writes ask by the clock
-PLANNING_INTERVAL_US = 200_000  # between planning rounds, where nothing new has come
+TICK_S = 0.025  # the object front learns this late that a lease ended; each write checks the clock itself
+PLANNING_INTERVAL_US = 200_000  # between planning rounds while no new information arrives
 
 
 class MaintenanceService:
-    """One broker's maintenance.
+    """The maintenance service of one broker.
 
-    :param settings: the section of the operator's file
+    :param settings: the `maintenance` section of the operator's file
     :param unix_us: the reducer's clock
-    :param leave: ends this process in order
-    :param set_ready: whether this process takes requests
-    :param environment: what the member runs on; a laboratory's in simulations
+    :param leave: shuts this process down cleanly
+    :param set_ready: sets whether this process accepts requests
+    :param environment: the member's disk, network and random numbers; simulations pass their own
     :param wall_s: the wall clock, in Unix seconds
     """
 
@@ -85,7 +85,7 @@
             addresses={name: parse_address(row["address"]) for name, row in settings.brokers.items()},
             voters=tuple(name for name, row in settings.brokers.items() if row["voter"] == "yes"),
             folder=Path(settings.folder),
-            machine=self.machine,
+            state_machine=self.machine,
             lease_us=self.planner_settings.lease_us,
             events=self._events,
             listener=self,
@@ -102,38 +102,38 @@
         self._observer = StepObserver(self.machine, self.member, self._events)
         preview = OrderPreview(self.machine, self.member, self.planner, self.planner_settings, nodes)
         self._api = MaintenanceApi(self.machine, self.member, self._observer, preview, self._events, self)
-        self._led_term = 0  # the term in which this broker plans; 0: it does not
+        self._led_term = 0  # term in which this broker plans as leader; 0 if it is not the leader
         self._next_planning_us = 0
         self._is_leaving = False
-        self._is_ending = False
-        self._timer: asyncio.Task[None] | None = None
+        self._is_shutting_down = False
+        self._timer_task: asyncio.Task[None] | None = None
         core.is_barred = self.barrier.is_barred
 
     def wall_s(self) -> float:
         """Return the wall clock, in Unix seconds."""
         return self._wall_s()
 
-    # --- life -----------------------------------------------------------------------------------------
+    # --- lifecycle ------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Take part."""
+        """Start the member and the planning timer."""
         await self.member.start()
-        self._timer = asyncio.get_running_loop().create_task(self._run())
-        log("takes part in the agreement", name=self.settings.name, voter=self.member.is_voter)
+        self._timer_task = asyncio.get_running_loop().create_task(self._run())
+        log("maintenance service started", name=self.settings.name, voter=self.member.is_voter)
 
     def cancel_tasks(self) -> list[asyncio.Task[None]]:
-        """End at once, as a process that is killed does; return the tasks that end."""
+        """Cancel all tasks without a clean shutdown, as if the process was killed; return the tasks."""
         return [*self._cancel_own_tasks(), *self.member.cancel_tasks()]
 
     def _cancel_own_tasks(self) -> list[asyncio.Task[None]]:
         tasks = self._proposals.cancel_tasks()
-        if self._timer is not None:
-            self._timer.cancel()
-            tasks.append(self._timer)
+        if self._timer_task is not None:
+            self._timer_task.cancel()
+            tasks.append(self._timer_task)
         return tasks
 
     async def close(self) -> None:
-        """Hand over, and end."""
+        """Stop planning, transfer leadership and close the member."""
         await asyncio.gather(*self._cancel_own_tasks(), return_exceptions=True)
         self._events.write("ends")
         await self.member.close()
@@ -142,52 +142,52 @@
         while True:
             now_us = self.member.now_us()
             self.barrier.refresh_when_due(now_us)
-            self._follow_leadership(now_us)
+            self._update_leadership(now_us)
             if self._led_term and now_us >= self._next_planning_us:
                 self._next_planning_us = now_us + PLANNING_INTERVAL_US
                 self.plan(now_us)
             await asyncio.sleep(TICK_S)
 
     def counters(self) -> dict[str, Counter[str]]:
-        """Return the counters, by part."""
+        """Return the counters by component."""
         return self.member.counters()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer an operator's call: GET /maintenance, POST /maintenance/ACTION."""
         return await self._api.handle(request)
 
-    # --- what the member says -------------------------------------------------------------------------
+    # --- member listener ------------------------------------------------------------------------------
 
     def build_report(self) -> SubtreeReport:
-        """Return what this broker reports of itself now."""
+        """Return the current report of this broker."""
         return self._reporter.build()
 
     def on_applied(self) -> None:
-        """Something was agreed on: notice new phases, close or open nodes, leave where it is this broker."""
+        """Handle applied entries: record phase changes, refresh the barrier, apply this broker's own step."""
         if self._observer.notice_changes():
             self._next_planning_us = 0
         self.barrier.refresh(self.member.now_us())
-        self._follow_own_step()
+        self._apply_own_step()
 
-    def on_leases_granted(self, granted: GrantRound) -> None:
-        """As leader: take in what was reported, and plan soon: what a step waits for may have come."""
+    def on_leases_granted(self, grant_round: GrantRound) -> None:
+        """As leader, update the facts, and plan at the next tick: a waiting step may be ready now."""
         totals = self.member.subtree_totals(self.build_report())
         active_fences = {step.fence for step in self.machine.state.active_steps()}
         now_us = self.member.now_us()
-        update_facts(self.facts, now_us, granted, totals, active_fences, self._nodes.state)
+        update_facts(self.facts, now_us, grant_round, totals, active_fences, self._nodes.state)
         self._next_planning_us = 0
 
-    def _follow_own_step(self) -> None:
-        """Follow the step of this broker itself: it is taken out of service, or comes back."""
+    def _apply_own_step(self) -> None:
+        """Apply the step of this broker itself: stop taking requests and shut down, or take them again."""
         step = self.machine.state.find_active_step(self.settings.name)
         is_leaving = step is not None and step.phase in CLOSED_PHASES
         if step is not None and is_leaving and not self._is_leaving:
             self._events.write("leaving", phase=step.phase)
             log("takes no requests, this broker is taken out for maintenance", fence=step.fence)
         if step is not None and step.phase == "out" and step.incarnation == self.member.incarnation:
-            if not self._is_ending:
-                log("ends in order, it is this broker's turn of maintenance", fence=step.fence)
-            self._is_ending = True
+            if not self._is_shutting_down:
+                log("shutting down this broker for maintenance", fence=step.fence)
+            self._is_shutting_down = True
             self._leave()
         if is_leaving != self._is_leaving:
             self._is_leaving = is_leaving
@@ -195,10 +195,10 @@
             if is_leaving:
                 self.member.transfer_leadership()
 
-    # --- planning, as leader --------------------------------------------------------------------------
+    # --- planning as leader ---------------------------------------------------------------------------
 
-    def _follow_leadership(self, now_us: int) -> None:
-        """Begin with nothing where the leader is new: what an earlier one heard is not known here."""
+    def _update_leadership(self, now_us: int) -> None:
+        """Reset the facts when leadership changes: the reports to an earlier leader are not known here."""
         led_term = self.member.led_term
         if led_term == self._led_term:
             return
@@ -211,10 +211,13 @@
         self._proposals.forget()
 
     def plan(self, now_us: int) -> None:
-        """Propose what comes next. First of all the inventory, where it is not as in the operator's file."""
+        """Propose the next commands.
+
+        If the committed inventory differs from the operator's file, propose only the new inventory.
+        """
         if not self.member.can_propose:
             return
-        declared = self._inventory()
+        declared = self._build_inventory()
         state = self.machine.state
         machines = {machine.name: machine for machine in declared.machines}
         if state.machines != machines or state.brokers != declared.brokers:
@@ -222,9 +225,9 @@
             return
         for command in self.planner.propose(self.facts, now_us, self._wall_s()):
             self._proposals.propose(now_us, command)
-        self.member.wait_reasons = self._wait_reasons(now_us)
+        self.member.wait_reasons = self._collect_wait_reasons(now_us)
 
-    def _inventory(self) -> DeclareMachines:
+    def _build_inventory(self) -> DeclareMachines:
         settings = self.settings
         machines = [
             Machine(name, "box", **settings.labels.get(name, {})) for name in self._nodes.state["boxes"]
@@ -234,17 +237,20 @@
             machines.append(Machine(name, "broker", **labels, voter=row["voter"] == "yes"))
         return DeclareMachines(tuple(machines), tuple(settings.brokers), self._wall_s())
 
-    def _wait_reasons(self, now_us: int) -> dict[str, list[str]]:
-        """What active machines wait for, and the next of each order. It goes with each grant: no more."""
-        reasons: dict[str, list[str]] = {}
-        for order, steps in self.machine.state.steps.items():
+    def _collect_wait_reasons(self, now_us: int) -> dict[str, list[str]]:
+        """Return what each active step, and the first waiting step of each order, waits for.
+
+        Later waiting steps are left out, because the reasons are sent with every grant.
+        """
+        reasons_by_step: dict[str, list[str]] = {}
+        for order_name, steps in self.machine.state.steps.items():
             has_waiting = False
             for step in steps.values():
                 is_waiting = step.phase == "waiting"
                 if is_waiting and has_waiting:
                     continue
                 has_waiting = has_waiting or is_waiting
-                waits = self.planner.describe_waits(step, self.facts, now_us, self._wall_s())
-                if waits:
-                    reasons[f"{order}/{step.machine}"] = waits
-        return reasons
+                wait_reasons = self.planner.describe_waits(step, self.facts, now_us, self._wall_s())
+                if wait_reasons:
+                    reasons_by_step[f"{order_name}/{step.machine}"] = wait_reasons
+        return reasons_by_step
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -1,4 +1,7 @@
-"""One broker among those that agree, on an event loop: timers, network and calls. It decides nothing."""
+"""Runs one member of the Raft cluster on an event loop: timers, network and calls.
+
+All protocol decisions are made in `harriertide.consensus`.
+"""
 
 from __future__ import annotations
 
@@ -23,20 +26,20 @@
 from harriertide.control.wire import WireMessage, decode_message, encode_message
 from harriertide.engine.clock import sleep_until
 
-TICK_S = 0.025  # a quarter of a heartbeat: timers are late by no more
-TRANSFER_WAIT_S = 0.1  # time that a stopping leader allows for handing over leadership
-CALL_MARGIN_S = 0.5  # beyond a call's time, within which it is failed by its role
+TICK_S = 0.025  # a quarter of the heartbeat interval; a timer fires at most this late
+TRANSFER_WAIT_S = 0.1  # how long a stopping leader waits for the leadership transfer
+CALL_MARGIN_S = 0.5  # added to a call's timeout; the role fails an expired call within this margin
 
 
 class AgreementMember:
-    """A broker with its role: a voter with a disk, or an observer without.
-
-    :param name: of this broker
-    :param addresses: where each broker listens for the others, by name, in the order of the operator's file
-    :param voters: names of those with a vote
-    :param folder: of the store, for a voter
-    :param machine: the state machine behind the log
-    :param lease_us: how long a lease lasts
+    """A broker in its cluster role: a voter with a store on disk, or an observer without a store.
+
+    :param name: name of this broker
+    :param addresses: listening address of each broker, by name, in the order of the operator's file
+    :param voters: names of the brokers that vote
+    :param folder: folder of the store; used by voters only
+    :param state_machine: state machine to which committed entries are applied
+    :param lease_us: duration of a lease
     """
 
     def __init__(
@@ -45,7 +48,7 @@
         addresses: dict[str, tuple[str, int]],
         voters: tuple[str, ...],
         folder: Path,
-        machine: StateMachine,
+        state_machine: StateMachine,
         lease_us: int,
         events: EventSink,
         listener: MemberListener,
@@ -55,8 +58,8 @@
         random = environment.random
         self.name = name
         self.voters = voters
-        self.incarnation = random.getrandbits(31) | 1  # of this process; never 0
-        self.wait_reasons: dict[str, list[str]] = {}  # by "order/machine", as the leader sent it last
+        self.incarnation = random.getrandbits(31) | 1  # identifies this process; never 0
+        self.wait_reasons: dict[str, list[str]] = {}  # by "order/machine", from the last update of the leader
         self._addresses = addresses
         self._listener = listener
         self._events = events
@@ -82,77 +85,77 @@
             send=self._send,
             distribute=self._distribute,
         )
-        self._voter = Voter(link, machine, folder, tuning or Tuning()) if name in voters else None
-        self._role: Role = self._voter or ObserverMember(link, machine)
+        self._voter = Voter(link, state_machine, folder, tuning or Tuning()) if name in voters else None
+        self._role: Role = self._voter or ObserverMember(link, state_machine)
 
-    # --- questions ------------------------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------------------
 
     def now_us(self) -> int:
-        """Return the loop's clock, which never goes back and goes on while the process is stopped."""
+        """Return the event loop's clock, which is monotonic and advances while the process is stopped."""
         return round(asyncio.get_running_loop().time() * 1_000_000)
 
     @property
     def is_voter(self) -> bool:
-        """Whether it has a vote, by the operator's file."""
+        """Whether the operator's file lists this broker as a voter."""
         return self._voter is not None
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads, as far as it knows."""
+        """Whether this member believes that it is the leader."""
         return self._role.led_term > 0
 
     @property
     def led_term(self) -> int:
-        """The term in which it leads; 0 where it does not."""
+        """The term in which this member is the leader; 0 if it is not the leader."""
         return self._role.led_term
 
     @property
     def can_propose(self) -> bool:
-        """Whether it leads and knows all that was agreed on before its election."""
+        """Whether this member leads and has committed in its term, so that it knows all committed entries."""
         return self._role.has_committed_own_term
 
     @property
     def leader(self) -> str:
-        """The broker that it takes for the leader; "" for none."""
+        """Name of the leader known to this member; "" if none is known."""
         return self._role.leader
 
     @property
     def voter_names(self) -> list[str]:
-        """The voters as far as it knows, by name."""
+        """Names of the voters known to this member."""
         return self._role.voter_names
 
     @property
     def halted(self) -> str:
-        """Why it takes no part in the agreement any more; "" while it does."""
+        """Why this member has stopped taking part in Raft; "" while it takes part."""
         return self._role.halted
 
     @property
     def applied_index(self) -> int:
-        """The index up to which the log is applied here."""
+        """Index of the last log entry applied on this broker."""
         return self._role.applied_state.last_applied
 
     @property
     def lease_end_us(self) -> int:
-        """When its last lease ends, by now_us; 0 where it had none since its start."""
+        """End of the last lease, on the clock of now_us; 0 if no lease was granted since the start."""
         return self._tree.lease_end_us
 
     @property
     def broker_index(self) -> int:
-        """Its index in the operator's file."""
+        """Index of this broker in the operator's file."""
         return self._tree.broker_indexes[self.name]
 
     def has_lease(self) -> bool:
-        """Whether it holds a lease now."""
+        """Return whether this broker holds a lease now."""
         return self.now_us() < self._tree.lease_end_us
 
     def subtree_totals(self, own_report: SubtreeReport) -> SubtreeTotals:
-        """Return what is known of this broker and of those below it in the tree; as leader: of all."""
+        """Return the merged reports of this broker and its subtree; on the leader, of all brokers."""
         return self._tree.totals(self.now_us(), own_report)
 
-    # --- life -----------------------------------------------------------------------------------------
+    # --- lifecycle ------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Listen, and take part."""
+        """Open the listening socket, and start the timers and the disk writer."""
         await self._transport.listen(self._addresses[self.name])
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._run_ticks())]
@@ -163,22 +166,22 @@
         self._events.write("starts", disk=disk, cluster=cluster, life=self.incarnation)
 
     def transfer_leadership(self) -> None:
-        """If it leads, hand over to the best of the others."""
+        """As leader, transfer leadership to the most suitable other voter; otherwise do nothing."""
         self._role.transfer_leadership()
 
     def cancel_tasks(self) -> list[asyncio.Task[None]]:
-        """End at once, as a process that is killed does; return the tasks that end."""
+        """Cancel all tasks without a clean shutdown, as if the process was killed; return the tasks."""
         for task in self._tasks:
             task.cancel()
         return self._tasks
 
     async def close(self) -> None:
-        """Hand over, and close the network and the store."""
+        """Transfer leadership, then close the network and the store."""
         if self.is_leader:
             self.transfer_leadership()
             await sleep_until(asyncio.get_running_loop().time() + TRANSFER_WAIT_S)
-        no_write = nullcontext() if self._voter is None else self._voter.writer.busy
-        async with no_write:
+        write_lock = nullcontext() if self._voter is None else self._voter.writer.busy
+        async with write_lock:
             self.cancel_tasks()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._transport.close()
@@ -194,7 +197,7 @@
             await sleep_until(loop.time() + TICK_S)
 
     def tick(self) -> None:
-        """Do what is due by time alone: the role's timers, a report or grant round, updates for children."""
+        """Run the role's timers, send a due report or start a grant round, and send updates to children."""
         now_us = self.now_us()
         self._role.tick(now_us)
         if self._tree.is_report_due(now_us) and not self._role.start_grant_round(now_us):
@@ -205,13 +208,13 @@
     # --- network --------------------------------------------------------------------------------------
 
     def report_soon(self) -> None:
-        """Send the next report at the next tick: others wait for what it says."""
+        """Send the next report at the next tick, because other brokers wait for its contents."""
         self._tree.report_soon()
 
     def _send_report(self, now_us: int) -> None:
-        addressed = self._tree.build_report(now_us, self._listener.build_report())
-        if addressed is not None:
-            self._send(*addressed)
+        parent_and_report = self._tree.build_report(now_us, self._listener.build_report())
+        if parent_and_report is not None:
+            self._send(*parent_and_report)
 
     def _distribute(self) -> None:
         self._updates.send_all(self.now_us(), self._role, self.wait_reasons)
@@ -222,7 +225,7 @@
             self._transport.send(name, address, encode_message(message))
 
     def _on_payload(self, payload: bytes) -> bool:
-        """Take a payload of the transport; return whether it was a message."""
+        """Handle a payload from the transport; return whether it holds a valid message."""
         try:
             message = decode_message(payload)
         except msgspec.MsgspecError:
@@ -246,10 +249,10 @@
     # --- calls ----------------------------------------------------------------------------------------
 
     async def call(self, data: bytes, within_s: float) -> bytes:
-        """Have a command agreed on and applied here.
+        """Replicate a command, and wait until it is committed and applied on this broker.
 
         :returns: the result of the state machine
-        :raises CallError: it was not agreed on in time; it may be later, or never
+        :raises CallError: the command was not committed in time; it may still be committed later
         """
         now_us = self.now_us()
         self._serial += 1
@@ -267,9 +270,9 @@
             self._role.withdraw(number)
 
     async def read(self, within_s: float) -> bool:
-        """Wait until the state holds all that was agreed on by now; False where that can't be known."""
+        """Wait until all entries committed before this call are applied; False if that is not certain."""
         return await self._role.read(within_s)
 
     def counters(self) -> dict[str, Counter[str]]:
-        """Return the counters, by part."""
+        """Return the counters by component."""
         return {"agreement": self._counts, "agreement_wire": self._transport.counts}
--- a/harriertide/control/member_link.py
+++ b/harriertide/control/member_link.py
@@ -1,4 +1,4 @@
-"""What a member's role (voter or observer) shares with the member: name, tree, calls, counters, sending."""
+"""The interface between a member and its role (voter or observer)."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class MemberListener(Protocol):
-    """Who uses a member: it is notified of what was agreed on, and states what this broker reports."""
+    """The user of a member: handles applied entries and granted leases, and builds this broker's reports."""
 
     def build_report(self) -> SubtreeReport:
-        """Return what this broker reports of itself now."""
+        """Return the current report of this broker."""
 
     def on_applied(self) -> None:
-        """Entries were applied to the state machine."""
+        """Handle entries that were applied to the state machine."""
 
-    def on_leases_granted(self, granted: GrantRound) -> None:
-        """As leader: a majority has confirmed a round, and who was in it holds a lease."""
+    def on_leases_granted(self, grant_round: GrantRound) -> None:
+        """As leader, handle a round that a majority has confirmed: each broker in the round holds a lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberLink:
-    """The member as its role sees it.
+    """The parts of a member that its role uses.
 
-    now_us: the event loop's clock. send: to a broker by name; it may be lost. distribute: sends the children
-    in the tree what they lack.
+    now_us: the event loop's clock. send: sends a message to a broker by name, without a delivery guarantee.
+    distribute: sends pending updates to the children in the tree.
     """
 
     name: str
@@ -54,8 +54,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCommand:
-    """A command to agree on. number: of the call; client and serial: the same for each attempt of one
-    command.
+    """A command to replicate.
+
+    number: number of the call. client and serial: identify the command, and are equal in all of its attempts.
     """
 
     number: int
@@ -66,55 +67,55 @@
 
 
 class Role(Protocol):
-    """What a voter and an observer have in common."""
+    """The interface of both roles, voter and observer."""
 
     @property
     def leader(self) -> str:
-        """The broker that it takes for the leader; "" for none."""
+        """Name of the leader known to this member; "" if none is known."""
 
     @property
     def led_term(self) -> int:
-        """The term in which it leads; 0 where it does not."""
+        """The term in which this member is the leader; 0 if it is not the leader."""
 
     @property
     def has_committed_own_term(self) -> bool:
-        """Whether it leads and knows all that was agreed on before its election."""
+        """Whether this member leads and has committed in its term, so that it knows all committed entries."""
 
     @property
     def voter_names(self) -> list[str]:
-        """The voters as far as it knows, by name."""
+        """Names of the voters known to this member."""
 
     @property
     def halted(self) -> str:
-        """Why it takes no part in the agreement any more; "" while it does."""
+        """Why this member has stopped taking part in Raft; "" while it takes part."""
 
     @property
     def applied_state(self) -> AppliedState:
-        """The state machine, with the index up to which it is applied."""
+        """The state machine and the index of the last applied entry."""
 
     def entries_after(self, index: int) -> tuple[Entry, ...] | None:
-        """Return applied entries after an index for a child; None where they are not kept any more."""
+        """Return applied entries after an index for a child; None if they are compacted away."""
 
     def tick(self, now_us: int) -> None:
-        """Do what is due by time alone."""
+        """Run the timers of the role."""
 
     def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
-        """Take a message of the agreement."""
+        """Handle a Raft, hello or bootstrap message."""
 
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
-        """Take what the parent in the tree sends."""
+        """Handle an update from the parent in the tree."""
 
     def start_grant_round(self, now_us: int) -> bool:
-        """As leader, ask a majority to confirm it; False where it does not lead."""
+        """As leader, ask a majority to confirm the leadership; return False if not the leader."""
 
     def submit(self, now_us: int, command: ClientCommand) -> None:
-        """Have a command agreed on; its call is completed or failed later."""
+        """Replicate a command; its call is completed or failed later."""
 
     def withdraw(self, number: int) -> None:
-        """Stop attempts for a call that nobody awaits any more."""
+        """Stop retrying a call whose caller no longer waits."""
 
     async def read(self, within_s: float) -> bool:
-        """Wait until the state holds all that was agreed on by now; False where that can't be known."""
+        """Wait until all entries committed before this call are applied; False if that is not certain."""
 
     def transfer_leadership(self) -> None:
-        """If it leads, hand over to the best of the others."""
+        """As leader, transfer leadership to the most suitable other voter; otherwise do nothing."""
--- a/harriertide/control/observer_member.py
+++ b/harriertide/control/observer_member.py
@@ -1,4 +1,4 @@
-"""The role of an observer: a broker without a vote or a disk, which receives the log by the tree."""
+"""The observer role: a broker without a vote or a store, which receives the log through the fan-out tree."""
 
 from __future__ import annotations
 
@@ -23,53 +23,53 @@
 
 
 class ObserverMember:
-    """Takes updates of its parent, and sends proposals to the leader."""
+    """Applies updates from its parent, and sends proposals to the leader."""
 
-    def __init__(self, link: MemberLink, machine: StateMachine) -> None:
+    def __init__(self, link: MemberLink, state_machine: StateMachine) -> None:
         self._link = link
-        self._observer = Observer(AppliedState(machine))
+        self._observer = Observer(AppliedState(state_machine))
         self._calls: dict[int, _ProposedCall] = {}
 
-    # --- questions ------------------------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------------------
 
     @property
     def leader(self) -> str:
-        """The leader as the parent sent it last; "" for none."""
+        """Name of the leader from the last update of the parent; "" if none is known."""
         return self._link.tree.leader
 
     @property
     def led_term(self) -> int:
-        """Always 0: it never leads."""
+        """Always 0: an observer is never the leader."""
         return 0
 
     @property
     def has_committed_own_term(self) -> bool:
-        """Always False: it never leads."""
+        """Always False: an observer is never the leader."""
         return False
 
     @property
     def voter_names(self) -> list[str]:
-        """The voters of the operator's file: the tree carries no membership."""
+        """Names of the voters in the operator's file, because tree updates do not carry the membership."""
         return list(self._link.voters)
 
     @property
     def halted(self) -> str:
-        """Always "": it has no disk that could refuse."""
+        """Always "": an observer has no disk that could fail."""
         return ""
 
     @property
     def applied_state(self) -> AppliedState:
-        """The state machine, with the index up to which it is applied."""
+        """The state machine and the index of the last applied entry."""
         return self._observer.applied_state
 
     def entries_after(self, index: int) -> tuple[Entry, ...] | None:
-        """Return applied entries after an index for a child; None where they are not kept any more."""
+        """Return applied entries after an index for a child; None if they are no longer kept."""
         return self._observer.entries_after(index, UPDATE_ENTRY_COUNT)
 
     # --- events ---------------------------------------------------------------------------------------
 
     def tick(self, now_us: int) -> None:
-        """Send proposals to the leader, and again after a while."""
+        """Send due proposals to the leader, retry unanswered ones, and fail expired calls."""
         for number, call in list(self._calls.items()):
             if now_us >= call.deadline_us:
                 del self._calls[number]
@@ -79,11 +79,11 @@
                 self._link.send(self.leader, call.proposal)
 
     def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
-        """Count a message that is for voters only."""
+        """Count and drop a message that only voters handle."""
         self._link.counts["not_for_a_follower"] += 1
 
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
-        """Apply what the parent sends, complete own calls, and send it on to the children."""
+        """Apply an update from the parent, complete own calls, and forward the entries to the children."""
         applied_before = self.applied_state.last_applied
         for entry, result, fresh, digest in self._observer.apply_update(update):
             self._link.events.write("applied", index=entry.index, digest=digest, fresh=fresh)
@@ -99,23 +99,23 @@
                 self._link.calls.complete(number, result)
 
     def start_grant_round(self, now_us: int) -> bool:
-        """Do nothing: it never leads."""
+        """Do nothing: an observer is never the leader."""
         return False
 
     def submit(self, now_us: int, command: ClientCommand) -> None:
         """Propose a command to the leader; its call is completed or failed later."""
-        me, nobody = Member(self._link.name, ""), Member("", "")
-        proposal = Proposal("", me, nobody, 0, command.client, command.serial, command.data)
+        sender, unknown_leader = Member(self._link.name, ""), Member("", "")
+        proposal = Proposal("", sender, unknown_leader, 0, command.client, command.serial, command.data)
         self._calls[command.number] = _ProposedCall(proposal, now_us, command.deadline_us)
         self.tick(now_us)
 
     def withdraw(self, number: int) -> None:
-        """Stop attempts for a call that nobody awaits any more."""
+        """Stop retrying a call whose caller no longer waits."""
         self._calls.pop(number, None)
 
     async def read(self, within_s: float) -> bool:
-        """Whether it holds a lease: only then does its state hold all that was agreed on before."""
+        """Return whether this broker holds a lease; without one, its state may lack committed entries."""
         return self._link.tree.lease_end_us > self._link.now_us()
 
     def transfer_leadership(self) -> None:
-        """Do nothing: it never leads."""
+        """Do nothing: an observer is never the leader."""
--- a/harriertide/control/ports.py
+++ b/harriertide/control/ports.py
@@ -1,4 +1,4 @@
-"""What maintenance asks of the rest of a broker: of the reducer, and of the object front."""
+"""Interfaces of the reducer and the object front that maintenance uses."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 
 
 class NodeDirectory(Protocol):
-    """The object front: the operator's state, and which nodes may get requests."""
+    """The object front: holds the operator's state, and places requests on nodes."""
 
     state: State
 
     def close_nodes(self, closed: frozenset[str] | None, returned_us: dict[str, int]) -> None:
-        """Send nothing new to these nodes; None: to none at all. returned_us: when others came back."""
+        """Stop sending new requests to these nodes.
+
+        :param closed: names of the closed nodes; None closes all nodes
+        :param returned_us: time at which each returning node came back
+        """
 
 
 class RequestCore(Protocol):
-    """The reducer: what it is offered, what it has open, and what it learns of nodes."""
+    """The reducer: its offered load, open attempts and requests, and learned node capacity."""
 
     settings: api.Settings
     offered_units: float
@@ -28,10 +32,10 @@
     is_barred: Callable[[str], bool] | None
 
     def open_attempt_count_at(self, node: str) -> int:
-        """Return how many attempts are open at a node."""
+        """Return the number of open attempts at a node."""
 
     def learned_capacity_by_node(self) -> dict[str, float]:
-        """Return what overloaded nodes serve a second, by node."""
+        """Return the units per second that overloaded nodes serve, by node."""
 
     def open_request_count(self) -> int:
-        """Return how many requests have no final answer yet."""
+        """Return the number of requests without a final answer."""
--- a/harriertide/control/proposals.py
+++ b/harriertide/control/proposals.py
@@ -1,4 +1,4 @@
-"""Commands of the planner on their way to the agreed log."""
+"""Proposes the planner's commands to the replicated log."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     encode_command,
 )
 
-CALL_TIMEOUT_S = 5.0  # for a command to be agreed on: several elections
-RETRY_INTERVAL_US = 1_000_000  # a command that has no result after that may be proposed once more
+CALL_TIMEOUT_S = 5.0  # for committing a command; long enough for several elections
+RETRY_INTERVAL_US = 1_000_000  # after this time, a command without a result may be proposed again
 
 
 class Proposals:
-    """Proposes commands, each in a task of its own, and not the same one in each planning round."""
+    """Proposes each command in its own task, and skips commands that are already in flight."""
 
     def __init__(self, member: AgreementMember, events: EventSink, counts: Counter[str]) -> None:
         self._member = member
         self._events = events
         self._counts = counts
-        self._open_until_us: dict[bytes, int] = {}  # by command, without its time
+        self._open_until_us: dict[bytes, int] = {}  # by encoded command without its time
         self._tasks: set[asyncio.Task[None]] = set()
 
     def propose(self, now_us: int, command: Command) -> None:
-        """Propose a command, unless the same is on its way."""
+        """Propose a command, unless the same command is in flight."""
         key = encode_command(msgspec.structs.replace(command, at_s=0.0))
         open_until_us = self._open_until_us
         self._open_until_us = {
-            each: until_us for each, until_us in open_until_us.items() if until_us > now_us
+            open_key: until_us for open_key, until_us in open_until_us.items() if until_us > now_us
         }
         if key in self._open_until_us:
             return
@@ -54,11 +54,11 @@
         self._open_until_us.pop(key, None)
 
     def forget(self) -> None:
-        """Propose anything anew: another term has begun."""
+        """Forget the commands in flight when the leadership changes, so that each may be proposed again."""
         self._open_until_us.clear()
 
     def cancel_tasks(self) -> list[asyncio.Task[None]]:
-        """End what is on its way; return the tasks that end."""
+        """Cancel the proposals in flight; return their tasks."""
         tasks = [*self._tasks]
         for task in tasks:
             task.cancel()
--- a/harriertide/control/step_observer.py
+++ b/harriertide/control/step_observer.py
@@ -1,4 +1,4 @@
-"""What this broker has seen of each step: its phase, and since when by this broker's own clock."""
+"""Tracks the phase of each step, and the time of the last change on this broker's clock."""
 
 from __future__ import annotations
 
@@ -20,23 +20,27 @@
 
 
 class StepObserver:
-    """Notices steps that changed, and writes them to the log of events; the leader logs its decisions."""
+    """Detects changed steps and writes them to the event log; the leader also logs them for operators."""
 
-    def __init__(self, machine: MaintenanceStateMachine, member: AgreementMember, events: EventSink) -> None:
-        self._machine = machine
+    def __init__(
+        self, state_machine: MaintenanceStateMachine, member: AgreementMember, events: EventSink
+    ) -> None:
+        self._state_machine = state_machine
         self._member = member
         self._events = events
         self._seen: dict[tuple[str, str], _SeenStep] = {}  # by order and machine
 
     def notice_changes(self) -> bool:
-        """Look at all steps; return whether one has another phase or fence than before."""
-        present = [step for steps in self._machine.state.steps.values() for step in steps.values()]
+        """Check all steps; return whether the phase or fencing token of any step has changed."""
+        current_steps = [
+            step for steps in self._state_machine.state.steps.values() for step in steps.values()
+        ]
         has_changed = False
-        for step in present:
+        for step in current_steps:
             has_changed = self._notice(step) or has_changed
-        if len(self._seen) > len(present):  # steps of orders that the agreed state has dropped
+        if len(self._seen) > len(current_steps):  # the replicated state has dropped old orders
             self._seen = {
-                (step.order, step.machine): self._seen[step.order, step.machine] for step in present
+                (step.order, step.machine): self._seen[step.order, step.machine] for step in current_steps
             }
         return has_changed
 
@@ -59,7 +63,7 @@
         return True
 
     def phase_age_s(self, step: Step, now_us: int) -> float:
-        """Return how long this broker has seen a step in its phase."""
+        """Return for how many seconds this broker has seen a step in its current phase."""
         seen = self._seen.get((step.order, step.machine))
         since_us = now_us if seen is None else seen.since_us
         return round((now_us - since_us) / 1_000_000, 1)
@@ -67,7 +71,7 @@
 
 def _log_step(step: Step) -> None:
     if step.phase == "waiting" and not step.fence:
-        return  # the order is new; the operator's call is logged
+        return  # the order is new, and the operator's call was already logged
     event = "maintenance permit granted" if step.phase == "permitted" else "maintenance phase changed"
     log(
         event,
@@ -75,5 +79,5 @@
         order=step.order,
         phase=step.phase,
         fence=step.fence,
-        reason=step.reason or "all that it waited for has come",
+        reason=step.reason or "all conditions of the phase are met",
     )
--- a/harriertide/control/tree_updates.py
+++ b/harriertide/control/tree_updates.py
@@ -1,6 +1,4 @@
-"""What a member sends to its children in the tree: grants of leases, and entries or a snapshot that they
-lack.
-"""
+"""Updates from a member to its children in the fan-out tree: lease grants, missing entries and snapshots."""
 
 from __future__ import annotations
 
@@ -17,25 +15,25 @@
 
 
 class UpdateSource(Protocol):
-    """Where updates come from: the member's role."""
+    """The source of the updates: the member's role."""
 
     @property
     def leader(self) -> str:
-        """The broker that it takes for the leader."""
+        """Name of the leader known to this member; "" if none is known."""
 
     @property
     def applied_state(self) -> AppliedState:
-        """The state machine, with the index up to which it is applied."""
+        """The state machine and the index of the last applied entry."""
 
     def entries_after(self, index: int) -> tuple[Entry, ...] | None:
-        """Return applied entries after an index; None where they are not kept any more."""
+        """Return applied entries after an index; None if they are no longer kept."""
 
 
 class TreeUpdates:
     """Sends updates to the children of one member.
 
-    :param send: sends an update to a broker by name; it may be lost
-    :param counts: counts snapshots that were sent
+    :param send: sends an update to a broker by name, without a delivery guarantee
+    :param counts: counters, among them the number of snapshots sent
     """
 
     def __init__(
@@ -51,14 +49,14 @@
         self._tree = tree
         self._send = send
         self._counts = counts
-        self._snapshot_index = 0  # of the snapshot that is kept for children; 0: none
+        self._snapshot_index = 0  # index of the snapshot cached for children; 0 if there is none
         self._snapshot = b""
         self._snapshot_checksum = 0
 
     def send_all(self, now_us: int, source: UpdateSource, wait_reasons: dict[str, list[str]]) -> None:
-        """Send new grants to all children, and to those that are no voters the entries that they lack.
+        """Send new grants to all children, and missing entries or a snapshot to observer children.
 
-        :param wait_reasons: what machines wait for, as the leader sees it
+        :param wait_reasons: what each step waits for, as determined by the leader
         """
         for name, number, index in self._tree.take_pending_grants(now_us):
             self._send(name, TreeUpdate(self._name, source.leader, number, index, wait_reasons=wait_reasons))
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -1,4 +1,4 @@
-"""The role of a broker with a vote: a replica of the agreed log on a disk of its own."""
+"""The voter role: a Raft replica with its own store on disk."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 from harriertide.control.pending_calls import NOT_AGREED, CallError
 from harriertide.engine.log import log
 
-MAX_OPEN_GRANT_ROUND_COUNT = 32  # that wait for a majority; what older ones grant has expired
-GRANT_ROUND_TIMEOUT_US = 10 * REPORT_INTERVAL_US  # newer rounds are under way by then
+MAX_OPEN_GRANT_ROUND_COUNT = 32  # unconfirmed rounds to keep; leases of older rounds have expired
+GRANT_ROUND_TIMEOUT_US = 10 * REPORT_INTERVAL_US  # newer rounds have replaced this one by then
 
-# What an operator reads of an event of the agreement, and which ones.
-_LOG_LINES = {
+# Messages for the Raft events that are logged for operators; other events are only counted.
+_LOG_MESSAGES = {
     LogEvent.BECAME_LEADER: "elected leader of the agreement",
     LogEvent.STARTED_TRANSFER: "transfers leadership of the agreement",
     LogEvent.STEPPED_DOWN: "stepped down as leader of the agreement",
@@ -55,17 +55,17 @@
 class Voter:
     """A replica with its store, on the member's network and clock.
 
-    :param machine: the state machine behind the log
-    :param folder: of the store; one that is damaged is kept aside, and this broker joins as a new member
+    :param state_machine: state machine to which committed entries are applied
+    :param folder: folder of the store; a damaged store is set aside, and this broker joins as a new member
     """
 
-    def __init__(self, link: MemberLink, machine: StateMachine, folder: Path, tuning: Tuning) -> None:
+    def __init__(self, link: MemberLink, state_machine: StateMachine, folder: Path, tuning: Tuning) -> None:
         self._link = link
         self._store = self._open_store(folder)
         me = Member(link.name, self._store.disk)
         random = Random(link.environment.random.getrandbits(64))
-        self._replica = Replica(me, machine, tuning, self._store.restored, random, link.now_us())
-        self._membership = ClusterMembership(link, me, self._replica, self._carry_out)
+        self._replica = Replica(me, state_machine, tuning, self._store.restored, random, link.now_us())
+        self._membership = ClusterMembership(link, me, self._replica, self._execute_effects)
         self.writer = DiskWriter(
             self._store, link.environment.write_to_disk, self._on_synced, self._on_disk_failure
         )
@@ -76,61 +76,65 @@
         try:
             return self._link.environment.disk(folder)
         except DamagedError as error:
-            aside = set_aside(folder)
-            log("store damaged, kept aside; joins as a new member", reason=str(error), aside=str(aside))
+            damaged_folder = set_aside(folder)
+            log(
+                "store damaged, kept aside; joins as a new member",
+                reason=str(error),
+                aside=str(damaged_folder),
+            )
             self._link.events.write("damaged", reason=str(error))
             return self._link.environment.disk(folder)
 
-    # --- questions ------------------------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------------------
 
     @property
     def disk(self) -> str:
-        """The identity of its disk."""
+        """Identity of the disk of this voter."""
         return self._replica.node.me.disk
 
     @property
     def cluster(self) -> str:
-        """The cluster that its disk is of; "" for an empty disk."""
+        """Identifier of the cluster stored on the disk; "" for an empty disk."""
         return self._replica.node.cluster
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads, as far as it knows."""
+        """Whether this member believes that it is the leader."""
         return self._replica.node.is_leader
 
     @property
     def leader(self) -> str:
-        """The broker that it takes for the leader; "" for none."""
+        """Name of the leader known to this member; "" if none is known."""
         leader = self._replica.node.leader
         return leader.name if leader else ""
 
     @property
     def led_term(self) -> int:
-        """The term in which it leads; 0 where it does not."""
+        """The term in which this member is the leader; 0 if it is not the leader."""
         return self._replica.node.term if self.is_leader else 0
 
     @property
     def has_committed_own_term(self) -> bool:
-        """Whether it leads and knows all that was agreed on before its election."""
+        """Whether this member leads and has committed in its term, so that it knows all committed entries."""
         return self._replica.node.has_committed_own_term
 
     @property
     def voter_names(self) -> list[str]:
-        """The voters of the membership that counts now."""
+        """Names of the voters in the current membership."""
         return sorted(member.name for member in self._replica.node.members.voters)
 
     @property
     def halted(self) -> str:
-        """Why it takes no part in the agreement any more; "" while it does."""
+        """Why this member has stopped taking part in Raft; "" while it takes part."""
         return self._halted
 
     @property
     def applied_state(self) -> AppliedState:
-        """The state machine, with the index up to which it is applied."""
+        """The state machine and the index of the last applied entry."""
         return self._replica.applied_state
 
     def entries_after(self, index: int) -> tuple[Entry, ...] | None:
-        """Return applied entries after an index for a child; None where the log begins later."""
+        """Return applied entries after an index for a child; None if they are compacted away."""
         node = self._replica.node
         if index < node.log.base_index:
             return None
@@ -140,14 +144,14 @@
     # --- events ---------------------------------------------------------------------------------------
 
     def tick(self, now_us: int) -> None:
-        """Do what is due by time alone."""
+        """Run the timers of the replica and of the membership."""
         if self._replica.next_tick_us <= now_us:
-            self._carry_out(self._replica.step(now_us, ev.Tick()))
+            self._execute_effects(self._replica.step(now_us, ev.Tick()))
         self._membership.tick(now_us)
         self._link.tree.leader = self.leader
 
     def on_message(self, now_us: int, message: Message | Hello | BootstrapCluster) -> None:
-        """Take a message of the agreement."""
+        """Handle a Raft, hello or bootstrap message."""
         if isinstance(message, Hello):
             self._membership.on_hello(now_us, message)
             return
@@ -155,41 +159,44 @@
             self._membership.on_bootstrap(now_us, message)
             return
         if isinstance(message, Proposal) and not message.to.name:
-            # An observer's, which knows neither disks nor the cluster.
+            # The proposal comes from an observer, which knows neither disk identities nor the cluster.
             node = self._replica.node
             message = msgspec.structs.replace(message, to=node.me, cluster=node.cluster)
-        self._carry_out(self._replica.step(now_us, ev.MessageReceived(message)))
+        self._execute_effects(self._replica.step(now_us, ev.MessageReceived(message)))
 
     def on_update(self, now_us: int, update: TreeUpdate) -> None:
-        """Take a grant of the leader's: the tree has it; entries come by the agreement itself."""
+        """Do nothing: the tree has recorded the grant, and voters receive entries through Raft."""
 
     def start_grant_round(self, now_us: int) -> bool:
-        """As leader, ask a majority to confirm it, so that all reports of now are granted a lease."""
+        """As leader, start a round that grants leases for all current reports once a majority confirms it.
+
+        :returns: False if this member is not the leader
+        """
         if not self.is_leader:
             return False
         number = self._link.calls.next_number()
         oldest = number - MAX_OPEN_GRANT_ROUND_COUNT
-        self._grant_rounds = {n: granted for n, granted in self._grant_rounds.items() if n > oldest}
+        self._grant_rounds = {n: grant_round for n, grant_round in self._grant_rounds.items() if n > oldest}
         self._grant_rounds[number] = self._link.tree.start_grant_round(now_us)
-        self._carry_out(self._replica.query(now_us, number, now_us + GRANT_ROUND_TIMEOUT_US))
+        self._execute_effects(self._replica.query(now_us, number, now_us + GRANT_ROUND_TIMEOUT_US))
         return True
 
     def submit(self, now_us: int, command: ClientCommand) -> None:
-        """Have a command agreed on; its call is completed or failed later."""
+        """Replicate a command; its call is completed or failed later."""
         effects = self._replica.call(
             now_us, command.number, command.client, command.serial, command.data, command.deadline_us
         )
-        self._carry_out(effects)
+        self._execute_effects(effects)
 
     def withdraw(self, number: int) -> None:
-        """Stop attempts for a call: the replica gives it up at its deadline by itself."""
+        """Do nothing: the replica drops the call at its deadline."""
 
     async def read(self, within_s: float) -> bool:
-        """Wait until the state holds all that was agreed on by now; False where that can't be known."""
+        """Wait until all entries committed before this call are applied; False if that is not certain."""
         number, future = self._link.calls.open()
         try:
             now_us = self._link.now_us()
-            self._carry_out(self._replica.query(now_us, number, now_us + int(within_s * 1_000_000)))
+            self._execute_effects(self._replica.query(now_us, number, now_us + int(within_s * 1_000_000)))
             async with asyncio.timeout(within_s + 0.5):
                 await future
             return True
@@ -199,9 +206,9 @@
             self._link.calls.discard(number)
 
     def transfer_leadership(self) -> None:
-        """If it leads, hand over to the best of the others."""
+        """As leader, transfer leadership to the most suitable other voter; otherwise do nothing."""
         if self.is_leader:
-            self._carry_out(self._replica.step(self._link.now_us(), ev.TransferLeadership()))
+            self._execute_effects(self._replica.step(self._link.now_us(), ev.TransferLeadership()))
 
     def close(self) -> None:
         """Close the store."""
@@ -209,7 +216,7 @@
 
     # --- effects --------------------------------------------------------------------------------------
 
-    def _carry_out(self, effects: Sequence[Effect]) -> None:
+    def _execute_effects(self, effects: Sequence[Effect]) -> None:
         has_applied = False
         for effect in effects:
             if isinstance(effect, EntryApplied):
@@ -218,13 +225,13 @@
                     "applied", index=effect.index, digest=effect.digest, fresh=effect.took_effect
                 )
             else:
-                self._carry_out_one(effect)
+                self._execute_effect(effect)
         if has_applied:
             self._link.tree.activate_lease(self.applied_state.last_applied)
             self._link.listener.on_applied()
             self._link.distribute()
 
-    def _carry_out_one(self, effect: Effect) -> None:
+    def _execute_effect(self, effect: Effect) -> None:
         match effect:
             case ev.SendMessage():
                 self._link.send(effect.message.to.name, effect.message)
@@ -241,27 +248,27 @@
                 self._on_log_line(effect)
 
     def _on_read_completed(self, number: int) -> None:
-        granted = self._grant_rounds.pop(number, None)
-        if granted is None:
+        grant_round = self._grant_rounds.pop(number, None)
+        if grant_round is None:
             self._link.calls.complete(number, b"")
             return
         if self.is_leader:
-            self._link.tree.confirm_round(granted, self.applied_state.last_applied)
-            self._link.listener.on_leases_granted(granted)
+            self._link.tree.confirm_round(grant_round, self.applied_state.last_applied)
+            self._link.listener.on_leases_granted(grant_round)
             self._link.distribute()
 
     def _on_log_line(self, effect: ev.LogLine) -> None:
         self._link.counts[effect.event.replace(" ", "_")] += 1
         self._link.events.write("noted", what=effect.event, term=effect.term, detail=effect.detail)
-        if effect.event in _LOG_LINES:
-            log(_LOG_LINES[effect.event], term=effect.term, reason=effect.detail)
+        if effect.event in _LOG_MESSAGES:
+            log(_LOG_MESSAGES[effect.event], term=effect.term, reason=effect.detail)
         if effect.event in (LogEvent.HALTED, LogEvent.INVARIANT_VIOLATED):
             self._halted = effect.detail
 
-    # --- the disk -------------------------------------------------------------------------------------
+    # --- disk -----------------------------------------------------------------------------------------
 
     def _on_synced(self, number: int, took_us: int) -> None:
-        self._carry_out(self._replica.step(self._link.now_us(), ev.Synced(number, took_us)))
+        self._execute_effects(self._replica.step(self._link.now_us(), ev.Synced(number, took_us)))
 
     def _on_disk_failure(self, error: StoreError) -> None:
         log(
@@ -269,4 +276,4 @@
             reason=str(error),
         )
         self._link.events.write("sync failed", reason=str(error))
-        self._carry_out(self._replica.step(self._link.now_us(), ev.SyncFailed()))
+        self._execute_effects(self._replica.step(self._link.now_us(), ev.SyncFailed()))
--- a/harriertide/control/wire.py
+++ b/harriertide/control/wire.py
@@ -1,4 +1,4 @@
-"""The messages between members, as bytes of msgpack. Each kind has a tag of its own."""
+"""The msgpack encoding of the messages between members. Each message type has its own tag."""
 
 from __future__ import annotations
 
@@ -22,6 +22,6 @@
 def decode_message(payload: bytes) -> WireMessage:
     """Decode a payload.
 
-    :raises msgspec.MsgspecError: it is no message
+    :raises msgspec.MsgspecError: the payload is not a valid message
     """
     return _decoder.decode(payload)
