--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -76,7 +76,7 @@
         self.facts = LeaderFacts()
         self.planner = Planner(self.machine, self.planner_settings)
         self._nodes = nodes
-        self._leave = leave
+        self._request_shutdown = leave
         self._set_ready = set_ready
         self._wall_s = wall_s
         self._events = environment.event_log(settings.events)
@@ -104,7 +104,7 @@
         self._api = MaintenanceApi(self.machine, self.member, self._observer, preview, self._events, self)
         self._led_term = 0  # term in which this broker plans as leader; 0 if it is not the leader
         self._next_planning_us = 0
-        self._is_leaving = False
+        self._is_out_of_service = False
         self._is_shutting_down = False
         self._timer_task: asyncio.Task[None] | None = None
         core.is_barred = self.barrier.is_barred
@@ -180,19 +180,19 @@
     def _apply_own_step(self) -> None:
         """Apply the step of this broker itself: stop taking requests and shut down, or take them again."""
         step = self.machine.state.find_active_step(self.settings.name)
-        is_leaving = step is not None and step.phase in CLOSED_PHASES
-        if step is not None and is_leaving and not self._is_leaving:
+        is_out_of_service = step is not None and step.phase in CLOSED_PHASES
+        if step is not None and is_out_of_service and not self._is_out_of_service:
             self._events.write("leaving", phase=step.phase)
             log("takes no requests, this broker is taken out for maintenance", fence=step.fence)
         if step is not None and step.phase == "out" and step.incarnation == self.member.incarnation:
             if not self._is_shutting_down:
                 log("shutting down this broker for maintenance", fence=step.fence)
             self._is_shutting_down = True
-            self._leave()
-        if is_leaving != self._is_leaving:
-            self._is_leaving = is_leaving
-            self._set_ready(not is_leaving)
-            if is_leaving:
+            self._request_shutdown()
+        if is_out_of_service != self._is_out_of_service:
+            self._is_out_of_service = is_out_of_service
+            self._set_ready(not is_out_of_service)
+            if is_out_of_service:
                 self.member.transfer_leadership()
 
     # --- planning as leader ---------------------------------------------------------------------------
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -111,7 +111,7 @@
 
     @property
     def can_propose(self) -> bool:
-        """Whether this member leads and has committed in its term, so that it knows all committed entries."""
+        """Whether this member leads and knows all committed entries: it has committed one of its own term."""
         return self._role.has_committed_own_term
 
     @property
--- a/harriertide/control/member_link.py
+++ b/harriertide/control/member_link.py
@@ -79,7 +79,7 @@
 
     @property
     def has_committed_own_term(self) -> bool:
-        """Whether this member leads and has committed in its term, so that it knows all committed entries."""
+        """Whether this member leads and knows all committed entries: it has committed one of its own term."""
 
     @property
     def voter_names(self) -> list[str]:
--- a/harriertide/control/voter.py
+++ b/harriertide/control/voter.py
@@ -41,7 +41,7 @@
 MAX_OPEN_GRANT_ROUND_COUNT = 32  # unconfirmed rounds to keep; leases of older rounds have expired
 GRANT_ROUND_TIMEOUT_US = 10 * REPORT_INTERVAL_US  # newer rounds have replaced this one by then
 
-# Messages for the Raft events that are logged for operators; other events are only counted.
+# Messages of the Raft events that are logged for operators.
 _LOG_MESSAGES = {
     LogEvent.BECAME_LEADER: "elected leader of the agreement",
     LogEvent.STARTED_TRANSFER: "transfers leadership of the agreement",
@@ -115,7 +115,7 @@
 
     @property
     def has_committed_own_term(self) -> bool:
-        """Whether this member leads and has committed in its term, so that it knows all committed entries."""
+        """Whether this member leads and knows all committed entries: it has committed one of its own term."""
         return self._replica.node.has_committed_own_term
 
     @property
