--- a/harriertide/control/maintenance_service.py
+++ b/harriertide/control/maintenance_service.py
@@ -46,7 +46,7 @@
 
     :param settings: the `maintenance` section of the operator's file
     :param unix_us: the reducer's clock
-    :param leave: shuts this process down cleanly
+    :param request_shutdown: shuts this process down cleanly
     :param set_ready: sets whether this process accepts requests
     :param environment: the member's disk, network and random numbers; simulations pass their own
     :param wall_s: the wall clock, in Unix seconds
@@ -58,7 +58,7 @@
         core: RequestCore,
         nodes: NodeDirectory,
         unix_us: Callable[[], int],
-        leave: Callable[[], None],
+        request_shutdown: Callable[[], None],
         set_ready: Callable[[bool], None],
         environment: Environment | None = None,
         wall_s: Callable[[], float] = time.time,
@@ -66,7 +66,7 @@
     ) -> None:
         environment = environment or Environment()
         self.settings = settings
-        self.machine = MaintenanceStateMachine()
+        self.state_machine = MaintenanceStateMachine()
         self.planner_settings = PlannerSettings(
             lease_us=1000 * settings.lease_ms,
             longest_attempt_us=max(kind.deadline_us for kind in core.settings.classes),
@@ -74,9 +74,9 @@
             warm_up_s=float(settings.cold_s),
         )
         self.facts = LeaderFacts()
-        self.planner = Planner(self.machine, self.planner_settings)
+        self.planner = Planner(self.state_machine, self.planner_settings)
         self._nodes = nodes
-        self._request_shutdown = leave
+        self._request_shutdown = request_shutdown
         self._set_ready = set_ready
         self._wall_s = wall_s
         self._events = environment.event_log(settings.events)
@@ -85,7 +85,7 @@
             addresses={name: parse_address(row["address"]) for name, row in settings.brokers.items()},
             voters=tuple(name for name, row in settings.brokers.items() if row["voter"] == "yes"),
             folder=Path(settings.folder),
-            state_machine=self.machine,
+            state_machine=self.state_machine,
             lease_us=self.planner_settings.lease_us,
             events=self._events,
             listener=self,
@@ -94,14 +94,16 @@
         )
         isolation_limit_us = self.planner_settings.isolation_limit_us
         self.barrier = NodeBarrier(
-            self.machine, self.member, nodes, self._events, isolation_limit_us, unix_us
+            self.state_machine, self.member, nodes, self._events, isolation_limit_us, unix_us
         )
         self._counts: Counter[str] = Counter()
-        self._reporter = BrokerReporter(self.machine, self.member, core, self.barrier)
+        self._reporter = BrokerReporter(self.state_machine, self.member, core, self.barrier)
         self._proposals = Proposals(self.member, self._events, self._counts)
-        self._observer = StepObserver(self.machine, self.member, self._events)
-        preview = OrderPreview(self.machine, self.member, self.planner, self.planner_settings, nodes)
-        self._api = MaintenanceApi(self.machine, self.member, self._observer, preview, self._events, self)
+        self._observer = StepObserver(self.state_machine, self.member, self._events)
+        preview = OrderPreview(self.state_machine, self.member, self.planner, self.planner_settings, nodes)
+        self._api = MaintenanceApi(
+            self.state_machine, self.member, self._observer, preview, self._events, self
+        )
         self._led_term = 0  # term in which this broker plans as leader; 0 if it is not the leader
         self._next_planning_us = 0
         self._is_out_of_service = False
@@ -172,14 +174,14 @@
     def on_leases_granted(self, grant_round: GrantRound) -> None:
         """As leader, update the facts, and plan at the next tick: a waiting step may be ready now."""
         totals = self.member.subtree_totals(self.build_report())
-        active_fences = {step.fence for step in self.machine.state.active_steps()}
+        active_fences = {step.fence for step in self.state_machine.state.active_steps()}
         now_us = self.member.now_us()
         update_facts(self.facts, now_us, grant_round, totals, active_fences, self._nodes.state)
         self._next_planning_us = 0
 
     def _apply_own_step(self) -> None:
         """Apply the step of this broker itself: stop taking requests and shut down, or take them again."""
-        step = self.machine.state.find_active_step(self.settings.name)
+        step = self.state_machine.state.find_active_step(self.settings.name)
         is_out_of_service = step is not None and step.phase in CLOSED_PHASES
         if step is not None and is_out_of_service and not self._is_out_of_service:
             self._events.write("leaving", phase=step.phase)
@@ -218,7 +220,7 @@
         if not self.member.can_propose:
             return
         declared = self._build_inventory()
-        state = self.machine.state
+        state = self.state_machine.state
         machines = {machine.name: machine for machine in declared.machines}
         if state.machines != machines or state.brokers != declared.brokers:
             self._proposals.propose(now_us, declared)
@@ -243,7 +245,7 @@
         Later waiting steps are left out, because the reasons are sent with every grant.
         """
         reasons_by_step: dict[str, list[str]] = {}
-        for order_name, steps in self.machine.state.steps.items():
+        for order_name, steps in self.state_machine.state.steps.items():
             has_waiting = False
             for step in steps.values():
                 is_waiting = step.phase == "waiting"
--- a/harriertide/lab/simulation/maintenance_fleet.py
+++ b/harriertide/lab/simulation/maintenance_fleet.py
@@ -166,7 +166,7 @@
             core,
             StandInNodes(self._operator_state),
             unix_us=lambda: 0,
-            leave=partial(self._leave, name),
+            request_shutdown=partial(self._leave, name),
             set_ready=core.set_ready,
             environment=self._environment(name, random),
             wall_s=partial(self.wall_s, name),
--- a/harriertide/lab/simulation/maintenance_operators.py
+++ b/harriertide/lab/simulation/maintenance_operators.py
@@ -75,7 +75,7 @@
             if service is not None and service.member.has_lease():
                 if self._have_orders_ended(service):
                     return True
-                for step in service.machine.state.active_steps():
+                for step in service.state_machine.state.active_steps():
                     if step.phase == "out" and step.machine in self._fleet.nodes:
                         await service.handle(_DoneRequest(step.machine))  # type: ignore[arg-type]
             await sleep_until(loop.time() + POLL_S)
@@ -85,6 +85,6 @@
         return self._fleet.random.choice(self._fleet.names)
 
     def _have_orders_ended(self, service: MaintenanceService) -> bool:
-        state = service.machine.state
+        state = service.state_machine.state
         have_ended = all(name in state.orders and not state.is_open(name) for name in self.agreed_orders)
         return bool(self.agreed_orders) and have_ended
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -566,7 +566,7 @@
     await sleep_until(loop.time() + 6.0)
     lone = fleet.services["b5"]
     assert lone.member.now_us() > lone.member.lease_end_us and not lone.member.is_leader
-    assert not lone.machine.state.orders  # it permits nothing, and does not know what was agreed on
+    assert not lone.state_machine.state.orders  # it permits nothing, and does not know what was agreed on
     served = [
         attempt.node
         for attempt in fleet.attempts[tried:]
@@ -574,7 +574,7 @@
     ]
     assert served  # and serves on
     if known:
-        steps = [step for s in fleet.services.values() for step in s.machine.state.active_steps()]
+        steps = [step for s in fleet.services.values() for step in s.state_machine.state.active_steps()]
         assert {step.phase for step in steps} <= {"permitted"}
     fleet.cut_links.clear()
     await asyncio.gather(*asked)
