--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -35,7 +35,7 @@
         rig = Rig(folder, brokers, nodes, 1, **keys)
         try:
             await rig.start()
-            await leader(rig)
+            await wait_for_leader(rig)
             await body(rig)
         finally:
             await rig.close()
@@ -47,7 +47,7 @@
     return found
 
 
-async def eventually(look: Callable[[], Awaitable[Any]], within_s: float = 25.0) -> Any:
+async def wait_until_true(look: Callable[[], Awaitable[Any]], within_s: float = 25.0) -> Any:
     end = time.monotonic() + within_s
     while time.monotonic() < end:
         found = await look()
@@ -62,19 +62,19 @@
     return answer
 
 
-async def leader(rig: Rig, beside: tuple[int, ...] = ()) -> int:
+async def wait_for_leader(rig: Rig, excluded: tuple[int, ...] = ()) -> int:
     """Wait for a leader with an agreed inventory; return its place."""
 
     async def look() -> int:
         for place in range(rig.number):
-            if place in beside or place in rig.stopped:
+            if place in excluded or place in rig.stopped:
                 continue
             answer = await status(rig, place)
             if answer.get("leader") == rig.names[place] and answer["applied"] >= 3 and answer["leased"]:
                 return place + 1
         return 0
 
-    return int(await eventually(look)) - 1
+    return int(await wait_until_true(look)) - 1
 
 
 async def phase(rig: Rig, machine: str, *wanted: str, at: int = 0) -> str:
@@ -87,7 +87,7 @@
                     return str(step["phase"])
         return ""
 
-    return str(await eventually(look))
+    return str(await wait_until_true(look))
 
 
 async def request(rig: Rig, machines: list[str], name: str = "fw", place: int = 0, **keys: Any) -> None:
@@ -97,13 +97,13 @@
         code, _ = await rig.ask(place, "POST", "/maintenance/request", body)
         return code == 200
 
-    await eventually(look)
+    await wait_until_true(look)
     rig.write("clients", event="agreed", order=name, machines=machines)
 
 
-async def finish(rig: Rig, beside: tuple[int, ...] = ()) -> None:
+async def finish(rig: Rig, excluded: tuple[int, ...] = ()) -> None:
     """Report finished work as an operator does, until all orders are over."""
-    places = [place for place in range(rig.number) if place not in beside]
+    places = [place for place in range(rig.number) if place not in excluded]
 
     async def look() -> bool:
         for place in places:
@@ -118,7 +118,7 @@
                 return True
         return False
 
-    await eventually(look, 40.0)
+    await wait_until_true(look, 40.0)
 
 
 async def writes(rig: Rig, places: list[int]) -> None:
@@ -142,11 +142,11 @@
 
     async def body(rig: Rig) -> None:
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        first = await leader(rig)
+        first = await wait_for_leader(rig)
         await request(rig, ["x1", "x2"], place=first)
         await phase(rig, "x1", "permitted", "draining", at=first)
         await rig.kill(first)
-        second = await leader(rig, beside=(first,))
+        second = await wait_for_leader(rig, excluded=(first,))
         await rig.start_again(first)
         await phase(rig, "x1", "out", at=second)
         await rig.kill(second)  # the operator's word of it is lost with it
@@ -161,7 +161,7 @@
     """It knows of the permit, and is stopped while its attempts are open or its word is on its way."""
 
     async def body(rig: Rig) -> None:
-        led = await leader(rig)
+        led = await wait_for_leader(rig)
         away = next(place for place in range(3) if place != led)
         load = asyncio.ensure_future(writes(rig, [away]))
         await request(rig, ["x1"], place=led)
@@ -185,7 +185,7 @@
     """
 
     async def body(rig: Rig) -> None:
-        led = await leader(rig)
+        led = await wait_for_leader(rig)
         away = next(place for place in range(3) if place != led)
         load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
         rig.links[led, away].is_cut = True  # the leader hears it, and it hears nothing
@@ -209,12 +209,12 @@
     """
 
     async def body(rig: Rig) -> None:
-        led = await leader(rig)
+        led = await wait_for_leader(rig)
         links = rig.links_of(led)
         for link in links:
             link.is_cut = True
         late = asyncio.ensure_future(request(rig, ["x1", "x2"], "all", place=led))
-        other = await leader(rig, beside=(led,))
+        other = await wait_for_leader(rig, excluded=(led,))
         await request(rig, ["x2", "x1"], place=other)
         answer = await status(rig, led)
         assert not answer["knows"] and not answer["orders"]
@@ -239,7 +239,7 @@
             await phase(rig, machine, "draining", "out")
             await asyncio.gather(*(rig.kill(place) for place in range(3)))
             await asyncio.gather(*(rig.start_again(place) for place in range(3)))
-            await leader(rig)
+            await wait_for_leader(rig)
             if machine == "x1":
                 await phase(rig, "x1", "out", at=1)  # a broker that has just started reads its log first
                 answer = await rig.ask(1, "POST", "/maintenance/done", {"machine": "x1"})
@@ -269,7 +269,7 @@
             steps = (await status(rig))["orders"][0]["steps"]
             return any(step["machine"] == "x1" and step["overdue"] for step in steps)
 
-        await eventually(overdue)
+        await wait_until_true(overdue)
         await finish(rig)
 
     assert run_on_rig(tmp_path, body, at_once=2).finished == 1
@@ -287,13 +287,13 @@
         async def seen() -> bool:
             return "x4" in (await status(rig)).get("failed", [])
 
-        await eventually(seen)
+        await wait_until_true(seen)
         await request(rig, ["x1"])
 
         async def told() -> bool:
             return "x4 is away" in str((await status(rig))["orders"][0]["steps"][0]["waits"])
 
-        await eventually(told)
+        await wait_until_true(told)
         await rig.nodes[3].open(again=True)
         await finish(rig)
         load.cancel()
@@ -346,7 +346,7 @@
     """
 
     async def body(rig: Rig) -> None:
-        led = await leader(rig)
+        led = await wait_for_leader(rig)
         away = next(place for place in range(3) if place != led)
         await request(rig, ["x1", "x2"], place=led)
         await phase(rig, "x1", "out", at=led)
@@ -359,7 +359,7 @@
             said = [row["detail"].split(" ")[0] for row in rows if row.get("what") == "members"]
             return said[-3:] == ["learn", "remove", "promote"]
 
-        await eventually(member)
+        await wait_until_true(member)
         await finish(rig)
         assert (await status(rig, away))["knows"]
 
@@ -373,7 +373,7 @@
     """
 
     async def body(rig: Rig) -> None:
-        led = await leader(rig)
+        led = await wait_for_leader(rig)
         fault = asyncio.ensure_future(rig.faults.play_one(Fault(0.0, verb, led, for_s=2.5)))
         await asyncio.sleep(0.05)
         other = (led + 1) % 3
@@ -393,7 +393,7 @@
     """
 
     async def body(rig: Rig) -> None:
-        led = await leader(rig)
+        led = await wait_for_leader(rig)
         away = next(place for place in range(3) if place != led)
         await rig.kill(away)
         path = tmp_path / rig.names[away] / "log-1"
@@ -408,7 +408,7 @@
             answer = await status(rig, away)
             return bool(answer.get("knows")) and answer["orders"][0]["over"]
 
-        await eventually(caught_up)
+        await wait_until_true(caught_up)
         assert "store damaged" in (tmp_path / f"{rig.names[away]}.err").read_text()
         assert (tmp_path / f"{rig.names[away]}-damaged-1" / "log-1").exists()
 
@@ -421,7 +421,7 @@
     """
 
     async def body(rig: Rig) -> None:
-        led = await leader(rig)
+        led = await wait_for_leader(rig)
         for junk in (
             b"\xff" * 64,
             b"\x08\x00\x00\x00\x00\x00\x00\x00hello!!!",
@@ -442,7 +442,7 @@
             said = (tmp_path / f"{rig.names[led]}.err").read_text()
             return "agreement_wire.too_long=2" in said and "agreement_wire.wrong_checksum=1" in said
 
-        await eventually(counted)
+        await wait_until_true(counted)
 
     assert run_on_rig(tmp_path, body).finished == 1
 
@@ -545,8 +545,8 @@
     assert not good.broken and good.finished == 1 and good.standstill_s == pytest.approx(6.0)
     late = {"event": "came", "box": "x1", "at": 3.5}
     assert logs(tmp_path, GOOD, [late]).late_sends == 1
-    beside = [*GOOD[:5], *(step("x2", p, 2, 2.5 + n) for n, p in enumerate(PHASES))]
-    assert logs(tmp_path, beside).excess_outages
+    excluded = [*GOOD[:5], *(step("x2", p, 2, 2.5 + n) for n, p in enumerate(PHASES))]
+    assert logs(tmp_path, excluded).excess_outages
     assert logs(tmp_path, [*GOOD, step("x3", "permitted", 1, 9.0)]).divergences == 1
     states = [{"event": "applied", "index": 1, "digest": d, "at": 1.0} for d in (5, 6)]
     assert logs(tmp_path, [*GOOD, *states]).divergences == 1
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -17,7 +17,7 @@
 from harriertide.lab.rigs.clients import PlannedRequest
 from harriertide.lab.rigs.maintenance_rig import Rig as MaintenanceRig
 from harriertide.lab.rigs.single_broker import BrokerProcess, SingleBrokerRig
-from tests.test_control import eventually, leader
+from tests.test_control import wait_for_leader, wait_until_true
 from tests.test_pages import page, table_rows
 
 LEASE_S = 1.5  # longer than the lease of the process in charge, and than that of a leader
@@ -46,7 +46,7 @@
         )
 
     try:
-        await eventually(is_logged, 15.0)
+        await wait_until_true(is_logged, 15.0)
     except AssertionError:
         raise AssertionError(f"{symptom}: not in the log:\n{log.read_text()}") from None
 
@@ -100,7 +100,7 @@
         async def is_served() -> bool:
             return await send(rig, 100 + len(asyncio.all_tasks())) == 200
 
-        await eventually(is_served)
+        await wait_until_true(is_served)
         await wait_for_lines(log, "a node is reinstated")
 
         for first_key in range(200, 200 + 8 * 6, 6):  # no more at once than nodes take without a queue
@@ -186,7 +186,7 @@
         rig = MaintenanceRig(folder, 3, 1, seed=1)
         try:
             await rig.start()
-            await body(rig, await leader(rig))
+            await body(rig, await wait_for_leader(rig))
         finally:
             await rig.close()
 
@@ -203,7 +203,7 @@
         await wait_for_lines(log, "who plans?")
         rig.send_signal(old, signal.SIGSTOP)
         await asyncio.sleep(LEASE_S)
-        new = await leader(rig, beside=(old,))
+        new = await wait_for_leader(rig, excluded=(old,))
         await wait_for_lines(tmp_path / f"{rig.names[new]}.err", "who plans?")
         rig.send_signal(old, signal.SIGCONT)
         await wait_for_lines(log, "a leader is lost: another one leads")
