--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Maintenance with several processes: real sockets, disks and signals, and the checker of their logs."""
+"""Maintenance with several broker processes on real sockets and disks, and the checker of their logs."""
 
 from __future__ import annotations
 
@@ -23,41 +23,48 @@
 from harriertide.lab.rigs.fault_script import HOST, Fault, load_script
 from harriertide.lab.rigs.maintenance_rig import Rig
 
-Body = Callable[[Rig], Awaitable[None]]
+Scenario = Callable[[Rig], Awaitable[None]]
 
 
 def run_on_rig(
-    folder: Path, body: Body, brokers: int = 3, nodes: int = 4, at_once: int = 1, **keys: Any
+    folder: Path, scenario: Scenario, brokers: int = 3, nodes: int = 4, at_once: int = 1, **keys: Any
 ) -> maintenance_checker.Verdict:
-    """Run a body on a rig that has a leader; return the verdict of the checker."""
+    """Run a scenario on a rig that has a leader; return the checker's verdict."""
 
     async def main() -> None:
         rig = Rig(folder, brokers, nodes, 1, **keys)
         try:
             await rig.start()
             await wait_for_leader(rig)
-            await body(rig)
+            await scenario(rig)
         finally:
             await rig.close()
 
     asyncio.run(main())
-    found = maintenance_checker.check_logs(folder, {}, {"fw": at_once, "all": at_once})
-    hard = found.excess_outages + found.late_sends + found.divergences + found.lost + found.repeated_outages
-    assert not hard, found.violations
-    return found
-
-
-async def wait_until_true(look: Callable[[], Awaitable[Any]], within_s: float = 25.0) -> Any:
+    verdict = maintenance_checker.check_logs(folder, {}, {"fw": at_once, "all": at_once})
+    violation_count = (
+        verdict.excess_outages
+        + verdict.late_sends
+        + verdict.divergences
+        + verdict.lost
+        + verdict.repeated_outages
+    )
+    assert not violation_count, verdict.violations
+    return verdict
+
+
+async def wait_until_true(probe: Callable[[], Awaitable[Any]], within_s: float = 25.0) -> Any:
+    """Poll a probe until its result is true; return the result."""
     end = time.monotonic() + within_s
     while time.monotonic() < end:
-        found = await look()
-        if found:
-            return found
+        result = await probe()
+        if result:
+            return result
         await asyncio.sleep(0.03)
-    raise AssertionError("it has not happened in time")
+    raise AssertionError("the awaited condition was not met in time")
 
 
-async def status(rig: Rig, place: int = 0) -> dict[str, Any]:
+async def get_status(rig: Rig, place: int = 0) -> dict[str, Any]:
     _, answer = await rig.ask(place, "GET", "/maintenance", within_s=3.0)
     return answer
 
@@ -65,49 +72,49 @@
 async def wait_for_leader(rig: Rig, excluded: tuple[int, ...] = ()) -> int:
     """Wait for a leader with an agreed inventory; return its place."""
 
-    async def look() -> int:
+    async def probe() -> int:
         for place in range(rig.number):
             if place in excluded or place in rig.stopped:
                 continue
-            answer = await status(rig, place)
+            answer = await get_status(rig, place)
             if answer.get("leader") == rig.names[place] and answer["applied"] >= 3 and answer["leased"]:
                 return place + 1
         return 0
 
-    return int(await wait_until_true(look)) - 1
+    return int(await wait_until_true(probe)) - 1
 
 
-async def phase(rig: Rig, machine: str, *wanted: str, at: int = 0) -> str:
-    """Wait until a machine's step is one of these."""
+async def wait_for_phase(rig: Rig, machine: str, *wanted: str, at: int = 0) -> str:
+    """Wait until a machine's step is in one of the wanted phases; return the phase."""
 
-    async def look() -> str:
-        for order in (await status(rig, at)).get("orders", []):
+    async def probe() -> str:
+        for order in (await get_status(rig, at)).get("orders", []):
             for step in order["steps"]:
                 if step["machine"] == machine and step["phase"] in wanted:
                     return str(step["phase"])
         return ""
 
-    return str(await wait_until_true(look))
+    return str(await wait_until_true(probe))
 
 
-async def request(rig: Rig, machines: list[str], name: str = "fw", place: int = 0, **keys: Any) -> None:
+async def submit_order(rig: Rig, machines: list[str], name: str = "fw", place: int = 0, **keys: Any) -> None:
     body = {"order": name, "machines": machines, "work": "restart", "takes_s": 0.2, **keys}
 
-    async def look() -> bool:
+    async def probe() -> bool:
         code, _ = await rig.ask(place, "POST", "/maintenance/request", body)
         return code == 200
 
-    await wait_until_true(look)
+    await wait_until_true(probe)
     rig.write("clients", event="agreed", order=name, machines=machines)
 
 
-async def finish(rig: Rig, excluded: tuple[int, ...] = ()) -> None:
-    """Report finished work as an operator does, until all orders are over."""
+async def finish_orders(rig: Rig, excluded: tuple[int, ...] = ()) -> None:
+    """Confirm finished work as an operator does, until all orders are over."""
     places = [place for place in range(rig.number) if place not in excluded]
 
-    async def look() -> bool:
+    async def probe() -> bool:
         for place in places:
-            answer = await status(rig, place)
+            answer = await get_status(rig, place)
             if not answer.get("knows"):
                 continue
             for order in answer["orders"]:
@@ -118,340 +125,340 @@
                 return True
         return False
 
-    await wait_until_true(look, 40.0)
+    await wait_until_true(probe, 40.0)
 
 
-async def writes(rig: Rig, places: list[int]) -> None:
-    """Write as clients do, until cancelled."""
+async def write_continuously(rig: Rig, places: list[int]) -> None:
+    """Send client writes until cancelled."""
     number = 0
     while True:
         number += 1
         place = places[number % len(places)]
-        status_ = await rig.put(place, f"k{number}", b"x" * 50, within_s=3.0)
-        rig.write("clients", event="write", key=f"k{number}", status=status_)
+        status = await rig.put(place, f"k{number}", b"x" * 50, within_s=3.0)
+        rig.write("clients", event="write", key=f"k{number}", status=status)
         await asyncio.sleep(0.01)
 
 
-def test_the_leader_dies_between_agreeing_and_draining_and_between_the_permit_and_the_word(
+def test_leader_killed_after_a_permit_and_after_a_machine_is_out(
     tmp_path: Path,
 ) -> None:
-    """The leader is killed right after a permit, and the next one right after a machine is out, so that
-    the operator's word is lost with it. The order goes on under whoever leads, and nothing is sent to a
-    machine that is out.
+    """The leader is killed right after a permit, and the next leader right after a machine is out. The order
+    must continue under each new leader, and nothing may be sent to a machine that is out.
     """
 
-    async def body(rig: Rig) -> None:
-        load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        first = await wait_for_leader(rig)
-        await request(rig, ["x1", "x2"], place=first)
-        await phase(rig, "x1", "permitted", "draining", at=first)
-        await rig.kill(first)
-        second = await wait_for_leader(rig, excluded=(first,))
-        await rig.start_again(first)
-        await phase(rig, "x1", "out", at=second)
-        await rig.kill(second)  # the operator's word of it is lost with it
-        await rig.start_again(second)
-        await finish(rig)
-        load.cancel()
-
-    assert run_on_rig(tmp_path, body).finished == 1
-
-
-def test_a_broker_that_is_paused_for_8_s_does_not_send_when_it_is_back(tmp_path: Path) -> None:
-    """It knows of the permit, and is stopped while its attempts are open or its word is on its way."""
-
-    async def body(rig: Rig) -> None:
-        led = await wait_for_leader(rig)
-        away = next(place for place in range(3) if place != led)
-        load = asyncio.ensure_future(writes(rig, [away]))
-        await request(rig, ["x1"], place=led)
-        await phase(rig, "x1", "draining", "out", at=led)  # it knows of the permit by then
-        rig.send_signal(away, signal.SIGSTOP)
-        begun = time.monotonic()
-        await phase(rig, "x1", "out", at=led)
-        await asyncio.sleep(max(0.0, begun + 8.0 - time.monotonic()))
-        rig.send_signal(away, signal.SIGCONT)
-        await asyncio.sleep(1.0)  # it reads what clients sent meanwhile, and knows by itself that it may not
-        await finish(rig)
-        load.cancel()
-
-    found = run_on_rig(tmp_path, body)
-    assert found.finished == 1 and found.acknowledged_writes > 20
-
-
-def test_cut_off_in_one_direction_for_the_length_of_a_permit(tmp_path: Path) -> None:
-    """One broker hears nothing of the leader, which still hears it. It may not know of the permit: the
-    machine stays permitted and `status` names that broker, until the link is back.
+    async def scenario(rig: Rig) -> None:
+        client_load = asyncio.ensure_future(write_continuously(rig, [0, 1, 2]))
+        first_leader = await wait_for_leader(rig)
+        await submit_order(rig, ["x1", "x2"], place=first_leader)
+        await wait_for_phase(rig, "x1", "permitted", "draining", at=first_leader)
+        await rig.kill(first_leader)
+        second_leader = await wait_for_leader(rig, excluded=(first_leader,))
+        await rig.start_again(first_leader)
+        await wait_for_phase(rig, "x1", "out", at=second_leader)
+        await rig.kill(second_leader)  # before the operator can confirm the work
+        await rig.start_again(second_leader)
+        await finish_orders(rig)
+        client_load.cancel()
+
+    assert run_on_rig(tmp_path, scenario).finished == 1
+
+
+def test_broker_paused_for_8_s_does_not_send_to_a_machine_that_is_out(tmp_path: Path) -> None:
+    """A broker that knows of a permit is paused while its attempts are open or its report is in flight."""
+
+    async def scenario(rig: Rig) -> None:
+        leader = await wait_for_leader(rig)
+        follower = next(place for place in range(3) if place != leader)
+        client_load = asyncio.ensure_future(write_continuously(rig, [follower]))
+        await submit_order(rig, ["x1"], place=leader)
+        # The machine drains only after the follower has confirmed that it knows of the permit.
+        await wait_for_phase(rig, "x1", "draining", "out", at=leader)
+        rig.send_signal(follower, signal.SIGSTOP)
+        start_s = time.monotonic()
+        await wait_for_phase(rig, "x1", "out", at=leader)
+        await asyncio.sleep(max(0.0, start_s + 8.0 - time.monotonic()))
+        rig.send_signal(follower, signal.SIGCONT)
+        await asyncio.sleep(1.0)  # it reads the pending client requests, and must not send them to x1
+        await finish_orders(rig)
+        client_load.cancel()
+
+    verdict = run_on_rig(tmp_path, scenario)
+    assert verdict.finished == 1 and verdict.acknowledged_writes > 20
+
+
+def test_permit_waits_for_a_broker_that_cannot_hear_the_leader(tmp_path: Path) -> None:
+    """The link from the leader to one broker is cut; the reverse link works. That broker may not know of the
+    permit, so the machine stays permitted and `status` names the broker until the link is restored.
     """
 
-    async def body(rig: Rig) -> None:
-        led = await wait_for_leader(rig)
-        away = next(place for place in range(3) if place != led)
-        load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        rig.links[led, away].is_cut = True  # the leader hears it, and it hears nothing
-        await request(rig, ["x1", "x2"], place=led)
-        await phase(rig, "x1", "permitted", at=led)
-        answer = await status(rig, led)
+    async def scenario(rig: Rig) -> None:
+        leader = await wait_for_leader(rig)
+        follower = next(place for place in range(3) if place != leader)
+        client_load = asyncio.ensure_future(write_continuously(rig, [0, 1, 2]))
+        rig.links[leader, follower].is_cut = True  # only the direction from the leader is cut
+        await submit_order(rig, ["x1", "x2"], place=leader)
+        await wait_for_phase(rig, "x1", "permitted", at=leader)
+        first_status = await get_status(rig, leader)
         await asyncio.sleep(1.5)
-        waits = (await status(rig, led))["orders"][0]["steps"][0]
-        assert waits["phase"] == "permitted" and rig.names[away] in str(waits["waits"]), (answer, waits)
-        rig.links[led, away].is_cut = False
-        await finish(rig)
-        load.cancel()
-
-    assert run_on_rig(tmp_path, body).finished == 1
-
-
-def test_two_orders_for_the_same_machines_at_two_sides_of_a_split(tmp_path: Path) -> None:
-    """The old leader is cut off from the others. At both sides an operator asks for work on the same
-    machines: the lone side permits nothing and serves on, the others go ahead; healed, both orders come
-    to their end.
-    """
-
-    async def body(rig: Rig) -> None:
-        led = await wait_for_leader(rig)
-        links = rig.links_of(led)
+        step_row = (await get_status(rig, leader))["orders"][0]["steps"][0]
+        assert step_row["phase"] == "permitted" and rig.names[follower] in str(step_row["waits"]), (
+            first_status,
+            step_row,
+        )
+        rig.links[leader, follower].is_cut = False
+        await finish_orders(rig)
+        client_load.cancel()
+
+    assert run_on_rig(tmp_path, scenario).finished == 1
+
+
+def test_orders_for_the_same_machines_on_both_sides_of_a_partition(tmp_path: Path) -> None:
+    """The old leader is partitioned from the others, and an operator submits an order for the same machines
+    on each side. The minority permits nothing and keeps serving, while the majority proceeds. After the
+    partition heals, both orders finish."""
+
+    async def scenario(rig: Rig) -> None:
+        leader = await wait_for_leader(rig)
+        links = rig.links_of(leader)
         for link in links:
             link.is_cut = True
-        late = asyncio.ensure_future(request(rig, ["x1", "x2"], "all", place=led))
-        other = await wait_for_leader(rig, excluded=(led,))
-        await request(rig, ["x2", "x1"], place=other)
-        answer = await status(rig, led)
+        minority_order = asyncio.ensure_future(submit_order(rig, ["x1", "x2"], "all", place=leader))
+        new_leader = await wait_for_leader(rig, excluded=(leader,))
+        await submit_order(rig, ["x2", "x1"], place=new_leader)
+        answer = await get_status(rig, leader)
         assert not answer["knows"] and not answer["orders"]
-        assert await rig.put(led, "served", b"on") == 200  # it permits nothing, and serves
+        # The minority permits nothing, but keeps serving.
+        assert await rig.put(leader, "served", b"on") == 200
         for link in links:
             link.is_cut = False
-        await late
-        await finish(rig)
+        await minority_order
+        await finish_orders(rig)
 
-    assert run_on_rig(tmp_path, body).finished == 2
+    assert run_on_rig(tmp_path, scenario).finished == 2
 
 
-def test_all_brokers_are_killed_at_once_amid_work_and_started_again(tmp_path: Path) -> None:
-    """Power is lost at all brokers at once, twice, with machines out. What was agreed on is on their
-    disks: the order goes on where it was.
+def test_order_continues_after_all_brokers_are_killed_and_restarted(tmp_path: Path) -> None:
+    """All brokers are killed at once, twice, while machines are draining or out. The committed entries are on
+    their disks, so the order must continue where it was.
     """
 
-    async def body(rig: Rig) -> None:
-        load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
-        await request(rig, ["x1", "x2", "x3"])
+    async def scenario(rig: Rig) -> None:
+        client_load = asyncio.ensure_future(write_continuously(rig, [0, 1, 2]))
+        await submit_order(rig, ["x1", "x2", "x3"])
         for machine in ("x1", "x2"):
-            await phase(rig, machine, "draining", "out")
+            await wait_for_phase(rig, machine, "draining", "out")
             await asyncio.gather(*(rig.kill(place) for place in range(3)))
             await asyncio.gather(*(rig.start_again(place) for place in range(3)))
             await wait_for_leader(rig)
             if machine == "x1":
-                await phase(rig, "x1", "out", at=1)  # a broker that has just started reads its log first
+                # A broker that has just started first replays its log.
+                await wait_for_phase(rig, "x1", "out", at=1)
                 answer = await rig.ask(1, "POST", "/maintenance/done", {"machine": "x1"})
                 assert answer[0] == 200, answer
-        await finish(rig)
-        load.cancel()
+        await finish_orders(rig)
+        client_load.cancel()
 
-    assert run_on_rig(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, scenario).finished == 1
 
 
-def test_a_permitted_machine_that_dies_and_never_comes_back_is_overdue_and_can_be_done_later(
+def test_permitted_machine_that_fails_is_overdue_and_can_be_confirmed_later(
     tmp_path: Path,
 ) -> None:
-    """A node dies in its turn. It is overdue and holds up no other machine of its order; when it is back
-    at last, `done` ends its turn.
+    """A node fails during its maintenance. Its step becomes overdue and blocks no other machine of the order;
+    `done` ends the step later.
     """
 
-    async def body(rig: Rig) -> None:
-        await request(rig, ["x1", "x2"], at_once=2)
-        await phase(rig, "x1", "permitted", "draining", "out")
+    async def scenario(rig: Rig) -> None:
+        await submit_order(rig, ["x1", "x2"], at_once=2)
+        await wait_for_phase(rig, "x1", "permitted", "draining", "out")
         await rig.nodes[0].close()
-        await phase(rig, "x2", "out")
+        await wait_for_phase(rig, "x2", "out")
         await rig.ask(0, "POST", "/maintenance/done", {"machine": "x2"})
-        await phase(rig, "x2", "back")
+        await wait_for_phase(rig, "x2", "back")
 
-        async def overdue() -> bool:
-            steps = (await status(rig))["orders"][0]["steps"]
+        async def is_overdue() -> bool:
+            steps = (await get_status(rig))["orders"][0]["steps"]
             return any(step["machine"] == "x1" and step["overdue"] for step in steps)
 
-        await wait_until_true(overdue)
-        await finish(rig)
+        await wait_until_true(is_overdue)
+        await finish_orders(rig)
 
-    assert run_on_rig(tmp_path, body, at_once=2).finished == 1
+    assert run_on_rig(tmp_path, scenario, at_once=2).finished == 1
 
 
-def test_a_node_that_fails_counts_as_out_of_service(tmp_path: Path) -> None:
-    """A node fails that no order names. It counts as out of service: an order of one at once waits and
-    says for what, until the node is back.
-    """
+def test_failed_node_counts_as_out_of_service(tmp_path: Path) -> None:
+    """A node fails that no order names, and counts as out of service. An order with `at_once` 1 waits, and
+    names the failed node as the reason, until the node is back."""
 
-    async def body(rig: Rig) -> None:
-        load = asyncio.ensure_future(writes(rig, [0, 1, 2]))
+    async def scenario(rig: Rig) -> None:
+        client_load = asyncio.ensure_future(write_continuously(rig, [0, 1, 2]))
         await rig.nodes[3].close()
 
-        async def seen() -> bool:
-            return "x4" in (await status(rig)).get("failed", [])
+        async def is_reported_failed() -> bool:
+            return "x4" in (await get_status(rig)).get("failed", [])
 
-        await wait_until_true(seen)
-        await request(rig, ["x1"])
+        await wait_until_true(is_reported_failed)
+        await submit_order(rig, ["x1"])
 
-        async def told() -> bool:
-            return "x4 is away" in str((await status(rig))["orders"][0]["steps"][0]["waits"])
+        async def is_named_as_wait_reason() -> bool:
+            return "x4 is away" in str((await get_status(rig))["orders"][0]["steps"][0]["waits"])
 
-        await wait_until_true(told)
+        await wait_until_true(is_named_as_wait_reason)
         await rig.nodes[3].open(again=True)
-        await finish(rig)
-        load.cancel()
+        await finish_orders(rig)
+        client_load.cancel()
 
-    assert run_on_rig(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, scenario).finished == 1
 
 
-def test_a_node_that_warms_up_counts_as_what_it_can_serve(tmp_path: Path) -> None:
-    """Four nodes of 0.42 units a second, 1.1 due: while the first is cold the second waits."""
+def test_warming_node_counts_with_its_reduced_capacity(tmp_path: Path) -> None:
+    """Four nodes serve 0.42 units per second each, and 1.1 are required: the second waits while the first is
+    cold."""
     labels = {f"x{n}": "units = 0.42" for n in range(1, 5)}
 
-    async def body(rig: Rig) -> None:
-        await request(rig, ["x1", "x2"], at_once=2)
-        await phase(rig, "x1", "out")
-        waits = (await status(rig))["orders"][0]["steps"][1]
-        assert waits["phase"] == "waiting" and "units a second would be left" in str(waits["waits"])
+    async def scenario(rig: Rig) -> None:
+        await submit_order(rig, ["x1", "x2"], at_once=2)
+        await wait_for_phase(rig, "x1", "out")
+        step_row = (await get_status(rig))["orders"][0]["steps"][1]
+        assert step_row["phase"] == "waiting" and "units a second would be left" in str(step_row["waits"])
         await rig.ask(0, "POST", "/maintenance/done", {"machine": "x1"})
-        await phase(rig, "x1", "returning")
-        begun = time.monotonic()
-        await phase(rig, "x2", "permitted", "draining", "out")
-        assert time.monotonic() - begun > 0.5
-        await finish(rig)
+        await wait_for_phase(rig, "x1", "returning")
+        start_s = time.monotonic()
+        await wait_for_phase(rig, "x2", "permitted", "draining", "out")
+        assert time.monotonic() - start_s > 0.5
+        await finish_orders(rig)
 
-    assert run_on_rig(tmp_path, body, at_once=2, labels=labels, cold_s=3).finished == 1
+    assert run_on_rig(tmp_path, scenario, at_once=2, labels=labels, cold_s=3).finished == 1
 
 
-def test_a_rolling_restart_of_all_brokers_by_their_own_order_under_load(tmp_path: Path) -> None:
-    """Each broker ends itself in order in its turn and is started again, the leader among them, while
-    clients write. Every process is another one in the end, and most writes were served.
+def test_rolling_restart_of_all_brokers_under_load(tmp_path: Path) -> None:
+    """An order restarts all brokers in turn, the leader included, while clients write. Each broker shuts down
+    cleanly and is started again as a new process, and most writes must succeed.
     """
 
-    async def body(rig: Rig) -> None:
-        load = asyncio.ensure_future(writes(rig, list(range(5))))
-        before = {place: process.pid for place, process in rig.processes.items()}
-        await request(rig, rig.names)
-        await finish(rig)
-        assert all(rig.processes[place].pid != pid for place, pid in before.items())
-        load.cancel()
+    async def scenario(rig: Rig) -> None:
+        client_load = asyncio.ensure_future(write_continuously(rig, list(range(5))))
+        pids_before = {place: process.pid for place, process in rig.processes.items()}
+        await submit_order(rig, rig.names)
+        await finish_orders(rig)
+        assert all(rig.processes[place].pid != pid for place, pid in pids_before.items())
+        client_load.cancel()
 
-    found = run_on_rig(tmp_path, body, brokers=5)
-    assert found.finished == 1 and found.acknowledged_writes > 0.6 * found.writes
+    verdict = run_on_rig(tmp_path, scenario, brokers=5)
+    assert verdict.finished == 1 and verdict.acknowledged_writes > 0.6 * verdict.writes
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
-    assert [row["code"] for row in rows if row["event"] == "ended"][:5] == [0] * 5  # each ended in order
+    assert [row["code"] for row in rows if row["event"] == "ended"][:5] == [0] * 5  # each exited cleanly
 
 
-def test_a_disk_that_is_lost_under_a_voter_makes_it_a_new_member(tmp_path: Path) -> None:
-    """A voter comes back with an empty disk: it has forgotten how it voted. Under its old identity it
-    could vote twice in one term; it is learned as a new member, the old one is removed, and it is
-    promoted.
-    """
+def test_voter_with_a_lost_disk_rejoins_as_a_new_member(tmp_path: Path) -> None:
+    """A voter restarts with an empty disk and has lost the record of its votes. Under its old identity it
+    could vote twice in one term. It must be added as a learner with a new identity and promoted after the old
+    identity is removed."""
 
-    async def body(rig: Rig) -> None:
-        led = await wait_for_leader(rig)
-        away = next(place for place in range(3) if place != led)
-        await request(rig, ["x1", "x2"], place=led)
-        await phase(rig, "x1", "out", at=led)
-        await rig.faults.play_one(Fault(0.0, "lose-disk", away, for_s=0.1))
+    async def scenario(rig: Rig) -> None:
+        leader = await wait_for_leader(rig)
+        follower = next(place for place in range(3) if place != leader)
+        await submit_order(rig, ["x1", "x2"], place=leader)
+        await wait_for_phase(rig, "x1", "out", at=leader)
+        await rig.faults.play_one(Fault(0.0, "lose-disk", follower, for_s=0.1))
 
-        async def member() -> bool:
+        async def has_rejoined() -> bool:
             rows = [
-                json.loads(row) for row in (tmp_path / f"{rig.names[led]}.events").read_text().splitlines()
+                json.loads(row) for row in (tmp_path / f"{rig.names[leader]}.events").read_text().splitlines()
             ]
-            said = [row["detail"].split(" ")[0] for row in rows if row.get("what") == "members"]
-            return said[-3:] == ["learn", "remove", "promote"]
+            changes = [row["detail"].split(" ")[0] for row in rows if row.get("what") == "members"]
+            return changes[-3:] == ["learn", "remove", "promote"]
 
-        await wait_until_true(member)
-        await finish(rig)
-        assert (await status(rig, away))["knows"]
+        await wait_until_true(has_rejoined)
+        await finish_orders(rig)
+        assert (await get_status(rig, follower))["knows"]
 
-    assert run_on_rig(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, scenario).finished == 1
 
 
 @pytest.mark.parametrize("verb", ["disk-full", "sync-fails"])
-def test_a_log_that_can_not_be_written_stops_that_member_alone(tmp_path: Path, verb: str) -> None:
-    """The leader's disk is full, or a sync fails. What a failed sync left on the disk nobody knows: that
-    member takes no part any more and says so, and the others go on.
-    """
+def test_failed_log_write_stops_only_that_member(tmp_path: Path, verb: str) -> None:
+    """The leader's disk is full, or a sync fails. The content of the disk after a failed sync is unknown, so
+    this member halts and reports it in its status; the others continue."""
 
-    async def body(rig: Rig) -> None:
-        led = await wait_for_leader(rig)
-        fault = asyncio.ensure_future(rig.faults.play_one(Fault(0.0, verb, led, for_s=2.5)))
+    async def scenario(rig: Rig) -> None:
+        leader = await wait_for_leader(rig)
+        fault = asyncio.ensure_future(rig.faults.play_one(Fault(0.0, verb, leader, for_s=2.5)))
         await asyncio.sleep(0.05)
-        other = (led + 1) % 3
-        await request(rig, ["x1"], place=other)
-        answer = await status(rig, led)
+        other = (leader + 1) % 3
+        await submit_order(rig, ["x1"], place=other)
+        answer = await get_status(rig, leader)
         assert answer.get("halted") and not answer["knows"], answer
         await fault
-        await finish(rig)
-        assert "the disk refused" in (tmp_path / f"{rig.names[led]}.err").read_text()
+        await finish_orders(rig)
+        assert "the disk refused" in (tmp_path / f"{rig.names[leader]}.err").read_text()
 
-    assert run_on_rig(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, scenario).finished == 1
 
 
-def test_a_bit_that_flips_in_the_log_stops_the_member_and_the_others_catch_it_up(tmp_path: Path) -> None:
-    """A bit of a voter's log flips while it is down. Its store is damaged and kept aside; it joins as a
-    new member and is caught up.
-    """
+def test_voter_with_a_flipped_bit_in_its_log_rejoins_and_catches_up(tmp_path: Path) -> None:
+    """A bit flips in the log of a voter that is down. At its restart the damaged store is set aside, and the
+    voter joins as a new member and catches up."""
 
-    async def body(rig: Rig) -> None:
-        led = await wait_for_leader(rig)
-        away = next(place for place in range(3) if place != led)
-        await rig.kill(away)
-        path = tmp_path / rig.names[away] / "log-1"
+    async def scenario(rig: Rig) -> None:
+        leader = await wait_for_leader(rig)
+        follower = next(place for place in range(3) if place != leader)
+        await rig.kill(follower)
+        path = tmp_path / rig.names[follower] / "log-1"
         data = bytearray(path.read_bytes())
         data[len(data) // 2] ^= 0x20
         path.write_bytes(bytes(data))
-        await rig.start_again(away)
-        await request(rig, ["x1"], place=led)
-        await finish(rig)
+        await rig.start_again(follower)
+        await submit_order(rig, ["x1"], place=leader)
+        await finish_orders(rig)
 
-        async def caught_up() -> bool:
-            answer = await status(rig, away)
+        async def has_caught_up() -> bool:
+            answer = await get_status(rig, follower)
             return bool(answer.get("knows")) and answer["orders"][0]["over"]
 
-        await wait_until_true(caught_up)
-        assert "store damaged" in (tmp_path / f"{rig.names[away]}.err").read_text()
-        assert (tmp_path / f"{rig.names[away]}-damaged-1" / "log-1").exists()
+        await wait_until_true(has_caught_up)
+        assert "store damaged" in (tmp_path / f"{rig.names[follower]}.err").read_text()
+        assert (tmp_path / f"{rig.names[follower]}-damaged-1" / "log-1").exists()
 
-    assert run_on_rig(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, scenario).finished == 1
 
 
-def test_junk_on_the_wire_ends_its_connection_and_nothing_else(tmp_path: Path) -> None:
-    """Somebody dials the brokers' address and sends what is no frame: too long, with a wrong checksum, or
-    HTTP. The connection ends and is counted; the agreement goes on.
-    """
+def test_invalid_frames_close_only_their_connection(tmp_path: Path) -> None:
+    """A client connects to a broker's peer address and sends invalid frames: too long, with a wrong checksum,
+    or HTTP. The connection is closed and counted, and the Raft cluster is not affected."""
 
-    async def body(rig: Rig) -> None:
-        led = await wait_for_leader(rig)
-        for junk in (
+    async def scenario(rig: Rig) -> None:
+        leader = await wait_for_leader(rig)
+        for payload in (
             b"\xff" * 64,
             b"\x08\x00\x00\x00\x00\x00\x00\x00hello!!!",
             b"GET / HTTP/1.1\r\n\r\n",
             b"\x01",
         ):
-            reader, writer = await asyncio.open_connection(HOST, rig.ports[led])
-            writer.write(junk)
+            reader, writer = await asyncio.open_connection(HOST, rig.ports[leader])
+            writer.write(payload)
             await writer.drain()
-            if len(junk) > 8:
-                assert await asyncio.wait_for(reader.read(), 5.0) == b""  # it was ended
+            if len(payload) > 8:
+                assert await asyncio.wait_for(reader.read(), 5.0) == b""  # the broker closed the connection
             writer.close()
-        await request(rig, ["x1"], place=led)
-        await finish(rig)
-        os.kill(rig.processes[led].pid, signal.SIGUSR1)
+        await submit_order(rig, ["x1"], place=leader)
+        await finish_orders(rig)
+        os.kill(rig.processes[leader].pid, signal.SIGUSR1)
 
-        async def counted() -> bool:
-            said = (tmp_path / f"{rig.names[led]}.err").read_text()
-            return "agreement_wire.too_long=2" in said and "agreement_wire.wrong_checksum=1" in said
+        async def counters_are_logged() -> bool:
+            text = (tmp_path / f"{rig.names[leader]}.err").read_text()
+            return "agreement_wire.too_long=2" in text and "agreement_wire.wrong_checksum=1" in text
 
-        await wait_until_true(counted)
+        await wait_until_true(counters_are_logged)
 
-    assert run_on_rig(tmp_path, body).finished == 1
+    assert run_on_rig(tmp_path, scenario).finished == 1
 
 
-def test_a_short_drawn_run_keeps_every_bound(tmp_path: Path) -> None:
+def test_short_run_with_random_faults_breaks_no_rule(tmp_path: Path) -> None:
     faults = draw(5, 5, 4.0)
-    groups, done = asyncio.run(maintenance.run_orders(tmp_path, 5, 5, 6, 4.0, faults))
-    found = maintenance_checker.check_logs(tmp_path, groups, maintenance.AT_ONCE)
-    assert done and not found.broken, found.violations
+    groups, is_finished = asyncio.run(maintenance.run_orders(tmp_path, 5, 5, 6, 4.0, faults))
+    verdict = maintenance_checker.check_logs(tmp_path, groups, maintenance.AT_ONCE)
+    assert is_finished and not verdict.broken, verdict.violations
     rows = [json.loads(line) for line in (tmp_path / "rig.log").read_text().splitlines()]
     assert [row["verb"] for row in rows if row["event"] == "fault"] == [fault.verb for fault in faults]
 
@@ -459,111 +466,118 @@
 # --- the command line ---------------------------------------------------------------------------------
 
 
-def test_the_command_line_from_an_order_to_its_end(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
-    file, plan = tmp_path / "order.toml", tmp_path / "plan.json"
-    file.write_text('order = "fw"\nmachines = ["x1"]\nwork = "restart"\ntakes_s = 0.2\n')
+def test_command_line_from_plan_to_finished_order(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    order_file, plan_file = tmp_path / "order.toml", tmp_path / "plan.json"
+    order_file.write_text('order = "fw"\nmachines = ["x1"]\nwork = "restart"\ntakes_s = 0.2\n')
 
-    async def body(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         loop = asyncio.get_running_loop()
-        at = f"{HOST}:{rig.admins[1]}"
+        admin_address = f"{HOST}:{rig.admins[1]}"
 
-        async def run(*words: str) -> tuple[int, str]:
-            code = await loop.run_in_executor(None, lambda: command(["maintenance", *words, "--at", at]))
-            said = capsys.readouterr()
-            assert not said.err or said.err.count("\n") == 1
-            return code, said.out + said.err
+        async def run(*args: str) -> tuple[int, str]:
+            code = await loop.run_in_executor(
+                None, lambda: command(["maintenance", *args, "--at", admin_address])
+            )
+            captured = capsys.readouterr()
+            assert not captured.err or captured.err.count("\n") == 1
+            return code, captured.out + captured.err
 
         assert (await run("status"))[0] == 0
-        code, said = await run("plan", str(file), "-o", str(plan))
-        assert code == 0 and "x1" in said and "takes" in said and "grade g" in said
+        code, output = await run("plan", str(order_file), "-o", str(plan_file))
+        assert code == 0 and "x1" in output and "takes" in output and "grade g" in output
         assert (await run("hold"))[0] == 0
-        code, said = await run("request", str(plan))
-        assert code == 1 and "moved since" in said  # the state is held now: it was not as the plan was made
+        code, output = await run("request", str(plan_file))
+        assert code == 1 and "moved since" in output  # `hold` changed the state after the plan was made
         assert (await run("resume"))[0] == 0
-        assert (await run("plan", str(file), "-o", str(plan)))[0] == 0
-        code, said = await run("request", str(plan))
-        assert code == 0 and "agreed on" in said
+        assert (await run("plan", str(order_file), "-o", str(plan_file)))[0] == 0
+        code, output = await run("request", str(plan_file))
+        assert code == 0 and "agreed on" in output
         rig.write("clients", event="agreed", order="fw", machines=["x1"])
-        assert (await run("request", str(file)))[0] == 0  # once more, and it counts once
-        await phase(rig, "x1", "out", at=1)
-        code, said = await run("status")
-        assert code == 0 and "x1" in said and "out" in said
+        assert (await run("request", str(order_file)))[0] == 0  # a repeated order counts once
+        await wait_for_phase(rig, "x1", "out", at=1)
+        code, output = await run("status")
+        assert code == 0 and "x1" in output and "out" in output
         assert (await run("done", "x1"))[0] == 0
-        await phase(rig, "x1", "back", at=1)
-        code, said = await run("done", "x1")
-        assert code == 1 and "x1 is not out" in said
+        await wait_for_phase(rig, "x1", "back", at=1)
+        code, output = await run("done", "x1")
+        assert code == 1 and "x1 is not out" in output
         assert (await run("cancel", "nothing"))[0] == 1
-        code, said = await run("status", "--json")
-        assert json.loads(said)["orders"][0]["over"] is True
+        code, output = await run("status", "--json")
+        assert json.loads(output)["orders"][0]["over"] is True
 
-    assert run_on_rig(tmp_path / "rig", body).finished == 1
+    assert run_on_rig(tmp_path / "rig", scenario).finished == 1
 
 
-def test_what_cannot_be_used_of_an_order_file_is_one_line(
+def test_invalid_arguments_and_order_files_give_one_line_errors(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with socket.socket() as free:
-        free.bind((HOST, 0))
-        port = free.getsockname()[1]
-    file = tmp_path / "order.toml"
-    for words, named in (
+    with socket.socket() as unused_socket:
+        unused_socket.bind((HOST, 0))
+        port = unused_socket.getsockname()[1]
+    order_file = tmp_path / "order.toml"
+    for args, expected in (
         (["request", "/nowhere"], "/nowhere"), (["status", "--at", f"{HOST}:{port}"], "does not answer"),
         (["odd"], "can't use odd"),
     ):  # fmt: skip
-        assert command(["maintenance", *words]) == 2
-        said = capsys.readouterr().err
-        assert named in said and said.count("\n") == 1
-    file.write_text("{")
-    assert command(["maintenance", "request", str(file)]) == 2
+        assert command(["maintenance", *args]) == 2
+        error_text = capsys.readouterr().err
+        assert expected in error_text and error_text.count("\n") == 1
+    order_file.write_text("{")
+    assert command(["maintenance", "request", str(order_file)]) == 2
 
 
 # --- the checker --------------------------------------------------------------------------------------
 
 
-def step(machine: str, phase_: str, fence: int, at: float, order: str = "o") -> dict[str, Any]:
-    return {"event": "step", "order": order, "machine": machine, "phase": phase_, "fence": fence, "at": at}
+def step_event(machine: str, phase: str, fence: int, at: float, order: str = "o") -> dict[str, Any]:
+    return {"event": "step", "order": order, "machine": machine, "phase": phase, "fence": fence, "at": at}
 
 
-def logs(folder: Path, events: list[Any], nodes: list[Any] = []) -> maintenance_checker.Verdict:  # noqa: B006
-    agreed = [{"event": "agreed", "order": "o", "machines": ["x1", "x2"], "at": 0.0}]
-    for name, rows in (("b1.events", events), ("boxes.log", nodes), ("clients.log", agreed)):
+def check_events(folder: Path, events: list[Any], node_events: list[Any] = []) -> maintenance_checker.Verdict:  # noqa: B006
+    client_events = [{"event": "agreed", "order": "o", "machines": ["x1", "x2"], "at": 0.0}]
+    for name, rows in (("b1.events", events), ("boxes.log", node_events), ("clients.log", client_events)):
         (folder / name).write_text("".join(json.dumps(row) + "\n" for row in rows))
     return maintenance_checker.check_logs(folder, {"x1": "g", "x2": "g"}, {"o": 1})
 
 
 PHASES = ("permitted", "draining", "out", "returning", "back")
-GOOD = [step("x1", p, 1, 1.0 + n) for n, p in enumerate(PHASES)] + [
-    step("x2", p, 2, 11.0 + n) for n, p in enumerate(PHASES)
+VALID_EVENTS = [step_event("x1", phase, 1, 1.0 + n) for n, phase in enumerate(PHASES)] + [
+    step_event("x2", phase, 2, 11.0 + n) for n, phase in enumerate(PHASES)
 ]
 
 
-def test_the_checker_finds_each_broken_rule(tmp_path: Path) -> None:
-    came = [{"event": "came", "box": "x1", "at": at} for at in (1.0, 2.9, 4.1)]
-    good = logs(tmp_path, GOOD, came)
-    assert not good.broken and good.finished == 1 and good.standstill_s == pytest.approx(6.0)
-    late = {"event": "came", "box": "x1", "at": 3.5}
-    assert logs(tmp_path, GOOD, [late]).late_sends == 1
-    excluded = [*GOOD[:5], *(step("x2", p, 2, 2.5 + n) for n, p in enumerate(PHASES))]
-    assert logs(tmp_path, excluded).excess_outages
-    assert logs(tmp_path, [*GOOD, step("x3", "permitted", 1, 9.0)]).divergences == 1
-    states = [{"event": "applied", "index": 1, "digest": d, "at": 1.0} for d in (5, 6)]
-    assert logs(tmp_path, [*GOOD, *states]).divergences == 1
-    twice = [*GOOD, *(step("x1", p, 3, 30.0 + n) for n, p in enumerate(PHASES))]
-    assert logs(tmp_path, twice).repeated_outages == 1
-    assert logs(tmp_path, GOOD[:5]).lost == 1
-    assert logs(tmp_path, GOOD[:-2]).broken and not logs(tmp_path, GOOD[:-2]).lost  # it never came to its end
-
-
-def test_one_seed_gives_one_script_which_plays_again_as_it_was_written(tmp_path: Path) -> None:
-    one = draw(3, 5, 120.0)
-    assert one == draw(3, 5, 120.0) != draw(4, 5, 120.0)
-    assert {fault.verb for fault in one} == set(VERBS)
+def test_checker_finds_each_broken_rule(tmp_path: Path) -> None:
+    node_events = [{"event": "came", "box": "x1", "at": at} for at in (1.0, 2.9, 4.1)]
+    verdict = check_events(tmp_path, VALID_EVENTS, node_events)
+    assert not verdict.broken and verdict.finished == 1 and verdict.standstill_s == pytest.approx(6.0)
+    late_request = {"event": "came", "box": "x1", "at": 3.5}
+    assert check_events(tmp_path, VALID_EVENTS, [late_request]).late_sends == 1
+    overlapping = [
+        *VALID_EVENTS[:5],
+        *(step_event("x2", phase, 2, 2.5 + n) for n, phase in enumerate(PHASES)),
+    ]
+    assert check_events(tmp_path, overlapping).excess_outages
+    assert check_events(tmp_path, [*VALID_EVENTS, step_event("x3", "permitted", 1, 9.0)]).divergences == 1
+    diverging_states = [{"event": "applied", "index": 1, "digest": d, "at": 1.0} for d in (5, 6)]
+    assert check_events(tmp_path, [*VALID_EVENTS, *diverging_states]).divergences == 1
+    repeated = [*VALID_EVENTS, *(step_event("x1", phase, 3, 30.0 + n) for n, phase in enumerate(PHASES))]
+    assert check_events(tmp_path, repeated).repeated_outages == 1
+    assert check_events(tmp_path, VALID_EVENTS[:5]).lost == 1
+    # The order never finishes.
+    assert (
+        check_events(tmp_path, VALID_EVENTS[:-2]).broken
+        and not check_events(tmp_path, VALID_EVENTS[:-2]).lost
+    )
+
+
+def test_fault_script_is_determined_by_the_seed_and_survives_a_file(tmp_path: Path) -> None:
+    faults = draw(3, 5, 120.0)
+    assert faults == draw(3, 5, 120.0) != draw(4, 5, 120.0)
+    assert {fault.verb for fault in faults} == set(VERBS)
     path = tmp_path / "script.json"
-    path.write_text(json.dumps([asdict(fault) for fault in one]))
-    assert load_script(str(path), 5, VERBS) == one
-    for text, word in (("{", "--script"), ('[{"at_s":1,"verb":"odd"}]', "odd")):
+    path.write_text(json.dumps([asdict(fault) for fault in faults]))
+    assert load_script(str(path), 5, VERBS) == faults
+    for text, message in (("{", "--script"), ('[{"at_s":1,"verb":"odd"}]', "odd")):
         path.write_text(text)
-        with pytest.raises(SettingsError, match=word):
+        with pytest.raises(SettingsError, match=message):
             load_script(str(path), 5, VERBS)
