--- a/harriertide/control/disk_writer.py
+++ b/harriertide/control/disk_writer.py
@@ -32,7 +32,7 @@
         self._on_failed = on_failed
         self._queue: list[ev.Persist] = []
         self._has_writes = asyncio.Event()
-        self.busy = asyncio.Lock()  # held during a write, so that the files are not closed meanwhile
+        self.write_lock = asyncio.Lock()  # held during a write, so that the files are not closed meanwhile
 
     def submit(self, write: ev.Persist) -> None:
         """Add a write to the next batch."""
@@ -50,7 +50,7 @@
                 continue
             began_s = loop.time()
             try:
-                async with self.busy:
+                async with self.write_lock:
                     await self._write_to_disk(partial(self._store.write, batch))
             except StoreError as error:
                 self._on_failed(error)
--- a/harriertide/control/member.py
+++ b/harriertide/control/member.py
@@ -65,8 +65,8 @@
         self._events = events
         self._counts: Counter[str] = Counter()
         self._calls = PendingCalls()
-        self._client = f"{name}-{random.getrandbits(48):x}"
-        self._serial = 0
+        self._client_id = f"{name}-{random.getrandbits(48):x}"
+        self._last_serial = 0
         self._tasks: list[asyncio.Task[None]] = []
         self._transport = environment.transport(self._on_payload)
         first_report = random.getrandbits(48)
@@ -180,7 +180,7 @@
         if self.is_leader:
             self.transfer_leadership()
             await sleep_until(asyncio.get_running_loop().time() + TRANSFER_WAIT_S)
-        write_lock = nullcontext() if self._voter is None else self._voter.writer.busy
+        write_lock = nullcontext() if self._voter is None else self._voter.writer.write_lock
         async with write_lock:
             self.cancel_tasks()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -255,10 +255,10 @@
         :raises CallError: the command was not committed in time; it may still be committed later
         """
         now_us = self.now_us()
-        self._serial += 1
+        self._last_serial += 1
         number, future = self._calls.open()
         deadline_us = now_us + int(within_s * 1_000_000)
-        command = ClientCommand(number, self._client, self._serial, data, deadline_us)
+        command = ClientCommand(number, self._client_id, self._last_serial, data, deadline_us)
         try:
             self._role.submit(now_us, command)
             async with asyncio.timeout(within_s + CALL_MARGIN_S):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -55,8 +55,8 @@
 
 async def wait_until_true(probe: Callable[[], Awaitable[Any]], within_s: float = 25.0) -> Any:
     """Poll a probe until its result is true; return the result."""
-    end = time.monotonic() + within_s
-    while time.monotonic() < end:
+    deadline_s = time.monotonic() + within_s
+    while time.monotonic() < deadline_s:
         result = await probe()
         if result:
             return result
@@ -70,7 +70,7 @@
 
 
 async def wait_for_leader(rig: Rig, excluded: tuple[int, ...] = ()) -> int:
-    """Wait for a leader with an agreed inventory; return its place."""
+    """Wait for a leader with a lease and a committed inventory; return its index in the rig."""
 
     async def probe() -> int:
         for place in range(rig.number):
@@ -84,11 +84,11 @@
     return int(await wait_until_true(probe)) - 1
 
 
-async def wait_for_phase(rig: Rig, machine: str, *wanted: str, at: int = 0) -> str:
+async def wait_for_phase(rig: Rig, machine: str, *wanted: str, place: int = 0) -> str:
     """Wait until a machine's step is in one of the wanted phases; return the phase."""
 
     async def probe() -> str:
-        for order in (await get_status(rig, at)).get("orders", []):
+        for order in (await get_status(rig, place)).get("orders", []):
             for step in order["steps"]:
                 if step["machine"] == machine and step["phase"] in wanted:
                     return str(step["phase"])
@@ -150,11 +150,11 @@
         client_load = asyncio.ensure_future(write_continuously(rig, [0, 1, 2]))
         first_leader = await wait_for_leader(rig)
         await submit_order(rig, ["x1", "x2"], place=first_leader)
-        await wait_for_phase(rig, "x1", "permitted", "draining", at=first_leader)
+        await wait_for_phase(rig, "x1", "permitted", "draining", place=first_leader)
         await rig.kill(first_leader)
         second_leader = await wait_for_leader(rig, excluded=(first_leader,))
         await rig.start_again(first_leader)
-        await wait_for_phase(rig, "x1", "out", at=second_leader)
+        await wait_for_phase(rig, "x1", "out", place=second_leader)
         await rig.kill(second_leader)  # before the operator can confirm the work
         await rig.start_again(second_leader)
         await finish_orders(rig)
@@ -172,10 +172,10 @@
         client_load = asyncio.ensure_future(write_continuously(rig, [follower]))
         await submit_order(rig, ["x1"], place=leader)
         # The machine drains only after the follower has confirmed that it knows of the permit.
-        await wait_for_phase(rig, "x1", "draining", "out", at=leader)
+        await wait_for_phase(rig, "x1", "draining", "out", place=leader)
         rig.send_signal(follower, signal.SIGSTOP)
         start_s = time.monotonic()
-        await wait_for_phase(rig, "x1", "out", at=leader)
+        await wait_for_phase(rig, "x1", "out", place=leader)
         await asyncio.sleep(max(0.0, start_s + 8.0 - time.monotonic()))
         rig.send_signal(follower, signal.SIGCONT)
         await asyncio.sleep(1.0)  # it reads the pending client requests, and must not send them to x1
@@ -197,7 +197,7 @@
         client_load = asyncio.ensure_future(write_continuously(rig, [0, 1, 2]))
         rig.links[leader, follower].is_cut = True  # only the direction from the leader is cut
         await submit_order(rig, ["x1", "x2"], place=leader)
-        await wait_for_phase(rig, "x1", "permitted", at=leader)
+        await wait_for_phase(rig, "x1", "permitted", place=leader)
         first_status = await get_status(rig, leader)
         await asyncio.sleep(1.5)
         step_row = (await get_status(rig, leader))["orders"][0]["steps"][0]
@@ -252,7 +252,7 @@
             await wait_for_leader(rig)
             if machine == "x1":
                 # A broker that has just started first replays its log.
-                await wait_for_phase(rig, "x1", "out", at=1)
+                await wait_for_phase(rig, "x1", "out", place=1)
                 answer = await rig.ask(1, "POST", "/maintenance/done", {"machine": "x1"})
                 assert answer[0] == 200, answer
         await finish_orders(rig)
@@ -359,7 +359,7 @@
         leader = await wait_for_leader(rig)
         follower = next(place for place in range(3) if place != leader)
         await submit_order(rig, ["x1", "x2"], place=leader)
-        await wait_for_phase(rig, "x1", "out", at=leader)
+        await wait_for_phase(rig, "x1", "out", place=leader)
         await rig.faults.play_one(Fault(0.0, "lose-disk", follower, for_s=0.1))
 
         async def has_rejoined() -> bool:
@@ -494,11 +494,11 @@
         assert code == 0 and "agreed on" in output
         rig.write("clients", event="agreed", order="fw", machines=["x1"])
         assert (await run("request", str(order_file)))[0] == 0  # a repeated order counts once
-        await wait_for_phase(rig, "x1", "out", at=1)
+        await wait_for_phase(rig, "x1", "out", place=1)
         code, output = await run("status")
         assert code == 0 and "x1" in output and "out" in output
         assert (await run("done", "x1"))[0] == 0
-        await wait_for_phase(rig, "x1", "back", at=1)
+        await wait_for_phase(rig, "x1", "back", place=1)
         code, output = await run("done", "x1")
         assert code == 1 and "x1 is not out" in output
         assert (await run("cancel", "nothing"))[0] == 1
--- a/tests/test_control_parts.py
+++ b/tests/test_control_parts.py
@@ -368,7 +368,7 @@
         await asyncio.sleep(0.01)
         writer.submit(make_write(2))
         writer.submit(make_write(3))
-        assert writer.busy.locked() and not store.batches
+        assert writer.write_lock.locked() and not store.batches
         may_write.set()
         await asyncio.sleep(0.01)
         assert store.batches == [[1], [2, 3]] and synced == [1, 3]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -103,8 +103,10 @@
 
 
 def test_label_selects_its_machines() -> None:
-    found = parse_order({"order": "z", "zone": "z1", "work": "replace", "takes_s": 1}, ALL_MACHINES, 0.0)
-    assert found.machines == ("x1", "x3", "x5")
+    parsed_order = parse_order(
+        {"order": "z", "zone": "z1", "work": "replace", "takes_s": 1}, ALL_MACHINES, 0.0
+    )
+    assert parsed_order.machines == ("x1", "x3", "x5")
 
 
 def test_invalid_commands_are_refused_and_change_nothing() -> None:
@@ -338,16 +340,16 @@
 
 
 def test_warming_node_counts_with_its_reduced_capacity() -> None:
-    """A node returns while the load is close to the total capacity: the next node waits until it is warm
-    enough."""
+    """A node returns while the load is close to the total capacity: the next node waits until the
+    returned node is warm enough."""
     state_machine = make_state_machine(SubmitOrder(make_order("fw", ("x1", "x2"), at_once=2), 2.0))
-    planner, known = Planner(state_machine, PlannerSettings(warm_up_s=10.0)), make_facts(load_units=41.0)
+    planner, facts = Planner(state_machine, PlannerSettings(warm_up_s=10.0)), make_facts(load_units=41.0)
     permit_and_change(state_machine, "x1", "fw", "draining", "out", "returning")
     # 40 units and 3 of the cold node are below the required 45.
-    assert not permitted_machines(planner.propose(known, 10_000_000, 3.0))
-    assert available_units(planner.context(known, 10_000_000, 3.0)) == pytest.approx(53.0)
-    assert available_units(planner.context(known, 15_000_000, 3.0)) == pytest.approx(56.5)
-    assert permitted_machines(planner.propose(known, 18_000_000, 3.0)) == ["x2"]
+    assert not permitted_machines(planner.propose(facts, 10_000_000, 3.0))
+    assert available_units(planner.context(facts, 10_000_000, 3.0)) == pytest.approx(53.0)
+    assert available_units(planner.context(facts, 15_000_000, 3.0)) == pytest.approx(56.5)
+    assert permitted_machines(planner.propose(facts, 18_000_000, 3.0)) == ["x2"]
 
 
 def test_unplanned_failure_uses_the_same_budget_and_recalls_a_draining_node() -> None:
@@ -355,26 +357,26 @@
     another one is draining, and the remaining nodes can't serve the load, the draining one returns to
     waiting."""
     state_machine = make_state_machine(SubmitOrder(make_order("fw", ("x1", "x2"), at_once=1), 2.0))
-    planner, known = (
+    planner, facts = (
         Planner(state_machine, PlannerSettings()),
         make_facts(load_units=20.0, unreachable_counts={"x5": 4}),
     )
-    planner.propose(known, 10_000_000, 3.0)
-    found = planner.propose(known, 11_500_000, 4.5)
-    assert ReportFailure("x5", True, 4.5) in found and not permitted_machines(found)
-    submit(state_machine, *found)
-    assert not permitted_machines(planner.propose(known, 10_000_000, 5.0))
-    context = planner.context(known, 10_000_000, 5.0)
+    planner.propose(facts, 10_000_000, 3.0)
+    commands = planner.propose(facts, 11_500_000, 4.5)
+    assert ReportFailure("x5", True, 4.5) in commands and not permitted_machines(commands)
+    submit(state_machine, *commands)
+    assert not permitted_machines(planner.propose(facts, 10_000_000, 5.0))
+    context = planner.context(facts, 10_000_000, 5.0)
     assert "x5 is away" in explain_refusal(context, "x1", state_machine.state.orders["fw"])
-    known.unreachable_counts = {}
-    submit(state_machine, *planner.propose(known, 10_000_000, 6.0))
-    assert permitted_machines(planner.propose(known, 10_000_000, 6.0)) == ["x1"]
+    facts.unreachable_counts = {}
+    submit(state_machine, *planner.propose(facts, 10_000_000, 6.0))
+    assert permitted_machines(planner.propose(facts, 10_000_000, 6.0)) == ["x1"]
     permit_and_change(state_machine, "x1", "fw", "draining")
-    known.unreachable_counts, known.load_units = {"x2": 4}, 45.0
-    planner.propose(known, 10_000_000, 7.0)
-    submit(state_machine, *planner.propose(known, 12_500_000, 9.0))
-    known.drained_brokers = {}
-    recalls = planner.propose(known, 12_600_000, 9.5)
+    facts.unreachable_counts, facts.load_units = {"x2": 4}, 45.0
+    planner.propose(facts, 10_000_000, 7.0)
+    submit(state_machine, *planner.propose(facts, 12_500_000, 9.0))
+    facts.drained_brokers = {}
+    recalls = planner.propose(facts, 12_600_000, 9.5)
     assert any(isinstance(c, ChangePhase) and (c.machine, c.phase) == ("x1", "waiting") for c in recalls)
 
 
@@ -401,47 +403,47 @@
     write in flight. A new leader counts this time from its own election."""
     state_machine = make_state_machine(SubmitOrder(make_order(), 2.0))
     settings = PlannerSettings(lease_us=1_000_000, longest_attempt_us=500_000)
-    planner, known = Planner(state_machine, settings), make_facts()
+    planner, facts = Planner(state_machine, settings), make_facts()
     permit_and_change(state_machine, "x1", "fw")
     step = state_machine.state.find_active_step("x1")
     assert step is not None
-    known.informed_brokers = {step.fence: {0, 1, 2, 3}}
+    facts.informed_brokers = {step.fence: {0, 1, 2, 3}}
     for now_us in (10_000_000, 60_000_000):  # b5 may not know of the permit, however long it is silent
-        assert confirmations.brokers_not_informed(planner.context(known, now_us, 3.0), step) == ["b5"]
+        assert confirmations.brokers_not_informed(planner.context(facts, now_us, 3.0), step) == ["b5"]
     limited_settings = PlannerSettings(
         lease_us=1_000_000, longest_attempt_us=500_000, isolation_limit_us=5_000_000
     )
     limited_planner = Planner(state_machine, limited_settings)
-    assert confirmations.brokers_not_informed(limited_planner.context(known, 15_000_000, 3.0), step) == ["b5"]
+    assert confirmations.brokers_not_informed(limited_planner.context(facts, 15_000_000, 3.0), step) == ["b5"]
     assert not confirmations.brokers_not_informed(
-        limited_planner.context(known, 10_000_000 + 1_020_001 + 5_100_000 + 1_000_000, 3.0), step
+        limited_planner.context(facts, 10_000_000 + 1_020_001 + 5_100_000 + 1_000_000, 3.0), step
     )
-    known.informed_brokers[step.fence].add(4)
-    assert not confirmations.brokers_not_informed(planner.context(known, 10_000_000, 3.0), step)
+    facts.informed_brokers[step.fence].add(4)
+    assert not confirmations.brokers_not_informed(planner.context(facts, 10_000_000, 3.0), step)
     change_phases(state_machine, "x1", "draining")
-    known.drained_brokers = {step.fence: {0, 1, 2, 3}}
+    facts.drained_brokers = {step.fence: {0, 1, 2, 3}}
     # The lease with the clock error, the longest attempt, and a write in flight.
     drained_us = 10_000_000 + 1_020_001 + 500_000 + 1_000_000
-    assert confirmations.brokers_not_drained(planner.context(known, drained_us - 1, 3.0), step) == ["b5"]
-    assert not confirmations.brokers_not_drained(planner.context(known, drained_us, 3.0), step)
-    known.leading_since_us = 20_000_000  # a new leader does not know earlier grants
-    assert confirmations.brokers_not_drained(planner.context(known, drained_us, 3.0), step) == ["b5"]
+    assert confirmations.brokers_not_drained(planner.context(facts, drained_us - 1, 3.0), step) == ["b5"]
+    assert not confirmations.brokers_not_drained(planner.context(facts, drained_us, 3.0), step)
+    facts.leading_since_us = 20_000_000  # a new leader does not know earlier grants
+    assert confirmations.brokers_not_drained(planner.context(facts, drained_us, 3.0), step) == ["b5"]
     submit(state_machine, MarkBrokerGone("b5", True, 3.0))
-    assert not confirmations.brokers_not_drained(planner.context(known, 10_000_000, 3.0), step)
+    assert not confirmations.brokers_not_drained(planner.context(facts, 10_000_000, 3.0), step)
 
 
 def test_machine_that_never_returns_is_overdue_and_blocks_no_other() -> None:
     """A node is out and its work is never confirmed: the next node of the order still gets its permit."""
     state_machine = make_state_machine(SubmitOrder(make_order("fw", ("x1", "x2", "x3"), at_once=2), 2.0))
-    planner, known = Planner(state_machine, PlannerSettings()), make_facts()
+    planner, facts = Planner(state_machine, PlannerSettings()), make_facts()
     permit_and_change(state_machine, "x1", "fw", "draining", "out")
-    found = planner.propose(known, 10_000_000, 3.0)
-    assert permitted_machines(found) == ["x2"]
-    submit(state_machine, *found)
-    submit(state_machine, *planner.propose(known, 21_000_000, 14.0))
+    commands = planner.propose(facts, 10_000_000, 3.0)
+    assert permitted_machines(commands) == ["x2"]
+    submit(state_machine, *commands)
+    submit(state_machine, *planner.propose(facts, 21_000_000, 14.0))
     step = state_machine.state.find_active_step("x1")
     assert step is not None and step.overdue
-    assert planner.describe_waits(step, known, 21_000_000, 14.0) == ["`maintenance done x1`, overdue"]
+    assert planner.describe_waits(step, facts, 21_000_000, 14.0) == ["`maintenance done x1`, overdue"]
 
 
 def test_every_waiting_machine_has_a_wait_reason_or_gets_a_permit() -> None:
@@ -454,25 +456,25 @@
             submit(
                 state_machine, SubmitOrder(make_order(f"o{number}", names, at_once=random.randint(1, 2)), 2.0)
             )
-        planner, known = (
+        planner, facts = (
             Planner(state_machine, PlannerSettings()),
             make_facts(load_units=random.uniform(0, 60)),
         )
         for _ in range(40):
-            for command in planner.propose(known, 10_000_000, 3.0):
+            for command in planner.propose(facts, 10_000_000, 3.0):
                 submit(state_machine, command)
-            known.informed_brokers = {
+            facts.informed_brokers = {
                 step.fence: set(ALL_BROKER_INDEXES) for step in state_machine.state.active_steps()
             }
-            known.drained_brokers = dict(known.informed_brokers) if random.random() < 0.7 else {}
+            facts.drained_brokers = dict(facts.informed_brokers) if random.random() < 0.7 else {}
             for step in state_machine.state.active_steps():
                 if step.phase == "out" and random.random() < 0.5:
                     submit(state_machine, ChangePhase(step.machine, step.fence, "returning", 3.0))
-            has_no_permits = not permitted_machines(planner.propose(known, 10_000_000, 3.0))
+            has_no_permits = not permitted_machines(planner.propose(facts, 10_000_000, 3.0))
             for name, steps in state_machine.state.steps.items():
                 for step in steps.values():
                     if step.phase == "waiting" and has_no_permits:
-                        assert planner.describe_waits(step, known, 10_000_000, 3.0), (
+                        assert planner.describe_waits(step, facts, 10_000_000, 3.0), (
                             f"seed {seed}: {name} {step.machine}"
                         )
 
@@ -480,12 +482,14 @@
 def test_forecast_predicts_the_permits_and_changes_nothing() -> None:
     state_machine = make_state_machine()
     dump_before, requested_order = state_machine.dump(), make_order("fw", ("x1", "x2", "x4", "x6"), at_once=2)
-    found = forecast_order(state_machine, requested_order, PlannerSettings(warm_up_s=5.0), make_facts(), 3.0)
+    forecast = forecast_order(
+        state_machine, requested_order, PlannerSettings(warm_up_s=5.0), make_facts(), 3.0
+    )
     assert state_machine.dump() == dump_before
-    assert sorted(permit.machine for permit in found) == ["x1", "x2", "x4", "x6"]
-    start_s = {permit.machine: permit.after_s for permit in found}
+    assert sorted(permit.machine for permit in forecast) == ["x1", "x2", "x4", "x6"]
+    start_s = {permit.machine: permit.after_s for permit in forecast}
     assert start_s["x4"] - start_s["x1"] >= 10.0 + 5.0  # machines of a group take turns
-    assert all(permit.capacity_ratio >= 4 / 6 for permit in found)
+    assert all(permit.capacity_ratio >= 4 / 6 for permit in forecast)
     # No machine can ever be permitted.
     assert not forecast_order(
         state_machine, requested_order, PlannerSettings(), make_facts(load_units=100.0), 3.0
@@ -496,10 +500,10 @@
     """The forecast runs on a copy of the state. `maintenance plan` once failed as soon as the first peak load
     was committed ("can't be used: Only dicts with str keys are supported")."""
     state_machine = make_state_machine(RecordPeakLoad(0, 30.0, 2.0))
-    found = forecast_order(
+    forecast = forecast_order(
         state_machine, make_order("fw", ("x1", "x2")), PlannerSettings(warm_up_s=5.0), make_facts(), 3.0
     )
-    assert [permit.machine for permit in found] == ["x1", "x2"]
+    assert [permit.machine for permit in forecast] == ["x1", "x2"]
 
 
 def test_forecast_of_weeks_needs_no_more_rounds_than_one_of_seconds() -> None:
@@ -516,11 +520,11 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Planner, "propose", counting_propose)
         requested_order = Order("fw", tuple(node.name for node in NODES[:4]), "replace", 604_800.0, at_once=1)
-        found = forecast_order(
+        forecast = forecast_order(
             state_machine, requested_order, PlannerSettings(warm_up_s=3_600.0), make_facts(), 3.0
         )
-    assert [permit.machine for permit in found] == ["x1", "x2", "x3", "x4"]
-    assert found[-1].after_s >= 3 * 604_800.0 and propose_count[0] <= 60
+    assert [permit.machine for permit in forecast] == ["x1", "x2", "x3", "x4"]
+    assert forecast[-1].after_s >= 3 * 604_800.0 and propose_count[0] <= 60
 
 
 # --- send gate ----------------------------------------------------------------------------------------
@@ -735,5 +739,5 @@
     ]
     order_text = next(block for block in blocks if "order =" in block)
     machines = {"box-9": Machine("box-9", "box", zone="a"), "box-1": Machine("box-1", "box", zone="a")}
-    found = parse_order(tomllib.loads(order_text), machines, 1.0)
-    assert found.machines == ("box-1", "box-9") and found.first == ("box-9",)
+    parsed_order = parse_order(tomllib.loads(order_text), machines, 1.0)
+    assert parsed_order.machines == ("box-1", "box-9") and parsed_order.first == ("box-9",)
