--- a/harriertide/core/events.py
+++ b/harriertide/core/events.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A frontend has received a request.
+    """A front has received a request.
 
     streams_body: the body is forwarded as it arrives, and its last byte may arrive much later.
     """
@@ -25,7 +25,7 @@
 class AttemptFinished:
     """An attempt has ended.
 
-    reply: the reply that the frontend may pass to the client; the core does not read it. body_written_us:
+    reply: the reply that the front may pass to the client; the core does not read it. body_written_us:
     when the last byte of a streamed request body was written; 0 if the body was not streamed.
     """
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The frontend has begun to send the response of an attempt to the client; no further attempt follows."""
+    """The front has begun to send the response of an attempt to the client; no further attempt follows."""
 
     request_id: str
     attempt: int
--- a/harriertide/core/request_lifecycle.py
+++ b/harriertide/core/request_lifecycle.py
@@ -1,6 +1,6 @@
 """The lifecycle of a request: the start and end of its attempts, and its final answer.
 
-These rules hold even if the decision module or a frontend is faulty:
+These rules hold even if the decision module or a front is faulty:
 
 - a request has at most one open attempt, and no attempt starts after its final answer;
 - a request has exactly one final answer, or none if its client has disconnected;
@@ -47,7 +47,7 @@
         """
         self._counts["taken"] += 1
         if arrival.request_id in self.requests:
-            self._counts["same_id"] += 1  # a faulty frontend: it must check Reducer.has_request first
+            self._counts["same_id"] += 1  # a faulty front: it must check Reducer.has_request first
             return False
         self.requests.add(arrival, streams_body)
         return True
--- a/harriertide/core/requests.py
+++ b/harriertide/core/requests.py
@@ -40,7 +40,7 @@
 
     @property
     def request_id(self) -> str:
-        """The id that the frontend assigned to the request."""
+        """The id that the front assigned to the request."""
         return self.arrival.request_id
 
     @property
@@ -75,7 +75,7 @@
     def start_attempt(self, number: int, node_id: str, now_us: int, stop_at_us: int) -> OpenAttempt:
         """Open an attempt.
 
-        :param stop_at_us: when the attempt must end; capped at the request's deadline, which 0 stands for
+        :param stop_at_us: when the attempt must end, at most the request's deadline; 0: the deadline
         """
         deadline_at_us = self.arrival.deadline_at_us
         stop_at_us = min(stop_at_us or deadline_at_us, deadline_at_us)
--- a/harriertide/decide/api/events.py
+++ b/harriertide/decide/api/events.py
@@ -13,7 +13,7 @@
     """One node of the endpoint list.
 
     :ivar shard: the shard that the node serves
-    :ivar state: live: the node takes requests; draining: it takes no new ones; gone: it has left
+    :ivar state: live: the node takes requests; draining: it takes no new ones; gone: it has been removed
     :ivar started_us: when the node started; 0: long ago
     """
 
--- a/harriertide/decide/demand.py
+++ b/harriertide/decide/demand.py
@@ -19,7 +19,7 @@
 from harriertide.decide.state import PRIORITY_BAND_COUNT, ShardState
 from harriertide.decide.units import SECOND_US
 
-# Time between bids: a tenth of the shortest surges, so that the response comes while a surge lasts.
+# Time between bids: a tenth of the shortest surges, so that the response arrives while a surge lasts.
 BID_INTERVAL_US = 300_000
 # The first interval lasts 0.5 to 1.5 times BID_INTERVAL_US, so that brokers that start together do not bid at
 # the same time.
--- a/harriertide/decide/demand_aggregate.py
+++ b/harriertide/decide/demand_aggregate.py
@@ -28,8 +28,8 @@
 class DemandAggregate:
     """The sums of the bids on one shard; bids that are not renewed expire.
 
-    bidders: the time of each broker's last bid, the oldest first. is_overload_announced: whether the bidders
-    were last told that the shard is overloaded.
+    bidders: the time of each broker's last bid, the oldest first. is_overload_announced: whether the last
+    announcement to the bidders was that the shard is overloaded.
     """
 
     sums: list[float] = field(default_factory=lambda: [0.0] * BID_VALUE_COUNT)
--- a/harriertide/decide/dispatch.py
+++ b/harriertide/decide/dispatch.py
@@ -201,8 +201,10 @@
         node.open_units += request.arrival.units
         node.overtaking_answers[request] = 0
         self._health.on_attempt_sent(node)
-        # With more brokers than slots of a node, the in-flight bound of each broker no longer bounds the
-        # node's queue, so attempts end at the latency objective instead of the deadline.
-        brokers_exceed_slots = context.settings.broker_count > MAX_IN_FLIGHT_COUNT
-        stop_at_us = request.objective_at_us if brokers_exceed_slots else request.arrival.deadline_at_us
+        # With more brokers than requests that a node may hold in flight, the in-flight bound of each broker
+        # no longer bounds the node's queue, so attempts end at the latency objective instead of the deadline.
+        brokers_exceed_in_flight_limit = context.settings.broker_count > MAX_IN_FLIGHT_COUNT
+        stop_at_us = (
+            request.objective_at_us if brokers_exceed_in_flight_limit else request.arrival.deadline_at_us
+        )
         context.emit(api.StartAttempt(request.id, node.id, stop_at_us))
--- a/harriertide/decide/endpoints.py
+++ b/harriertide/decide/endpoints.py
@@ -10,7 +10,8 @@
 from harriertide.decide.units import SECOND_US
 from harriertide.decide.warming import assume_all_granted
 
-# Lifetime of a bid and of a report, about ten bid intervals: until then the last one stands in for lost ones.
+# Lifetime of a bid and of a report, about ten bid intervals: the last one that arrived counts until then,
+# even if later ones are lost.
 BID_LIFETIME_US = 3_200_000
 # Margin on the time for which a removed node is kept. Its grants count until its slow start and one collapse
 # window are over.
--- a/harriertide/decide/health.py
+++ b/harriertide/decide/health.py
@@ -15,7 +15,7 @@
 from harriertide.decide.state import NodeState
 
 # Consecutive attempts without a response until a node is ejected: one may be due to the connection, two to
-# chance. A refused connection counts as this many at once, as no process is listening.
+# chance. A refused connection alone counts as this number, as no process is listening.
 EJECT_FAILURE_COUNT = 3
 # Time between trial requests, or probes, of an ejected node: short enough to detect recovery soon, and long
 # enough to add almost no load.
--- a/harriertide/decide/leases.py
+++ b/harriertide/decide/leases.py
@@ -10,8 +10,8 @@
   broker only after the last promise has expired.
 - Invariant: a lease ends before each of the promises that it rests on.
 
-So no two brokers hold a slot at once. A broker that has just started may have given a promise before its
-restart, which it does not remember; it gives no vote until such a promise has expired.
+So no two brokers hold a slot at the same time. A broker that has just started may have given a promise
+before its restart, which it does not remember; it gives no vote until such a promise has expired.
 docs/design/deployments.md has the proof.
 """
 
@@ -146,7 +146,7 @@
         rank = self.group(slot).index(self.broker_index)
         if now_us < state.promised_until_us + rank * VOTE_INTERVAL_US:
             # The slot is promised, or an earlier member of the group may become a candidate. If all members
-            # became candidates at once, none would win.
+            # became candidates at the same time, none would win.
             return False
         state.candidate_since_us = now_us
         return True
--- a/harriertide/decide/peer_exchange.py
+++ b/harriertide/decide/peer_exchange.py
@@ -13,7 +13,7 @@
 
 
 class PeerExchange:
-    """Messages to and from other brokers; a message to this broker itself is handled at once.
+    """Messages to and from other brokers; a message to this broker itself is handled immediately.
 
     Each mechanism registers a handler for each message type that it receives: handler(sender, message).
     """
--- a/harriertide/decide/placement.py
+++ b/harriertide/decide/placement.py
@@ -64,7 +64,7 @@
         expire_oldest(self.by_key, lambda record: record.placed_at_us <= until_us)
 
     def redirect(self, request: RequestState) -> api.Arrival | None:
-        """The same request, addressed to the shard that took its object.
+        """Return the request's arrival, addressed to the shard that holds its object.
 
         Only idempotent requests are redirected: a write that takes effect in a shard other than the one that
         its client names would not be recognized there as a duplicate when the client retries it.
--- a/harriertide/decide/quota_credit.py
+++ b/harriertide/decide/quota_credit.py
@@ -37,7 +37,7 @@
     used_units: int = 0
 
     def covers(self, now_us: int, units: float) -> bool:
-        """Whether the credit suffices to send a request of so many units now."""
+        """Whether the credit suffices to send a request of that size now."""
         return self.units >= units and now_us <= self.expires_at_us
 
     def void(self) -> None:
@@ -57,7 +57,7 @@
 
         :param wanted: units that would be used
         :param min_useful_units: the fewest units that allow a request to be sent
-        :param retry_at_us: when to ask again if no answer comes
+        :param retry_at_us: when to ask again if no answer arrives
         """
         self.void()
         self.wanted = min(MAX_REQUESTED_UNITS, ceil(wanted))
@@ -71,7 +71,7 @@
         """Accept a grant if it answers the last request and arrives in time.
 
         :param rate: units a second that accrue in the granting bucket; the next request is due when the
-            bucket can have accrued the missing useful units. 0: it is due at once
+            bucket can have accrued the missing useful units. 0: it is due immediately
         :returns: whether the grant was accepted
         """
         is_late = now_us > self.requested_at_us + CREDIT_LIFETIME_US
--- a/harriertide/decide/quota_grants.py
+++ b/harriertide/decide/quota_grants.py
@@ -14,7 +14,7 @@
 from harriertide.decide.units import SECOND_US
 
 # A broker's next request returns the granted units that it has not sent, up to this time after the grant. A
-# broker that does not ask for so long has restarted or asks another holder.
+# broker that sends no request for that time has restarted or asks another holder.
 RECLAIM_US = 4_000_000
 
 
@@ -73,7 +73,7 @@
 
         Invariant: the bucket and the outstanding units together hold no more than an ideal bucket of the same
         capacity that gives up each unit when the unit is sent. Otherwise the bucket would fill up in place of
-        units that are returned later, and both could be sent at once.
+        units that are returned later, and both could be sent at the same time.
         """
         accrued = rate * max(0, now_us - self.refilled_at_us) / SECOND_US
         self.units = min(capacity - self.outstanding_units(now_us), self.units + accrued)
@@ -104,9 +104,12 @@
         bucket = self._bucket(volume_key, self._leases.slots[slot].held_since_us)
         bucket.requested_at_us = now_us
         last_grant = bucket.grants.get(broker)
+        # Request numbers wrap around. After RECLAIM_US they may have wrapped, as the broker may have sent
+        # many requests to other holders. A number then no longer shows the age of its request, and is not
+        # checked.
         if last_grant is not None and last_grant.epoch == demand.epoch and last_grant.is_reclaimable(now_us):
             if not last_grant.is_followed_by(demand.number):
-                return None  # after RECLAIM_US any number may be new, as other brokers may have been asked
+                return None
             bucket.units += last_grant.unsent_units(demand.used_units)
             del bucket.grants[broker]
         bucket.refill(now_us, rate, capacity)
--- a/harriertide/decide/rate_limits.py
+++ b/harriertide/decide/rate_limits.py
@@ -158,7 +158,7 @@
         if now_us >= credit.retry_at_us:
             self._request_credit(request, plan, leases, waiting_units)
         if credit.covers(now_us, arrival.units):
-            return 0  # this broker holds the lease, so its own request was answered at once
+            return 0  # this broker holds the lease, so its own request was answered immediately
         if not credit.is_short:
             return max(1, credit.retry_at_us - now_us)
         # while units are short, first requests have priority over clients' retries
--- a/harriertide/decide/scheduler.py
+++ b/harriertide/decide/scheduler.py
@@ -195,7 +195,7 @@
                 pass  # decide() runs due timers on each call
 
     def _on_arrival(self, arrival: api.Arrival) -> None:
-        """Classify a new request, count it as demand, and queue it or give it up at once."""
+        """Classify a new request, count it as demand, and queue it or give it up immediately."""
         context = self.context
         answer_deadline_us = context.answer_deadline_us(arrival)
         request = self._new_request(arrival, answer_deadline_us)
--- a/harriertide/decide/settings.py
+++ b/harriertide/decide/settings.py
@@ -134,7 +134,7 @@
     :ivar classes, plans, zones: the numbers of the decision module by the names that clients and discovery
         use
     :ivar connect_us: timeout for connecting to a node
-    :ivar idle_us: a connection to a node is closed after it has been idle for so long
+    :ivar idle_us: a connection to a node is closed after it has been idle for this time
     """
 
     classes: dict[str, int]
--- a/harriertide/decide/slow_start.py
+++ b/harriertide/decide/slow_start.py
@@ -22,8 +22,8 @@
 from harriertide.decide.state import GrantedUnits, NodeState, OpenAttempt
 from harriertide.decide.warming import is_warming, slow_start_budget_units
 
-# The measurement of a warming node is halved when it exceeds the units of so many of the largest requests, so
-# that recent answers count more.
+# The measurement of a warming node is halved when it exceeds the units of this number of the largest
+# requests, so that recent answers count more.
 MEASUREMENT_REQUEST_COUNT = 16
 
 
@@ -47,7 +47,7 @@
         credit = node.slow_start_credit
         if not credit.covers(self._context.now_us, units) and self._context.now_us >= credit.retry_at_us:
             self._send_request(node, units)
-        return credit.covers(self._context.now_us, units)  # a coordinator answers its own request at once
+        return credit.covers(self._context.now_us, units)  # a coordinator answers its own request immediately
 
     def _send_request(self, node: NodeState, units: float) -> None:
         now_us, derived, credit = self._context.now_us, self._context.derived, node.slow_start_credit
@@ -122,7 +122,7 @@
                 self._exchange.send(broker, grant)
 
     def _on_grant(self, broker: int, grant: SlowStartGrant) -> None:
-        """Accept a grant from a coordinator of the shard if this broker still awaits it."""
+        """Accept a grant from a coordinator of the shard if this broker still waits for it."""
         context = self._context
         is_coordinator = broker in context.derived.coordinators(grant.shard)
         if grant.shard >= context.settings.shard_count or not is_coordinator:
--- a/harriertide/decide/warming.py
+++ b/harriertide/decide/warming.py
@@ -6,8 +6,8 @@
 from harriertide.decide.quota_credit import CREDIT_LIFETIME_US
 from harriertide.decide.state import GrantedUnits, NodeState
 
-# The safe rate is weighted like so many mean requests among a node's answers, as the first answers prove
-# little.
+# The weight of the safe rate beside a node's answers, in mean requests: the first answers alone are too few
+# to measure the node's rate.
 SAFE_RATE_WEIGHT_REQUESTS = 0.5
 MIN_SLOW_START_UNITS = 0.01  # prevents a division by 0 where the settings allow a warming node no units
 
--- a/harriertide/engine/runtime.py
+++ b/harriertide/engine/runtime.py
@@ -51,7 +51,7 @@
 
 
 class Job(Protocol):
-    """An accepted request, whose frontend performs the attempts and sends the answer."""
+    """An accepted request, whose front performs the attempts and sends the answer."""
 
     @property
     def context(self) -> Context | None:
@@ -80,7 +80,7 @@
 
 
 class Runtime:
-    """Connects a core to the event loop; shared by all frontends of a process.
+    """Connects a core to the event loop; shared by all fronts of a process.
 
     The owner sets the hooks that the process needs before the first event is posted.
     """
@@ -113,7 +113,7 @@
             ev.LogLine: self._write_log_line,
         }
 
-    # --- interface for frontends ----------------------------------------------------------------
+    # --- interface for fronts -------------------------------------------------------------------
 
     def submit(self, arrival: api.Arrival, job: Job, streams_body: bool = False) -> bool:
         """Submit a request to the core.
@@ -145,7 +145,7 @@
         return True
 
     def response_started(self, attempt: Attempt) -> None:
-        """Report that the frontend has begun to send the response of an attempt to the client."""
+        """Report that the front has begun to send the response of an attempt to the client."""
         self.post(ev.ResponseStarted(attempt.request_id, attempt.number))
 
     def cancel_attempts(self, request_id: str) -> None:
@@ -268,7 +268,7 @@
     async def _run_attempt(self, job: Job, attempt: Attempt) -> None:
         try:
             result = await job.perform(attempt)
-        except Exception:  # a faulty frontend must not leave its request without an answer
+        except Exception:  # a faulty front must not leave its request without an answer
             log("an attempt failed in the broker itself", trace=traceback.format_exc())
             result = AttemptResult("reset")
         self._finish_attempt(attempt, result)
--- a/harriertide/platform/connection.py
+++ b/harriertide/platform/connection.py
@@ -156,7 +156,7 @@
         if upgraded:
             self.refuse(400, "no other protocol is spoken here")
             return
-        if messages and self._message is not None:  # a pipelined request came with the end of the body
+        if messages and self._message is not None:  # a pipelined request arrived with the end of the body
             self._closes_after_response = True
         elif messages:
             self._closes_after_response = len(messages) > 1
--- a/harriertide/platform/endpoint_directory.py
+++ b/harriertide/platform/endpoint_directory.py
@@ -73,8 +73,7 @@
         count versions differently. Such a page never returns a draining or removed node to service.
 
         :param kind: the kind of update that the page is treated as, whatever its version; None: a page that
-            the
-            current discovery sent
+            the current discovery sent
         :returns: the update for the decision module
         """
         entries = page.entries
--- a/harriertide/platform/endpoint_watch.py
+++ b/harriertide/platform/endpoint_watch.py
@@ -32,7 +32,7 @@
 # Discovery sends an empty line every 2 s as a keep-alive, so a watch that is silent for longer is dead.
 WATCH_SILENCE_S = 2.5
 # A change counts as known as soon as the agent has it, and calls to the agent are cheap. A watch on an agent
-# is therefore reopened at once when it ends, then at this interval, and the timeout for its response is
+# is therefore reopened immediately when it ends, then at this interval, and the timeout for its response is
 # shorter.
 REOPEN_INTERVAL_S = 0.1
 PUSHED_HEAD_TIMEOUT_S = 1.0
@@ -66,7 +66,7 @@
         self._is_closed = False
         self._failure_is_logged = False
         self._needs_full_list = False  # set where discovery may count versions differently than before
-        self._reopened_after_silence = False  # whether this watch replaced a silent one at once
+        self._reopened_after_silence = False  # whether this watch immediately replaced a silent one
 
     def set_pushed(self, is_pushed: bool) -> None:
         """Set whether an agent pushes the list; if so, this class reopens the watch on its own."""
@@ -142,12 +142,12 @@
         return isinstance(error, (TimeoutError, OutdatedPageError)) and not self._reopened_after_silence
 
     def _reopen_after_end(self, opened_at_s: float, went_silent: bool) -> None:
-        """Reopen the watch at once, or after the decision module's backoff.
+        """Reopen the watch immediately, or after the decision module's backoff.
 
         A change that a silent watch misses counts as known 6 s after discovery has it, which leaves no time
-        for the backoff after a failed call. Discovery did not end the silent watch, so reopening it at once
-        does not repeat a call that discovery rejected. This happens once: if the new watch receives nothing
-        either, the decision module decides when to open the next one.
+        for the backoff after a failed call. Discovery did not end the silent watch, so reopening it
+        immediately does not repeat a call that discovery rejected. This happens once: if the new watch
+        receives nothing either, the decision module decides when to open the next one.
         """
         if went_silent:
             self.counts["silent"] += 1
@@ -218,8 +218,8 @@
     def _apply(self, object_json: bytes, kind: PageKind | None = None) -> None:
         """Merge an endpoint page into the directory and notify the decision module.
 
-        :raises OutdatedPageError: the changes are older than the current version; only drains
-            and removals of listed nodes were merged
+        :raises OutdatedPageError: the changes are older than the current version; only drains and
+            removals of listed nodes were merged
         """
         is_current = self._is_current()
         # changes from a previous address are merged, but their version is ignored
--- a/harriertide/platform/json_stream.py
+++ b/harriertide/platform/json_stream.py
@@ -13,7 +13,8 @@
     """The result of feeding bytes to the stream.
 
     :param objects: the JSON text of each object that these bytes complete, in order
-    :param is_alive: whether the sender has sent a sign of life: an object, or an empty line between objects
+    :param is_alive: whether these bytes show that the sender is alive: they complete an object, or an empty
+        line between objects
     """
 
     objects: list[bytes]
@@ -32,8 +33,8 @@
     def feed(self, data: bytes) -> StreamProgress:
         """Process the next bytes of the stream.
 
-        A line that trickles in, or an object that never ends, is not a sign of life: the caller restarts its
-        silence timeout only if `is_alive` is set.
+        A line that trickles in, or an object that never ends, does not show that the sender is alive: the
+        caller restarts its silence timeout only if `is_alive` is set.
 
         :raises ValueError: an object is larger than MAX_OBJECT_BYTES
         """
--- a/harriertide/platform/peers.py
+++ b/harriertide/platform/peers.py
@@ -39,7 +39,7 @@
         self._post = post
         self._transport: asyncio.DatagramTransport | None = None
         self._socket: socket.socket | None = None  # set if another process may share the address
-        self._buffered: list[ev.PeerMessageReceived] | None = None  # None: messages are posted at once
+        self._buffered: list[ev.PeerMessageReceived] | None = None  # None: messages are posted immediately
         self.set_peers(peers, own_index)
 
     def set_peers(self, peers: list[str], own_index: int) -> None:
--- a/harriertide/platform/response_writer.py
+++ b/harriertide/platform/response_writer.py
@@ -73,8 +73,7 @@
     :param transport: the transport of the client connection
     :param drain: waits until the client has read enough for more data to be written
     :returns: whether the whole body was sent; False if the client or the node closed its connection or was
-        idle
-        for STREAM_IDLE_TIMEOUT_S
+        idle for STREAM_IDLE_TIMEOUT_S
     """
     try:
         async for chunk in remainder.chunks():
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -147,7 +147,7 @@
 def test_a_broker_new_to_an_overloaded_shard_sheds_load_from_its_first_request_on() -> None:
     """A broker without earlier requests for a shard learns from a report that the shard is overloaded.
 
-    It sheds load at once, and does not wait until its own requests fail.
+    The broker sheds load immediately, and does not wait until its own requests fail.
     """
     broker = start_fleet(LARGE_FLEET)[(LARGE_COORDINATOR + 5) % LARGE_BROKER_COUNT]
     zeros = [0.0] * (PRIORITY_BAND_COUNT - 1)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -76,8 +76,8 @@
     run_with_broker(scenario)
 
 
-def test_the_object_frontend_does_not_retry_for_a_client_whose_close_is_unread(tmp_path: Path) -> None:
-    """A client of the object frontend floods its connection and closes it, so unread bytes precede the close.
+def test_the_object_front_does_not_retry_for_a_client_whose_close_is_unread(tmp_path: Path) -> None:
+    """A client of the object front floods its connection and closes it, so unread bytes precede the close.
 
     The node's error must not cause a retry, because no client waits for it.
     """
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -90,7 +90,7 @@
 
 
 def test_a_coordinator_answers_each_bid_with_the_aggregate() -> None:
-    """Bids that are not renewed expire; otherwise the demand of a broker that is gone would count forever."""
+    """Bids that are not renewed expire; otherwise the demand of a stopped broker would count forever."""
     broker = BrokerUnderTest(broker_index=COORDINATOR_OF_TWO, broker_count=2)
     offer_steadily(broker, 2 * SECOND_US)
     datagram = bid_datagram(0, [40.0] * PRIORITY_BAND_COUNT, 30.0)
@@ -203,7 +203,7 @@
 
 
 def test_reports_resume_soon_after_half_of_the_brokers_are_gone() -> None:
-    """Half of the brokers crash at once, the coordinator among them.
+    """Half of the brokers crash at the same time, the coordinator among them.
 
     The bid after an unanswered one goes to the standby, so reports resume after two intervals and the network
     latency.
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -75,7 +75,7 @@
 def test_a_silent_watch_is_reopened_in_time_without_the_core() -> None:
     """Discovery goes silent on an open watch, and may have a drain to report.
 
-    The watch is reopened at once, without backoff, and the decision module does not count a failure.
+    The watch is reopened immediately, without backoff, and the decision module does not count a failure.
     """
     call_times, update_kinds = run_watch([True, True, True], 7.0)
     assert (
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -41,7 +41,7 @@
 
 
 def test_queued_requests_are_answered_when_their_node_is_removed() -> None:
-    """Requests queued for a node that is removed are answered at once, and do not wait for their deadline."""
+    """Requests queued for a removed node are answered immediately and do not wait for their deadline."""
     broker = BrokerUnderTest()
     for _ in range(6):
         broker.request()
@@ -55,8 +55,8 @@
 def test_nothing_goes_to_replaced_nodes_and_all_new_ones_are_used(
     brokers: int, nodes: int, rate: float, shards_per_broker: int
 ) -> None:
-    """Six in ten nodes are replaced within 7 s: listed as draining, then as gone, with a new node of the same
-    shard.
+    """Six in ten nodes are replaced within 7 s: listed as draining, then removed, with a new node of the
+    same shard.
 
     shards_per_broker: number of shards that a broker's requests name; a third of the requests place new
     objects.
@@ -103,7 +103,7 @@
 def test_empty_lists_and_datagrams_of_unknown_brokers_are_tolerated_under_load() -> None:
     """Discovery publishes an empty list under load, and datagrams arrive from brokers that do not exist.
 
-    Each request is rejected at once while there is no node, and requests are served when the nodes are back.
+    Requests are rejected immediately while no node is listed, and are served when the nodes are back.
     """
     broker = start_fleet(LARGE_FLEET)[0]
     now_us = START_US + 10_000
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -102,7 +102,7 @@
     simulation.run(20 * SECOND_US, 10.0, [0, 1])
     probes_per_second = 40 / ceil(40 / PROBING_BROKER_COUNT) * SECOND_US / TRIAL_INTERVAL_US
     assert {node for _, node in probes} == {"n00"} and 40 < len(probes) <= 20 * probes_per_second
-    # one probe from each broker, if all of them come in the same second
+    # one probe from each broker, if all of them arrive in the same second
     assert max(Counter(at_us // SECOND_US for at_us, _ in probes).values()) <= 40
     simulation.unreachable_nodes = set()
     simulation.run(4 * SECOND_US, 10.0, [0, 1])
@@ -115,7 +115,7 @@
 
 
 def test_an_attempt_that_its_broker_withheld_says_nothing_about_its_node() -> None:
-    """A write that the broker withheld, as it came too late for a warming node's budget, is retried there.
+    """A write that its broker withheld, being too late for a warming node's budget, is retried there.
 
     The outcome neither ejects the node nor reinstates an ejected node.
     """
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -168,7 +168,7 @@
 
 
 def test_a_new_object_whose_node_is_unreachable_goes_to_another_at_once() -> None:
-    """Right after a restart the cached endpoint list may be outdated and name nodes that are gone."""
+    """Right after a restart the cached endpoint list may be outdated and name removed nodes."""
     broker = start_fleet(LARGE_FLEET)[0]
     arrival = api.Arrival("r", 0, 0, "v", -1, START_US + 2_000_000, 2.0)
     first_node_id = started_attempts(broker.decide(START_US + 1_000, [arrival]))[0].node_id
--- a/tests/test_quota_grants.py
+++ b/tests/test_quota_grants.py
@@ -47,7 +47,7 @@
 
 def test_a_token_bucket_is_not_filled_in_place_of_units_returned_later() -> None:
     """Granted units are not spent and are returned later. If the bucket filled up in their place meanwhile,
-    both could be spent at once.
+    both could be spent at the same time.
     """
     holder = GrantingBroker()
     holder.hold_until(20 * SECOND_US)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -48,8 +48,8 @@
 def test_the_attempt_after_an_interrupted_attempt_starts_after_a_gap(kind: Any) -> None:
     """A node short of processor time may detect the close of the first connection after the second request.
 
-    The node would hold both attempts at once, so the second attempt is written a gap after the end of the
-    first.
+    The node would hold both attempts at the same time, so the second attempt is written a gap after
+    the end of the first.
     """
     core = Reducer(ALONE, 1, ScriptedModule([start_attempt()], [start_attempt()], [api.Fail("r")]))
     first = effects_of_type(core.step(START_US, [NODES_LISTED, request_arrived()]), ev.StartAttempt)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -60,7 +60,7 @@
 
 
 def test_retries_stay_within_the_budget() -> None:
-    """If many requests fail at once, retries of all of them would multiply the load of failing nodes."""
+    """If many requests fail together, retries of all of them would multiply the load of failing nodes."""
     broker = BrokerUnderTest(retry_budget_floor=1, retry_budget_ratio=0.0, retry_budget_window_us=1_000_000)
     for _ in range(2):
         broker.request()
--- a/tests/test_single_attempt.py
+++ b/tests/test_single_attempt.py
@@ -78,7 +78,7 @@
 def test_an_aborted_connection_is_closed_in_the_same_loop_iteration() -> None:
     """asyncio closes the descriptor of an aborted connection one loop iteration later. Bytes that are written
     to another connection in between must not reach the node before the close, or the node runs two attempts
-    at once.
+    at the same time.
     """
 
     async def scenario(runtime: Runtime, client: NodeClient, node: StubServer) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -59,7 +59,7 @@
 
 
 def test_an_answer_to_an_attempt_sent_before_a_node_restarted_is_not_measured() -> None:
-    """The answer is read after the news of the restart, but shows the capacity of the process before it."""
+    """The answer is read after the restart is reported, but shows the capacity of the earlier process."""
     broker = BrokerUnderTest()
     (attempt,) = started_attempts(broker.request(units=8.0))
     restarted = api.NodeEntry("n0", 0, "live", 0, broker.now_us + 5_000)
