--- a/tests/test_pushed_endpoints.py
+++ b/tests/test_pushed_endpoints.py
@@ -135,7 +135,7 @@
 ) -> None:
     """An agent goes silent and leaves two further calls unanswered.
 
-    Requests are served meanwhile, and a drain that the agent reports afterwards takes effect at once.
+    Requests are served meanwhile, and a drain that the agent reports afterwards takes effect immediately.
     """
     from harriertide.platform import endpoint_watch
 
--- a/tests/test_request_streaming.py
+++ b/tests/test_request_streaming.py
@@ -131,7 +131,7 @@
 def test_a_streamed_request_is_not_retried(exhausted_body_budget: None) -> None:
     """A streamed body is not in memory any more when the node responds with an error.
 
-    There is no retry; the request is rejected with 503 and Retry-After.
+    The request is not retried, but rejected with 503 and Retry-After.
     """
 
     async def scenario(broker: SocketBroker) -> None:
